--- a/crates/dispatch/src/agent/lifetimes.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -25,7 +25,7 @@
 use crate::agent::minion::Minion;
 use crate::agent::pace::Pace;
 use crate::agent::run_table::Run;
-use crate::runs::Contact;
+use crate::minion_calls::Contact;
 
 /// Pause before a candidate that gave no answer is asked again, in
 /// milliseconds: the time that a call to the minion on this host is given.
--- a/crates/dispatch/src/agent/listings.rs
+++ b/crates/dispatch/src/agent/listings.rs
@@ -11,10 +11,10 @@
 use crate::RunKey;
 use crate::Running;
 use crate::agent::minion::STOP_RETRY_MS;
+use crate::agent::retained_ends::stored_end;
 use crate::agent::run_table::Phase;
 use crate::agent::run_table::Run;
-use crate::agent::unsettled::stored_end;
-use crate::runs::Contact;
+use crate::minion_calls::Contact;
 
 /// First and longest pause before the minion is asked again after a call
 /// without an answer, in milliseconds.
--- a/crates/dispatch/src/agent/minion.rs
+++ b/crates/dispatch/src/agent/minion.rs
@@ -14,14 +14,14 @@
 use crate::Room;
 use crate::RunKey;
 use crate::agent::call_loss::CallLoss;
-use crate::agent::holds::HOLD_PATIENCE_MS;
-use crate::agent::holds::HoldCall;
-use crate::agent::lifetimes::Candidate;
-use crate::agent::lifetimes::Loss;
+use crate::agent::incarnations::Candidate;
+use crate::agent::incarnations::Loss;
+use crate::agent::listing_calls::HOLD_PATIENCE_MS;
+use crate::agent::listing_calls::HoldCall;
+use crate::agent::retained_ends::UnsettledEnds;
 use crate::agent::run_table::Phase;
-use crate::agent::unsettled::UnsettledEnds;
 use crate::lease::STOP_PATIENCE_MS;
-use crate::runs::Contact;
+use crate::minion_calls::Contact;
 
 /// Pause before a stop without an answer is sent again, in milliseconds.
 pub(crate) const STOP_RETRY_MS: u64 = 60;
--- a/crates/dispatch/src/agent/starts.rs
+++ b/crates/dispatch/src/agent/starts.rs
@@ -13,7 +13,7 @@
 use crate::agent::minion::Minion;
 use crate::agent::run_table::Phase;
 use crate::agent::run_table::Run;
-use crate::runs::Contact;
+use crate::minion_calls::Contact;
 
 /// Starts that are sent before a run without an answer is given up.
 const START_TRIES: u32 = 3;
--- a/crates/dispatch/src/agent/suspects.rs
+++ b/crates/dispatch/src/agent/suspect_starts.rs
@@ -8,7 +8,7 @@
 use crate::End;
 use crate::LinkId;
 use crate::OrderId;
-use crate::agent::holds::HoldCall;
+use crate::agent::listing_calls::HoldCall;
 use crate::agent::run_table::Phase;
 
 /// Time for the answer of a minion before a start, in milliseconds; a sound one on the
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -8,7 +8,7 @@
 use gannetvane_wire::Name;
 
 use crate::KnownEntry;
-use crate::choice::Choice;
+use crate::rendezvous::Choice;
 
 /// Entries that an agent keeps a link to: its messages stay the same in a larger
 /// fleet, and each entry has agents enough while there are fewer entries than agents.
--- a/crates/dispatch/src/dispatcher/fleet.rs
+++ b/crates/dispatch/src/dispatcher/fleet.rs
@@ -14,7 +14,7 @@
 use crate::Order;
 use crate::OrderId;
 use crate::Room;
-use crate::choice::Choice;
+use crate::rendezvous::Choice;
 
 /// First time for which a host that failed gets no tasks, in milliseconds.
 const FIRST_EJECTION_MS: u64 = 300;
--- a/crates/dispatch/src/policy/fair_share.rs
+++ b/crates/dispatch/src/policy/fair_share.rs
@@ -16,7 +16,7 @@
 use crate::policy::ServiceView;
 use crate::policy::WaitingJob;
 use crate::policy::backlog::BacklogPart;
-use crate::policy::order;
+use crate::policy::rank;
 
 /// Work that waits in an overload, at least, in milliseconds of all room: less
 /// would leave room idle between two arrivals.
@@ -96,11 +96,11 @@
     }
 
     fn has_prospect(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool {
-        !order::is_late_after(now_ms, job, wait_ms)
+        !rank::is_late_after(now_ms, job, wait_ms)
     }
 
     fn rank(&self, now_ms: u64, job: &WaitingJob) -> Rank {
-        order::by_latest_start(now_ms, job)
+        rank::by_latest_start(now_ms, job)
     }
 
     fn retry_after_ms(&self, view: &ServiceView, spread: f64) -> u64 {
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -7,18 +7,18 @@
 
 mod backlog;
 mod fair_share;
-mod flow;
-mod order;
 pub(crate) mod placement;
+mod rank;
+mod work_rate;
 
 use std::fmt::Debug;
 
 use gannetvane_wire::Name;
 
 pub use fair_share::FairShare;
-pub(crate) use flow::Flow;
-pub(crate) use flow::LEAST_RATE_MILLI;
-pub use order::Rank;
+pub use rank::Rank;
+pub(crate) use work_rate::Flow;
+pub(crate) use work_rate::LEAST_RATE_MILLI;
 
 use crate::Queue;
 
--- a/crates/dispatch/tests/growth/main.rs
+++ b/crates/dispatch/tests/growth/main.rs
@@ -12,10 +12,10 @@
 mod change;
 mod entry;
 mod fleet;
+mod gossip;
 mod queue;
 mod report;
 mod tally;
-mod telling;
 
 use std::collections::BTreeSet;
 
@@ -106,7 +106,7 @@
 fn telling_at_all_sizes() {
     println!("hosts,tell_us");
     for hosts in ALL_SIZES {
-        println!("{hosts},{:.0}", telling::change_us(hosts / 5));
+        println!("{hosts},{:.0}", gossip::change_us(hosts / 5));
     }
 }
 
--- a/crates/dispatch/tests/replay/main.rs
+++ b/crates/dispatch/tests/replay/main.rs
@@ -1,12 +1,12 @@
 //! Replays of load patterns: entries, agents and unequal minions on a clock
 //! that the test advances, beside a central queue that knows everything.
 
+mod admits_all;
 mod central;
 mod pattern;
 mod report;
 #[path = "../session/mod.rs"]
 mod session;
-mod takes_all;
 
 use gannetvane_dispatch::BoxedPolicy;
 use gannetvane_dispatch::JobOutcome;
@@ -246,7 +246,7 @@
 fn a_share_of_each_queue_serves_large_jobs_better_than_to_take_in_everything() {
     let pattern = Pattern::read("lasting");
     let shared = SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
-    let whole = SEEDS.map(|seed| play(&pattern, seed, takes_all::takes_all));
+    let whole = SEEDS.map(|seed| play(&pattern, seed, admits_all::takes_all));
     let (shared, whole) = (Plays::new(&shared), Plays::new(&whole));
     let worst_large = |plays: &Plays<'_>| {
         let queues = 0..pattern.queues.len();
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -45,14 +45,14 @@
 use crate::StoreKeeper;
 use crate::Tunables;
 use crate::agent_links;
+use crate::dialers::Dialers;
+use crate::dialers::SharedDirectory;
 use crate::entry_handle::EntryHandle;
 use crate::entry_handle::Input;
 use crate::entry_stored::StoredInput;
 use crate::job_log::JobLogCalls;
 use crate::links::FrameSender;
 use crate::peer_links;
-use crate::peers::Dialers;
-use crate::peers::SharedDirectory;
 use crate::ports::JobLogPort;
 use crate::stored_calls::StoredCalls;
 
--- a/crates/node/src/peer_links.rs
+++ b/crates/node/src/peer_links.rs
@@ -16,10 +16,10 @@
 use tokio::time::timeout;
 
 use crate::Clock;
+use crate::dialers::SharedDirectory;
 use crate::links;
 use crate::links::FrameReader;
 use crate::links::FrameSender;
-use crate::peers::SharedDirectory;
 
 /// Pause between two frames to another entry, in milliseconds.
 const KEEPALIVE_MS: u64 = 1_000;
