--- a/crates/daemon/tests/soak/checks.rs
+++ b/crates/daemon/tests/soak/checks.rs
@@ -97,7 +97,7 @@
             let sum = all.entry(task).or_default();
             sum.failures += record.failures;
             sum.crashes += record.crashes;
-            sum.ended_lives += record.ended_lives;
+            sum.ended_incarnations += record.ended_incarnations;
         }
         all
     }
@@ -117,14 +117,14 @@
         for (id, _) in jobs.iter().filter(|(_, job)| job.is_failed) {
             let mut of_job = records.iter().filter(|(task, _)| task.starts_with(id));
             let has_cause = of_job.any(|(_, record)| {
-                record.failures >= ATTEMPTS || record.ended_lives >= CRASHES_OF_A_FAILED_TASK
+                record.failures >= ATTEMPTS || record.ended_incarnations >= CRASHES_OF_A_FAILED_TASK
             });
             if !has_cause {
                 self.violate(format!("job {id} was told as failed without cause"));
             }
         }
-        let overloads = self.minions.iter().flat_map(MinionStandIn::overloads);
-        overloads.for_each(|what| self.violate(format!("over its room: {what}")));
+        let overcommits = self.minions.iter().flat_map(MinionStandIn::overcommits);
+        overcommits.for_each(|what| self.violate(format!("over its room: {what}")));
     }
 
     /// In calm, a task that crashes minions is given up after a few.
@@ -184,7 +184,7 @@
 pub fn watch(minions: &[MinionStandIn], violations: &Mutex<Vec<String>>, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
         let mut seen = BTreeSet::new();
-        for tasks in MinionStandIn::running_together(minions) {
+        for tasks in MinionStandIn::running_by_minion(minions) {
             if tasks.len() > ROOM {
                 violations
                     .lock()
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -35,7 +35,7 @@
             5 => program.signal(Signal::HUP),
             6 => self.store.set_fault(StoreFault::Refuses(503)),
             7 => self.store.set_fault(match rng.random_range(0..3) {
-                0 => StoreFault::Silent,
+                0 => StoreFault::NoAnswer,
                 1 => StoreFault::LosesAnswers,
                 _ => {
                     self.store.rebalance();
@@ -43,21 +43,21 @@
                 }
             }),
             8 => self.store.set_fault(StoreFault::None),
-            9 => minion.crash(),
+            9 => minion.restart_with_new_id(),
             10 => minion.leave_unanswered(rng.random_range(1..6)),
-            11 => minion.set_silent(rng.random()),
+            11 => minion.set_unresponsive(rng.random()),
             12 => inner.reset(),
             13 => front.reset(),
-            14 | 15 => inner.silence_open(),
-            16 => front.silence_open(),
-            17 => minion.send_late_report(),
+            14 | 15 => inner.blackhole_open(),
+            16 => front.blackhole_open(),
+            17 => minion.send_delayed_report(),
             18 => self.store.put("keyed.op", EVACUATE_KEY, b"{}"),
             19 => self.store.put("keyed.op", EVACUATE_KEY, b""),
             20 => {
                 let foreign: Vec<u8> = (0..rng.random_range(0..40)).map(|_| rng.random()).collect();
                 self.store.put_raw("keyed.op", &foreign);
             }
-            21 => minion.start_again(),
+            21 => minion.restart_with_same_id(),
             22 => minion.resize(rng.random_range(1..=ROOM_MILLI)),
             23 => minion.resize(ROOM_MILLI),
             24 => self.crash_together(rng),
@@ -66,7 +66,7 @@
                     0 => ProxyFault::Delays(rng.random_range(1..150)),
                     1 => ProxyFault::HoldsRequests,
                     2 => ProxyFault::HoldsAnswers,
-                    3 => ProxyFault::Silent,
+                    3 => ProxyFault::HoldsAll,
                     _ => ProxyFault::None,
                 };
                 inner.set_fault(fault);
@@ -80,8 +80,8 @@
         let crashed = rng.random_range(2..=self.minions.len().max(2));
         for minion in self.minions.iter().cycle().skip(first).take(crashed) {
             match rng.random() {
-                true => minion.crash(),
-                false => minion.start_again(),
+                true => minion.restart_with_new_id(),
+                false => minion.restart_with_same_id(),
             }
         }
     }
--- a/crates/daemon/tests/soak/site.rs
+++ b/crates/daemon/tests/soak/site.rs
@@ -174,7 +174,7 @@
             .iter()
             .for_each(|proxy| proxy.set_fault(ProxyFault::None));
         self.minions.iter().for_each(|minion| {
-            minion.set_silent(false);
+            minion.set_unresponsive(false);
             minion.leave_unanswered(0);
             minion.resize(ROOM_MILLI);
         });
--- a/crates/dispatch/src/agent/breaker.rs
+++ b/crates/dispatch/src/agent/breaker.rs
@@ -8,7 +8,7 @@
 
 /// Jobs that must fail here before the minion is taken for the cause: a single
 /// one may be at fault itself.
-const SUSPECT_JOBS: usize = 2;
+const TRIP_JOBS: usize = 2;
 /// Good ends in a row that outweigh a job that failed: with one, a minion that
 /// fails every second run would never be closed.
 const GOOD_ENDS: u32 = 2;
@@ -16,13 +16,13 @@
 const FIRST_PAUSE_MS: u64 = 300;
 /// Longest such time, in milliseconds: a minion that recovers serves again
 /// within that.
-const LONGEST_PAUSE_MS: u64 = 2_400;
+const MAX_PAUSE_MS: u64 = 2_400;
 
 /// Judges a minion by the ends of its runs.
 #[derive(Debug, Default)]
 pub(crate) struct Breaker {
     /// Jobs that failed here and were not outweighed.
-    suspects: Vec<Name>,
+    failed_jobs: Vec<Name>,
     /// Good ends since the last bad one.
     good_ends: u32,
     is_tripped: bool,
@@ -57,8 +57,8 @@
             return;
         }
         self.good_ends += 1;
-        if self.good_ends >= GOOD_ENDS && !self.suspects.is_empty() {
-            self.suspects.remove(0);
+        if self.good_ends >= GOOD_ENDS && !self.failed_jobs.is_empty() {
+            self.failed_jobs.remove(0);
             self.good_ends = 0;
         }
     }
@@ -67,11 +67,11 @@
     /// no starts from now on.
     pub(crate) fn failed(&mut self, now_ms: u64, job: &Name, started_ms: u64) -> bool {
         self.good_ends = 0;
-        if !self.suspects.contains(job) {
-            self.suspects.push(job.clone());
+        if !self.failed_jobs.contains(job) {
+            self.failed_jobs.push(job.clone());
         }
         let is_trial = started_ms >= self.until_ms;
-        if self.suspects.len() < SUSPECT_JOBS || !is_trial {
+        if self.failed_jobs.len() < TRIP_JOBS || !is_trial {
             return false;
         }
         self.trip(now_ms);
@@ -81,18 +81,18 @@
     /// The minion gets no starts for a while.
     pub(crate) fn trip(&mut self, now_ms: u64) {
         let doubled_ms = FIRST_PAUSE_MS << self.trips.min(3);
-        self.until_ms = now_ms + doubled_ms.min(LONGEST_PAUSE_MS);
+        self.until_ms = now_ms + doubled_ms.min(MAX_PAUSE_MS);
         self.trips += 1;
         self.is_tripped = true;
     }
 
     /// The failures of a job turned out to be its own.
-    pub(crate) fn pardon(&mut self, job: &Name) {
-        let Some(position) = self.suspects.iter().position(|suspect| suspect == job) else {
+    pub(crate) fn discount_failures(&mut self, job: &Name) {
+        let Some(position) = self.failed_jobs.iter().position(|suspect| suspect == job) else {
             return;
         };
-        self.suspects.remove(position);
-        if self.suspects.len() < SUSPECT_JOBS {
+        self.failed_jobs.remove(position);
+        if self.failed_jobs.len() < TRIP_JOBS {
             self.is_tripped = false;
             self.trips = 0;
             self.until_ms = 0;
--- a/crates/dispatch/src/agent/call_loss.rs
+++ b/crates/dispatch/src/agent/call_loss.rs
@@ -12,7 +12,7 @@
 /// Share of calls all of whose copies may stay without an answer.
 const ACCEPTED_SHARE: f64 = 0.03;
 /// Most copies of a call: an agent has a small part of a core.
-const MOST_COPIES: u32 = 4;
+const MAX_HEDGED_CALLS: u32 = 4;
 
 /// A running share of calls without an answer.
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +34,7 @@
         }
         let mut copies = 1;
         let mut lost = self.share;
-        while lost > ACCEPTED_SHARE && copies < MOST_COPIES {
+        while lost > ACCEPTED_SHARE && copies < MAX_HEDGED_CALLS {
             lost *= self.share;
             copies += 1;
         }
--- a/crates/dispatch/src/agent/capacity.rs
+++ b/crates/dispatch/src/agent/capacity.rs
@@ -5,14 +5,14 @@
 
 use crate::Agent;
 use crate::Report;
-use crate::Room;
+use crate::Resources;
 use crate::agent::minion::Minion;
 
 impl Agent {
     /// The minion reported other room than before.
-    pub(crate) fn capacity_changed(&mut self, former: Room, capacity: Room) {
+    pub(crate) fn capacity_changed(&mut self, former: Resources, capacity: Resources) {
         let detail = format!("from={former:?} to={capacity:?}");
-        self.note("minion-resized", None, detail);
+        self.event("minion-resized", None, detail);
         self.report_to_all(&Report::Capacity(capacity));
     }
 
@@ -20,6 +20,6 @@
     /// then brings it over its room in no case.
     pub(crate) fn runs_fit(&self) -> bool {
         let capacity = self.minion.as_ref().map(Minion::capacity);
-        capacity.is_some_and(|capacity| capacity.holds(&self.runs.taken()))
+        capacity.is_some_and(|capacity| capacity.can_fit(&self.runs.taken()))
     }
 }
--- a/crates/dispatch/src/agent/delayed_calls.rs
+++ b/crates/dispatch/src/agent/delayed_calls.rs
@@ -8,14 +8,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::Lifetime;
+use crate::Incarnation;
 use crate::RunKey;
-use crate::lease::LATE_CALL_MS;
+use crate::lease::MAX_CALL_DELAY_MS;
 use crate::stored::RUNS_PER_EPOCH;
 
 /// The starts without an answer of one agent.
 #[derive(Debug, Default)]
-pub(crate) struct LateCalls {
+pub(crate) struct DelayedCalls {
     /// Starts on their way, by run.
     pending: BTreeMap<RunKey, u32>,
     /// Runs of which a start had no answer, and until when it may be carried out.
@@ -26,17 +26,17 @@
     has_inherited: bool,
 }
 
-impl LateCalls {
+impl DelayedCalls {
     /// A minion that an earlier agent may have served is served from now on.
     pub(crate) fn inherit(&mut self, now_ms: u64) {
         if self.inherited_until_ms == 0 {
-            self.inherited_until_ms = now_ms + LATE_CALL_MS;
+            self.inherited_until_ms = now_ms + MAX_CALL_DELAY_MS;
         }
     }
 
     /// A start is sent.
-    pub(crate) fn sent(&mut self, lifetime: &Lifetime, key: &RunKey) {
-        let may_keep_id = lifetime.born_unix_ms().is_some();
+    pub(crate) fn sent(&mut self, incarnation: &Incarnation, key: &RunKey) {
+        let may_keep_id = incarnation.started_unix_ms().is_some();
         if may_keep_id && key.run >= RUNS_PER_EPOCH {
             *self.pending.entry(key.clone()).or_default() += 1;
         }
@@ -52,12 +52,13 @@
             self.pending.remove(key);
         }
         if !is_answered {
-            self.unanswered.insert(key.clone(), now_ms + LATE_CALL_MS);
+            self.unanswered
+                .insert(key.clone(), now_ms + MAX_CALL_DELAY_MS);
         }
     }
 
     /// Some call had no answer: those of an earlier agent may not have had either.
-    pub(crate) fn lost_call(&mut self) {
+    pub(crate) fn call_unanswered(&mut self) {
         self.has_inherited = true;
     }
 
--- a/crates/dispatch/src/agent/epochs.rs
+++ b/crates/dispatch/src/agent/epochs.rs
@@ -6,13 +6,13 @@
 //! higher epoch than the call's, it refuses the call. So epochs rise over all lives
 //! of a minion, whoever its agent is.
 
-use crate::Lifetime;
+use crate::Incarnation;
 
 /// First step by which the epoch is raised after a refusal for a lower one, in
 /// milliseconds. It doubles each time: how high the other epoch is, is not told.
 const FIRST_FENCE_STEP_MS: u64 = 60_000;
 /// Most times that it doubles: epochs stay below what a JSON number holds exactly.
-const MOST_DOUBLINGS: u32 = 34;
+const MAX_DOUBLINGS: u32 = 34;
 
 /// The epochs that were shown so far.
 #[derive(Debug, Default)]
@@ -26,8 +26,8 @@
     ///
     /// Its birth and its clock together rise within a life, and from one life to
     /// the next unless the time of day was set back between them.
-    pub(crate) fn next(&mut self, lifetime: &Lifetime, clock_ms: u64) -> u64 {
-        let born_ms = lifetime.born_unix_ms().unwrap_or(0);
+    pub(crate) fn next(&mut self, incarnation: &Incarnation, clock_ms: u64) -> u64 {
+        let born_ms = incarnation.started_unix_ms().unwrap_or(0);
         let present = born_ms.saturating_add(clock_ms);
         self.highest = present.max(self.highest + 1);
         self.highest
@@ -35,7 +35,7 @@
 
     /// An epoch was refused for a higher one.
     pub(crate) fn fenced(&mut self) {
-        let step_ms = FIRST_FENCE_STEP_MS << self.fences.min(MOST_DOUBLINGS);
+        let step_ms = FIRST_FENCE_STEP_MS << self.fences.min(MAX_DOUBLINGS);
         self.highest = self.highest.saturating_add(step_ms);
         self.fences += 1;
     }
--- a/crates/dispatch/src/agent/evacuation.rs
+++ b/crates/dispatch/src/agent/evacuation.rs
@@ -16,14 +16,14 @@
     /// had not heard of it.
     pub(crate) fn note_evacuated_start(&mut self, start: &StartOrder) {
         if self.is_evacuated() {
-            let detail = format!("as_of={}", self.evacuations.as_of);
+            let detail = format!("as_of={}", self.evacuations.log_offset);
             let job = start.task.job.clone();
-            self.note("start-refused-evacuated", Some(job), detail);
+            self.event("start-refused-evacuated", Some(job), detail);
         }
     }
 
     /// An entry told which zones are being emptied.
-    pub(crate) fn told_evacuations(&mut self, newer: &Evacuations) {
+    pub(crate) fn apply_evacuations(&mut self, newer: &Evacuations) {
         let was_evacuated = self.is_evacuated();
         if !self.evacuations.advance(newer) || self.is_evacuated() == was_evacuated {
             return;
@@ -32,7 +32,7 @@
             true => "zone-evacuated",
             false => "zone-taken-back",
         };
-        let detail = format!("as_of={} runs={}", newer.as_of, self.active_runs());
-        self.note(event, None, detail);
+        let detail = format!("as_of={} runs={}", newer.log_offset, self.active_runs());
+        self.event(event, None, detail);
     }
 }
--- a/crates/dispatch/src/agent/incarnations.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -14,18 +14,18 @@
 use crate::Agent;
 use crate::AgentAction;
 use crate::Crash;
-use crate::End;
-use crate::HoldResult;
-use crate::Lifetime;
+use crate::Incarnation;
 use crate::LinkId;
+use crate::ListResult;
 use crate::Listing;
 use crate::MinionReport;
 use crate::OrderId;
+use crate::RunEnd;
 use crate::agent::breaker::Breaker;
 use crate::agent::minion::Minion;
 use crate::agent::pace::Pace;
 use crate::agent::run_table::Run;
-use crate::minion_calls::Contact;
+use crate::minion_calls::CallOutcome;
 
 /// Pause before a candidate that gave no answer is asked again, in
 /// milliseconds: the time that a call to the minion on this host is given.
@@ -73,11 +73,11 @@
 impl Agent {
     /// A report of a minion arrived.
     pub fn minion_reported(&mut self, now_ms: u64, report: MinionReport) {
-        if self.ended.as_ref() == Some(&report.lifetime) {
-            self.note_late_report(&report.lifetime, "it has ended");
+        if self.ended.as_ref() == Some(&report.incarnation) {
+            self.note_late_report(&report.incarnation, "it has ended");
         } else if self.minion.is_none() {
             self.adopt(now_ms, report);
-        } else if self.serves(&report.lifetime) {
+        } else if self.serves(&report.incarnation) {
             self.update_report(now_ms, report);
         } else {
             self.consider(now_ms, report);
@@ -90,7 +90,7 @@
         let Some(minion) = &mut self.minion else {
             return;
         };
-        if **minion.report.lifetime.id() != *id {
+        if **minion.report.incarnation.id() != *id {
             return;
         }
         minion.has_left = minion.report.is_draining;
@@ -99,18 +99,18 @@
             true => "minion-left",
             false => "departure-doubted",
         };
-        self.note(event, None, format!("id={id}"));
+        self.event(event, None, format!("id={id}"));
     }
 
     /// The lifetime of the minion that is served.
     #[must_use]
-    pub fn lifetime(&self) -> Option<&Lifetime> {
+    pub fn incarnation(&self) -> Option<&Incarnation> {
         let minion = self.minion.as_ref()?;
-        Some(&minion.report.lifetime)
+        Some(&minion.report.incarnation)
     }
 
-    pub(crate) fn serves(&self, lifetime: &Lifetime) -> bool {
-        self.lifetime() == Some(lifetime)
+    pub(crate) fn serves(&self, incarnation: &Incarnation) -> bool {
+        self.incarnation() == Some(incarnation)
     }
 
     fn update_report(&mut self, now_ms: u64, report: MinionReport) {
@@ -124,7 +124,7 @@
         let former = std::mem::replace(&mut minion.report, report);
         let (is_draining, capacity) = (minion.report.is_draining, minion.report.capacity);
         if is_draining && !former.is_draining {
-            self.note("minion-draining", None, String::new());
+            self.event("minion-draining", None, String::new());
         }
         if capacity != former.capacity {
             self.capacity_changed(former.capacity, capacity);
@@ -133,19 +133,19 @@
 
     /// Serves a lifetime from now on.
     fn adopt(&mut self, now_ms: u64, report: MinionReport) {
-        let detail = format!("life={} capacity={:?}", report.lifetime, report.capacity);
-        self.note("minion-found", None, detail);
+        let detail = format!("life={} capacity={:?}", report.incarnation, report.capacity);
+        self.event("minion-found", None, detail);
         self.pace = Pace::default();
-        if report.lifetime.born_unix_ms().is_some() {
-            self.late_calls.inherit(now_ms);
+        if report.incarnation.started_unix_ms().is_some() {
+            self.delayed_calls.inherit(now_ms);
         }
         self.minion = Some(Minion::new(now_ms, report));
-        self.hold_if_due(now_ms);
+        self.list_if_due(now_ms);
     }
 
     fn consider(&mut self, now_ms: u64, report: MinionReport) {
         if let Some(candidate) = &mut self.candidate
-            && candidate.report.lifetime == report.lifetime
+            && candidate.report.incarnation == report.incarnation
         {
             candidate.tries = 0;
             if report.sequence >= candidate.report.sequence {
@@ -153,8 +153,8 @@
             }
             return;
         }
-        let detail = format!("life={}", report.lifetime);
-        self.note("other-lifetime-reported", None, detail);
+        let detail = format!("life={}", report.incarnation);
+        self.event("other-lifetime-reported", None, detail);
         self.candidate = Some(Candidate {
             report,
             call: 0,
@@ -191,17 +191,17 @@
         };
         // Under the same id, the life that is served may answer, and lists for no
         // epoch below the one that it has seen.
-        let asked = &candidate.report.lifetime;
+        let asked = &candidate.report.incarnation;
         let served = self.minion.as_ref();
-        let served = served.filter(|minion| minion.report.lifetime.id() == asked.id());
+        let served = served.filter(|minion| minion.report.incarnation.id() == asked.id());
         let epoch = served.map_or(0, |minion| minion.epoch);
         self.next_call += 1;
         candidate.call = call;
         candidate.asked_ms = now_ms;
         candidate.tries += 1;
-        self.actions.push(AgentAction::Hold {
+        self.actions.push(AgentAction::List {
             call,
-            lifetime: candidate.report.lifetime.clone(),
+            incarnation: candidate.report.incarnation.clone(),
             epoch,
             acknowledged_through: 0,
             deadline_ms: None,
@@ -209,40 +209,40 @@
         });
     }
 
-    pub(crate) fn is_candidate(&self, lifetime: &Lifetime) -> bool {
+    pub(crate) fn is_candidate(&self, incarnation: &Incarnation) -> bool {
         let candidate = self.candidate.as_ref();
-        candidate.is_some_and(|candidate| candidate.report.lifetime == *lifetime)
+        candidate.is_some_and(|candidate| candidate.report.incarnation == *incarnation)
     }
 
     /// A call that named the candidate was answered, or was not.
-    pub(crate) fn candidate_answered(&mut self, now_ms: u64, call: u64, result: &HoldResult) {
+    pub(crate) fn candidate_answered(&mut self, now_ms: u64, call: u64, result: &ListResult) {
         match result {
-            HoldResult::Listed(listing) if self.is_of_candidate(listing) => {
+            ListResult::Listed(listing) if self.is_of_candidate(listing) => {
                 if let Some(candidate) = self.candidate.take() {
                     self.minion_ended(now_ms, "next life answered");
                     self.adopt(now_ms, candidate.report);
                 }
             }
-            HoldResult::Listed(_) | HoldResult::OtherInstance | HoldResult::Fenced => {
+            ListResult::Listed(_) | ListResult::OtherInstance | ListResult::Fenced => {
                 self.drop_candidate("another lifetime is there");
             }
-            HoldResult::NoAnswer | HoldResult::Broken | HoldResult::Unreached => {
+            ListResult::NoAnswer | ListResult::Broken | ListResult::Unreached => {
                 // It is asked again when that is due.
                 let detail = format!("call={call}");
-                self.note("candidate-unanswered", None, detail);
+                self.event("candidate-unanswered", None, detail);
             }
         }
     }
 
     fn drop_candidate(&mut self, cause: &'static str) {
         if let Some(candidate) = self.candidate.take() {
-            self.note_late_report(&candidate.report.lifetime, cause);
+            self.note_late_report(&candidate.report.incarnation, cause);
         }
     }
 
-    fn note_late_report(&mut self, lifetime: &Lifetime, cause: &'static str) {
-        let detail = format!("life={lifetime} cause={cause}");
-        self.note("late-report-ignored", None, detail);
+    fn note_late_report(&mut self, incarnation: &Incarnation, cause: &'static str) {
+        let detail = format!("life={incarnation} cause={cause}");
+        self.event("late-report-ignored", None, detail);
     }
 
     /// Whether a listing that was asked of the candidate is its own.
@@ -250,10 +250,10 @@
         let Some(candidate) = &self.candidate else {
             return false;
         };
-        let asked = &candidate.report.lifetime;
+        let asked = &candidate.report.incarnation;
         let served = self.minion.as_ref();
-        let is_same_id = served.is_some_and(|minion| minion.report.lifetime.id() == asked.id());
-        match (asked.born_unix_ms(), listing.born_unix_ms) {
+        let is_same_id = served.is_some_and(|minion| minion.report.incarnation.id() == asked.id());
+        match (asked.started_unix_ms(), listing.started_unix_ms) {
             (Some(asked_ms), Some(told_ms)) => asked_ms == told_ms,
             // Where no birth is told, the clock of the life that is served shows
             // whether it has answered: that clock never runs back.
@@ -262,18 +262,19 @@
     }
 
     /// The minion started again under the id of the life that was served.
-    pub(crate) fn minion_reborn(&mut self, now_ms: u64, born_unix_ms: Option<u64>) {
-        self.note(
+    pub(crate) fn minion_reborn(&mut self, now_ms: u64, started_unix_ms: Option<u64>) {
+        self.event(
             "minion-reborn",
             None,
-            format!("born_unix_ms={born_unix_ms:?}"),
+            format!("born_unix_ms={started_unix_ms:?}"),
         );
         self.minion_ended(now_ms, "listing of another life");
         // The time of day may have been set back, so that both have one birth.
         self.ended
-            .take_if(|ended| ended.born_unix_ms() == born_unix_ms);
+            .take_if(|ended| ended.started_unix_ms() == started_unix_ms);
         let is_known = |candidate: &mut Candidate| {
-            candidate.report.lifetime.born_unix_ms() == born_unix_ms && born_unix_ms.is_some()
+            candidate.report.incarnation.started_unix_ms() == started_unix_ms
+                && started_unix_ms.is_some()
         };
         if let Some(candidate) = self.candidate.take_if(is_known) {
             self.adopt(now_ms, candidate.report);
@@ -286,12 +287,13 @@
             return;
         };
         let loss = Loss::of(minion);
-        let lifetime = minion.report.lifetime.clone();
-        let detail = format!("life={lifetime} cause={cause} loss={loss:?}");
-        self.note("minion-replaced", None, detail);
+        let incarnation = minion.report.incarnation.clone();
+        let detail = format!("life={incarnation} cause={cause} loss={loss:?}");
+        self.event("minion-replaced", None, detail);
         self.lose_minion(now_ms, loss);
         // Without a birth, the next life may not differ from it.
-        self.ended = Some(lifetime).filter(|lifetime| lifetime.born_unix_ms().is_some());
+        self.ended =
+            Some(incarnation).filter(|incarnation| incarnation.started_unix_ms().is_some());
     }
 
     /// The minion has seen a higher epoch than ours: from a call that was meant
@@ -303,56 +305,63 @@
             self.epochs.fenced();
             minion.epoch = 0;
             minion.is_clean = false;
-            self.note("epoch-refused", None, String::new());
+            self.event("epoch-refused", None, String::new());
         }
     }
 
     /// A listing was refused for a higher epoch.
-    pub(crate) fn hold_fenced(&mut self, now_ms: u64, call: u64) {
+    pub(crate) fn listing_fenced(&mut self, now_ms: u64, call: u64) {
         let Some(minion) = &mut self.minion else {
             return;
         };
-        minion.judge(now_ms, Contact::Answered);
-        let calls = minion.holds.len();
-        minion.holds.retain(|hold| hold.call != call);
-        if minion.holds.len() < calls {
-            minion.holds.clear();
+        minion.judge(now_ms, CallOutcome::Answered);
+        let calls = minion.pending_listings.len();
+        minion
+            .pending_listings
+            .retain(|pending| pending.call != call);
+        if minion.pending_listings.len() < calls {
+            minion.pending_listings.clear();
             self.epoch_refused();
         }
     }
 
     /// How a run ends with its minion.
-    fn end_with_minion(&self, run: &Run, loss: Loss) -> End {
-        let lifetime = self.lifetime();
-        let may_keep_id = lifetime.is_some_and(|lifetime| lifetime.born_unix_ms().is_some());
+    fn end_with_minion(&self, run: &Run, loss: Loss) -> RunEnd {
+        let incarnation = self.incarnation();
+        let may_keep_id =
+            incarnation.is_some_and(|incarnation| incarnation.started_unix_ms().is_some());
         let crash = match loss {
-            Loss::Crashed => run.crash_sign(),
+            Loss::Crashed => run.crash_evidence(),
             Loss::Gone => None,
         };
         if may_keep_id && run.may_be_of_next_life() {
-            return End::Unsettled { crash };
+            return RunEnd::Unsettled { crash };
         }
-        crash.map_or(End::Lost, End::Crashed)
+        crash.map_or(RunEnd::Lost, RunEnd::Crashed)
     }
 
     /// Keeps a crash for the entries that are greeted next: the one that ordered the run
     /// may be gone.
-    fn keep_crash(&mut self, now_ms: u64, run: &Run, end: End) {
-        if let End::Crashed(sign) | End::Unsettled { crash: Some(sign) } = end {
-            let crash = Crash::now(&run.key, run.order, self.identity.node, sign);
+    fn keep_crash(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
+        if let RunEnd::Crashed(evidence)
+        | RunEnd::Unsettled {
+            crash: Some(evidence),
+        } = end
+        {
+            let crash = Crash::observed(&run.key, run.order, self.identity.node, evidence);
             self.crashes.learn(now_ms, crash);
         }
     }
 
     /// Tells what is known of a run that ended with its minion.
-    fn note_lost_run(&mut self, now_ms: u64, run: &Run, end: End) {
+    fn note_lost_run(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
         let detail = format!(
             "task={}.{} run={} end={end:?} phase={:?} seen={} listed={} cut_off={} pending={} refusal={:?} unanswered={} ran_ms={}",
             run.key.task.step,
             run.key.task.index,
             run.key.run,
             run.phase,
-            run.was_seen,
+            run.was_seen_running,
             run.was_listed,
             run.cut_off_ms.is_some(),
             run.pending,
@@ -360,7 +369,7 @@
             run.unanswered,
             run.ran_ms(now_ms),
         );
-        self.note("run-lost", Some(run.key.task.job.clone()), detail);
+        self.event("run-lost", Some(run.key.task.job.clone()), detail);
     }
 
     /// Nothing that was started runs any more.
--- a/crates/dispatch/src/agent/links.rs
+++ b/crates/dispatch/src/agent/links.rs
@@ -8,13 +8,13 @@
 use crate::AgentAction;
 use crate::AgentFrame;
 use crate::Demand;
-use crate::End;
 use crate::KEEPALIVE_MS;
-use crate::KeptEnd;
 use crate::LinkId;
 use crate::OrderId;
 use crate::Report;
-use crate::Room;
+use crate::Resources;
+use crate::RetainedEnd;
+use crate::RunEnd;
 
 /// Shortest pause between frames that only tell of changed room, in
 /// milliseconds. Room changes about a hundred times a second at full load.
@@ -35,16 +35,16 @@
     pub(crate) is_greeted: bool,
     /// Whether it takes no more starts and ends with its last run.
     pub(crate) is_retiring: bool,
-    pub(crate) starts_seen: u64,
+    pub(crate) starts_received: u64,
     /// When it was last wanted, ran something or had something to tell.
     used_ms: u64,
     reports: Vec<Report>,
     pub(crate) last_sent_ms: u64,
-    last_free: Room,
+    last_free: Resources,
     /// Whether it is to be told of an offer.
     pub(crate) has_offer: bool,
     /// Whether it was last told that starts are admitted.
-    was_open: bool,
+    was_accepting_starts: bool,
     /// What the entry told of its demand.
     pub(crate) demand: Demand,
 }
@@ -63,13 +63,13 @@
             grant_until_ms: now_ms + crate::GRANT_MS,
             is_greeted: false,
             is_retiring: false,
-            starts_seen: 0,
+            starts_received: 0,
             used_ms: now_ms,
             reports: Vec::new(),
             last_sent_ms: now_ms,
-            last_free: Room::default(),
+            last_free: Resources::default(),
             has_offer: false,
-            was_open: false,
+            was_accepting_starts: false,
             demand: Demand::default(),
         };
         self.links.insert(link, state);
@@ -94,7 +94,7 @@
         let extra = extra.filter(|link| !entries.contains(&link.addr) && !link.is_retiring);
         let retired = extra.map(|link| link.is_retiring = true).count();
         if retired > 0 {
-            self.note("links-retired", None, format!("links={retired}"));
+            self.event("links-retired", None, format!("links={retired}"));
         }
     }
 
@@ -104,7 +104,7 @@
         self.keep_ends(now_ms, link);
         let orders = self.runs.orders_of(link);
         if !orders.is_empty() {
-            self.note(
+            self.event(
                 "runs-abandoned",
                 None,
                 format!("cause={cause} runs={}", orders.len()),
@@ -133,7 +133,7 @@
     /// took the word of that run's end with it, and the job was late.
     pub(crate) fn close_retired(&mut self, now_ms: u64) {
         let minion = self.minion.as_ref();
-        let awaits = |link: LinkId| minion.is_some_and(|minion| minion.unsettled.awaits(link));
+        let awaits = |link: LinkId| minion.is_some_and(|minion| minion.retained_ends.awaits(link));
         let has_runs = |link: LinkId| !self.runs.orders_of(link).is_empty() || awaits(link);
         let mut done = Vec::new();
         for (id, link) in &mut self.links {
@@ -152,7 +152,7 @@
     pub(crate) fn expire_link(&mut self, now_ms: u64, link: LinkId) {
         if let Some(state) = self.links.remove(&link) {
             let silent_ms = now_ms.saturating_sub(state.grant_until_ms);
-            self.note(
+            self.event(
                 "grant-expired",
                 None,
                 format!("entry={} late_ms={silent_ms}", state.addr),
@@ -201,7 +201,7 @@
             return;
         }
         let all_free = self.free();
-        let is_open = self.admits(now_ms);
+        let is_accepting_starts = self.admits(now_ms);
         let trial = self.trial_link(now_ms);
         let entries = self.links.len() as u64;
         let news_ms = ROOM_NEWS_MS * entries.div_ceil(ENTRIES_AT_FULL_RATE).max(1);
@@ -212,13 +212,14 @@
             let free = all_free.minus(&self.offers.kept_from(*id));
             let pause_ms = now_ms.saturating_sub(link.last_sent_ms);
             let is_keepalive = pause_ms >= KEEPALIVE_MS;
-            let has_news = free != link.last_free && pause_ms >= news_ms;
-            let is_open = is_open && !link.is_retiring && trial.is_none_or(|trial| trial == *id);
+            let has_free_change = free != link.last_free && pause_ms >= news_ms;
+            let is_accepting_starts =
+                is_accepting_starts && !link.is_retiring && trial.is_none_or(|trial| trial == *id);
             let is_due = !link.reports.is_empty()
-                || has_news
+                || has_free_change
                 || is_keepalive
                 || link.has_offer
-                || link.was_open != is_open;
+                || link.was_accepting_starts != is_accepting_starts;
             if !link.is_greeted || !is_due {
                 continue;
             }
@@ -228,14 +229,14 @@
             }
             link.last_sent_ms = now_ms;
             link.last_free = free;
-            link.was_open = is_open;
+            link.was_accepting_starts = is_accepting_starts;
             let frame = AgentFrame {
                 clock_ms: now_ms,
-                starts_seen: link.starts_seen,
+                starts_received: link.starts_received,
                 free,
                 speed_permille,
-                is_open,
-                is_offer: std::mem::take(&mut link.has_offer),
+                is_accepting_starts,
+                has_offer: std::mem::take(&mut link.has_offer),
                 demand,
                 reports,
             };
@@ -244,13 +245,13 @@
     }
 
     /// Tells the entry how a run ended, if its link is still open.
-    pub(crate) fn report_end(&mut self, link: LinkId, order: OrderId, end: End, ran_ms: u64) {
+    pub(crate) fn report_end(&mut self, link: LinkId, order: OrderId, end: RunEnd, ran_ms: u64) {
         if let Some(state) = self.links.get_mut(&link) {
             state.reports.push(Report::Ended {
                 order,
                 end,
                 ran_ms: u32::try_from(ran_ms).unwrap_or(u32::MAX),
-                kept: None,
+                retained_number: None,
             });
         }
     }
@@ -260,15 +261,19 @@
         &mut self,
         link: LinkId,
         order: OrderId,
-        end: &KeptEnd,
+        end: &RetainedEnd,
         ran_ms: u64,
     ) {
         if let Some(state) = self.links.get_mut(&link) {
             state.reports.push(Report::Ended {
                 order,
-                end: if end.is_done { End::Done } else { End::Failed },
+                end: if end.is_done {
+                    RunEnd::Done
+                } else {
+                    RunEnd::Failed
+                },
                 ran_ms: u32::try_from(ran_ms).unwrap_or(u32::MAX),
-                kept: Some(end.number),
+                retained_number: Some(end.number),
             });
         }
     }
--- a/crates/dispatch/src/agent/listing_calls.rs
+++ b/crates/dispatch/src/agent/listing_calls.rs
@@ -8,14 +8,14 @@
 
 /// Time that a listing may wait for an end, in milliseconds; the lease is
 /// extended at least that often.
-const HOLD_WAIT_MS: u64 = 120;
+const LIST_WAIT_MS: u64 = 120;
 /// Most listings under way at one time: the next one comes soon anyway.
-const HOLD_COPIES: u32 = 4;
+const LIST_COPIES: u32 = 4;
 /// The same while a stopped run is still to be seen gone.
-const HOLD_WAIT_STOPPING_MS: u64 = 15;
+const LIST_WAIT_STOPPING_MS: u64 = 15;
 /// Time past its wait after which a listing counts as unanswered, in
 /// milliseconds; a minion on the same host answers within a few.
-pub(crate) const HOLD_PATIENCE_MS: u64 = 40;
+pub(crate) const LIST_TIMEOUT_MS: u64 = 40;
 /// Time without an answer after which the lease is not extended any more, in
 /// milliseconds: longer than a listing may wait and calls of a third of a second
 /// be lost. The minion is given up when the lease is over.
@@ -23,7 +23,7 @@
 
 /// A listing under way.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct HoldCall {
+pub(crate) struct PendingListing {
     pub(crate) call: u64,
     pub(crate) sent_ms: u64,
     pub(crate) overdue_ms: u64,
@@ -34,10 +34,10 @@
 
 impl Agent {
     /// Lists when there is something to learn and no listing is under way.
-    pub(crate) fn hold_if_due(&mut self, now_ms: u64) {
-        let may_extend = self.may_extend_lease(now_ms);
+    pub(crate) fn list_if_due(&mut self, now_ms: u64) {
+        let may_extend = self.can_extend_lease(now_ms);
         let acknowledgeable = self.acknowledgeable(now_ms);
-        let has_runs = self.runs.has_started();
+        let has_runs = self.runs.has_sent_starts();
         let is_resolving = self
             .runs
             .iter()
@@ -48,21 +48,21 @@
         let has_ends = acknowledgeable.is_some();
         let is_uncertain = !minion.is_clean || minion.is_doubted || !minion.is_answering();
         let is_wanted = has_runs || has_ends || is_uncertain;
-        let copies = minion.loss.copies().min(HOLD_COPIES) as usize;
-        let is_in_time = |hold: &&HoldCall| now_ms < hold.overdue_ms;
-        let waiting = minion.holds.iter().filter(is_in_time).count();
+        let copies = minion.loss.copies().min(LIST_COPIES) as usize;
+        let is_in_time = |pending: &&PendingListing| now_ms < pending.overdue_ms;
+        let waiting = minion.pending_listings.iter().filter(is_in_time).count();
         if !is_wanted || waiting >= copies || minion.has_left || now_ms < minion.ask_ms {
             return;
         }
-        let are_in_time = waiting == minion.holds.len();
+        let are_in_time = waiting == minion.pending_listings.len();
         let wait_ms = match (has_runs, is_resolving, are_in_time) {
-            (true, false, true) => HOLD_WAIT_MS,
-            (true, true, true) => HOLD_WAIT_STOPPING_MS,
+            (true, false, true) => LIST_WAIT_MS,
+            (true, true, true) => LIST_WAIT_STOPPING_MS,
             _ => 0,
         };
         // A minion that is gone would keep its runs for ever with its lease.
-        let is_silent = now_ms > minion.answered_ms + LEASED_SILENCE_MS;
-        let is_leased = has_runs && may_extend && minion.epoch > 0 && !is_silent;
+        let is_unanswered = now_ms > minion.answered_ms + LEASED_SILENCE_MS;
+        let is_leased = has_runs && may_extend && minion.epoch > 0 && !is_unanswered;
         let deadline_ms = is_leased.then(|| minion.extend_lease(now_ms));
         for _ in waiting..copies {
             self.ask_listing(now_ms, deadline_ms, wait_ms);
@@ -71,7 +71,7 @@
 
     /// The last end that may be acknowledged now, if there is one.
     fn acknowledgeable(&self, now_ms: u64) -> Option<u64> {
-        if self.late_calls.until_ms(now_ms).is_some() {
+        if self.delayed_calls.until_ms(now_ms).is_some() {
             return None;
         }
         self.minion.as_ref().and_then(Minion::acknowledgeable)
@@ -86,16 +86,16 @@
         };
         let call = self.next_call;
         self.next_call += 1;
-        minion.holds.push(HoldCall {
+        minion.pending_listings.push(PendingListing {
             call,
             sent_ms: now_ms,
-            overdue_ms: now_ms + wait_ms + HOLD_PATIENCE_MS,
+            overdue_ms: now_ms + wait_ms + LIST_TIMEOUT_MS,
             waits: wait_ms > 0,
             acknowledged_through,
         });
-        self.actions.push(AgentAction::Hold {
+        self.actions.push(AgentAction::List {
             call,
-            lifetime: minion.report.lifetime.clone(),
+            incarnation: minion.report.incarnation.clone(),
             epoch: minion.epoch,
             acknowledged_through,
             deadline_ms,
--- a/crates/dispatch/src/agent/listings.rs
+++ b/crates/dispatch/src/agent/listings.rs
@@ -1,20 +1,20 @@
 //! What a minion lists, compared with what should run there.
 
+use crate::ActiveRun;
 use crate::Agent;
-use crate::Busy;
-use crate::End;
-use crate::HoldResult;
-use crate::Lifetime;
+use crate::Incarnation;
 use crate::LinkId;
+use crate::ListResult;
 use crate::Listing;
+use crate::NotStartedReason;
 use crate::OrderId;
+use crate::RunEnd;
 use crate::RunKey;
-use crate::Running;
 use crate::agent::minion::STOP_RETRY_MS;
 use crate::agent::retained_ends::stored_end;
 use crate::agent::run_table::Phase;
 use crate::agent::run_table::Run;
-use crate::minion_calls::Contact;
+use crate::minion_calls::CallOutcome;
 
 /// First and longest pause before the minion is asked again after a call
 /// without an answer, in milliseconds.
@@ -29,7 +29,7 @@
 const KEPT_PAUSE_MS: u64 = 8;
 /// Most ends that a minion lists; of later ones nothing is known until some are
 /// acknowledged.
-pub(crate) const ENDS_LISTED: usize = 500;
+pub(crate) const MAX_LISTED_ENDS: usize = 500;
 /// Time that a listing may have been on its way to tell of runs that stand still,
 /// in milliseconds: when the agent's host stood still for a while, it takes an old
 /// listing for a present one.
@@ -39,40 +39,50 @@
 
 impl Agent {
     /// A call that lists the minion's runs ended.
-    pub fn listed(&mut self, now_ms: u64, lifetime: &Lifetime, call: u64, result: HoldResult) {
-        if self.is_candidate(lifetime) {
+    pub fn listed(
+        &mut self,
+        now_ms: u64,
+        incarnation: &Incarnation,
+        call: u64,
+        result: ListResult,
+    ) {
+        if self.is_candidate(incarnation) {
             self.candidate_answered(now_ms, call, &result);
             return;
         }
-        if !self.serves(lifetime) {
+        if !self.serves(incarnation) {
             return;
         }
-        let is_broken = result == HoldResult::Broken;
-        let (contact, listing) = match result {
-            HoldResult::Listed(listing) => (Contact::Answered, Some(listing)),
-            HoldResult::Unreached => (Contact::Refused, None),
-            HoldResult::NoAnswer | HoldResult::Broken => (Contact::Silent, None),
-            HoldResult::OtherInstance => {
+        let is_broken = result == ListResult::Broken;
+        let (call_outcome, listing) = match result {
+            ListResult::Listed(listing) => (CallOutcome::Answered, Some(listing)),
+            ListResult::Unreached => (CallOutcome::Refused, None),
+            ListResult::NoAnswer | ListResult::Broken => (CallOutcome::Unanswered, None),
+            ListResult::OtherInstance => {
                 self.minion_ended(now_ms, "other id");
                 return;
             }
-            HoldResult::Fenced => {
-                self.hold_fenced(now_ms, call);
+            ListResult::Fenced => {
+                self.listing_fenced(now_ms, call);
                 return;
             }
         };
-        if contact == Contact::Silent {
-            self.late_calls.lost_call();
+        if call_outcome == CallOutcome::Unanswered {
+            self.delayed_calls.call_unanswered();
         }
         let Some(minion) = &mut self.minion else {
             return;
         };
-        minion.judge(now_ms, contact);
-        let position = minion.holds.iter().position(|hold| hold.call == call);
-        let Some(hold) = position.map(|position| minion.holds.remove(position)) else {
+        minion.judge(now_ms, call_outcome);
+        let position = minion
+            .pending_listings
+            .iter()
+            .position(|pending| pending.call == call);
+        let Some(pending) = position.map(|position| minion.pending_listings.remove(position))
+        else {
             return;
         };
-        if is_broken && hold.waits {
+        if is_broken && pending.waits {
             self.runs.cut_off(now_ms);
         }
         let Some(listing) = listing else {
@@ -87,39 +97,45 @@
         };
         let pause_ms = if minion.loss.copies() > 1 {
             PAUSE_MS
-        } else if minion.unsettled.is_empty() {
+        } else if minion.retained_ends.is_empty() {
             0
         } else {
             // The minion lists what it keeps at once, whatever the wait.
             KEPT_PAUSE_MS
         };
-        if minion.is_of_another_life(hold.sent_ms, &listing) {
-            self.minion_reborn(now_ms, listing.born_unix_ms);
+        if minion.is_of_another_life(pending.sent_ms, &listing) {
+            self.minion_reborn(now_ms, listing.started_unix_ms);
             return;
         }
         let made_ms = now_ms.saturating_sub(minion.lag_ms(now_ms, listing.clock_ms));
-        self.runs.answered(made_ms.max(hold.sent_ms));
+        self.runs.answered(made_ms.max(pending.sent_ms));
         minion.ask_ms = now_ms + pause_ms;
         minion.is_doubted = false;
-        minion.holds.retain(|other| other.sent_ms > hold.sent_ms);
+        minion
+            .pending_listings
+            .retain(|other| other.sent_ms > pending.sent_ms);
         let is_fresh = minion.lag_ms(now_ms, listing.clock_ms) <= FRESH_MS;
         minion.read_clock(now_ms, listing.clock_ms);
         if minion.epoch == 0 {
-            let epoch = self.epochs.next(&minion.report.lifetime, listing.clock_ms);
+            let epoch = self
+                .epochs
+                .next(&minion.report.incarnation, listing.clock_ms);
             minion.epoch = epoch;
-            self.note("epoch-taken", None, format!("epoch={epoch}"));
-            self.hold_if_due(now_ms);
+            self.event("epoch-taken", None, format!("epoch={epoch}"));
+            self.list_if_due(now_ms);
             return;
         }
         self.epochs.accepted();
-        if !minion.is_clean && lifetime.born_unix_ms().is_some() {
+        if !minion.is_clean && incarnation.started_unix_ms().is_some() {
             let longest_ms = self.longest_lease_ms;
-            minion.unsettled.inherit_lease(now_ms, longest_ms);
+            minion.retained_ends.inherit_lease(now_ms, longest_ms);
         }
-        minion.acknowledged_through = minion.acknowledged_through.max(hold.acknowledged_through);
+        minion.acknowledged_through = minion
+            .acknowledged_through
+            .max(pending.acknowledged_through);
         self.take_ends(now_ms, &listing);
-        self.take_running(now_ms, hold.sent_ms, &listing);
-        self.minion_checked(now_ms, hold.sent_ms);
+        self.take_running(now_ms, pending.sent_ms, &listing);
+        self.minion_checked(now_ms, pending.sent_ms);
         if is_fresh {
             self.watch_stalls(now_ms);
         }
@@ -127,22 +143,22 @@
 
     pub(crate) fn take_ends(&mut self, now_ms: u64, listing: &Listing) {
         let mut offered = Vec::new();
-        for finished in &listing.finished {
+        for ended in &listing.ended {
             let Some(minion) = &mut self.minion else {
                 break;
             };
-            if finished.number <= minion.finished_through {
+            if ended.number <= minion.finished_through {
                 continue;
             }
-            minion.finished_through = finished.number;
-            let place = finished.key.as_ref().and_then(|key| self.runs.find(key));
-            let kept = stored_end(finished);
+            minion.finished_through = ended.number;
+            let place = ended.key.as_ref().and_then(|key| self.runs.find(key));
+            let kept = stored_end(ended);
             let linked = place.filter(|(link, _)| self.links.contains_key(link));
             match (&kept, linked) {
-                (Some(end), Some((link, _))) => minion.unsettled.tell(link, end.clone()),
+                (Some(end), Some((link, _))) => minion.retained_ends.tell(link, end.clone()),
                 (Some(end), None) => {
                     // It was started for an entry that is gone, or by an agent.
-                    minion.unsettled.keep(now_ms, end.clone());
+                    minion.retained_ends.keep(now_ms, end.clone());
                     offered.push(end.clone());
                 }
                 (None, _) => {}
@@ -151,14 +167,14 @@
                 continue;
             };
             if let Some(mut run) = self.runs.remove(link, order) {
-                self.judge_minion(now_ms, &run, finished.end);
-                if finished.end == End::Done {
+                self.judge_minion(now_ms, &run, ended.end);
+                if ended.end == RunEnd::Done {
                     let (done_ms, spent_ms) = run.advance(now_ms, ALL_DONE);
                     self.pace.add(now_ms, done_ms, spent_ms);
                 }
                 match kept {
                     Some(end) => self.report_kept_end(link, order, &end, run.ran_ms(now_ms)),
-                    None => self.report_end(link, order, finished.end, run.ran_ms(now_ms)),
+                    None => self.report_end(link, order, ended.end, run.ran_ms(now_ms)),
                 }
             }
         }
@@ -166,13 +182,13 @@
     }
 
     /// Notes whether an end speaks for or against the minion.
-    fn judge_minion(&mut self, now_ms: u64, run: &Run, end: End) {
+    fn judge_minion(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
         match end {
-            End::Done => self.breaker.succeeded(run.started_ms),
-            End::Failed => {
+            RunEnd::Done => self.breaker.succeeded(run.started_ms),
+            RunEnd::Failed => {
                 let job = &run.key.task.job;
                 if self.breaker.failed(now_ms, job, run.started_ms) {
-                    self.note("minion-failing", Some(job.clone()), String::new());
+                    self.event("minion-failing", Some(job.clone()), String::new());
                 }
             }
             _ => {}
@@ -183,14 +199,14 @@
     /// only if it was asked for after the run's last answer.
     pub(crate) fn take_running(&mut self, now_ms: u64, asked_ms: u64, listing: &Listing) {
         let mut gone = Vec::new();
-        let is_whole = listing.finished.len() < ENDS_LISTED;
+        let is_whole = listing.ended.len() < MAX_LISTED_ENDS;
         for run in self.runs.iter_mut() {
             let listed = listing
                 .running
                 .iter()
                 .find(|row| row.key.as_ref() == Some(&run.key));
             if let Some(row) = listed {
-                run.was_seen = true;
+                run.was_seen_running = true;
                 run.was_listed = true;
                 let (done_ms, spent_ms) = run.advance(now_ms, row.percent);
                 self.pace.add(now_ms, done_ms, spent_ms);
@@ -213,17 +229,17 @@
             return;
         };
         let end = match run.phase {
-            Phase::Running => End::Lost,
-            _ if run.was_seen => End::Stopped,
-            _ if run.unanswered > 0 => End::NotStarted(Busy::NoAnswer),
-            _ => End::Stopped,
+            Phase::Running => RunEnd::Lost,
+            _ if run.was_seen_running => RunEnd::Stopped,
+            _ if run.unanswered > 0 => RunEnd::NotStarted(NotStartedReason::NoAnswer),
+            _ => RunEnd::Stopped,
         };
         self.report_end(link, order, end, run.ran_ms(now_ms));
     }
 
     /// Stops what an earlier agent left on the minion, and begins to serve
     /// when nothing of it is listed any more.
-    pub(crate) fn stop_strangers(&mut self, now_ms: u64, running: &[Running]) {
+    pub(crate) fn stop_strangers(&mut self, now_ms: u64, running: &[ActiveRun]) {
         let is_known = |key: &RunKey| self.runs.find(key).is_some();
         let keys = running.iter().filter_map(|row| row.key.clone());
         let strangers: Vec<RunKey> = keys.filter(|key| !is_known(key)).collect();
@@ -232,7 +248,7 @@
         };
         if strangers.is_empty() && !minion.is_clean {
             minion.is_clean = true;
-            self.note("minion-served", None, String::new());
+            self.event("minion-served", None, String::new());
             self.greet_links(now_ms);
             return;
         }
@@ -246,7 +262,7 @@
             .leftovers
             .extend(due.iter().map(|key| (key.clone(), now_ms)));
         for key in due {
-            self.note(
+            self.event(
                 "leftover-stopped",
                 Some(key.task.job.clone()),
                 format!("run={}", key.run),
--- a/crates/dispatch/src/agent/minion.rs
+++ b/crates/dispatch/src/agent/minion.rs
@@ -5,23 +5,23 @@
 use crate::AgentHello;
 use crate::AgentIdentity;
 use crate::Crash;
-use crate::Lifetime;
+use crate::Incarnation;
 use crate::LinkId;
 use crate::Listing;
 use crate::MINION_LEASE_MS;
 use crate::MinionReport;
 use crate::OrderId;
-use crate::Room;
+use crate::Resources;
 use crate::RunKey;
 use crate::agent::call_loss::CallLoss;
 use crate::agent::incarnations::Candidate;
 use crate::agent::incarnations::Loss;
-use crate::agent::listing_calls::HOLD_PATIENCE_MS;
-use crate::agent::listing_calls::HoldCall;
-use crate::agent::retained_ends::UnsettledEnds;
+use crate::agent::listing_calls::LIST_TIMEOUT_MS;
+use crate::agent::listing_calls::PendingListing;
+use crate::agent::retained_ends::RetainedEnds;
 use crate::agent::run_table::Phase;
-use crate::lease::STOP_PATIENCE_MS;
-use crate::minion_calls::Contact;
+use crate::lease::STOP_TIMEOUT_MS;
+use crate::minion_calls::CallOutcome;
 
 /// Pause before a stop without an answer is sent again, in milliseconds.
 pub(crate) const STOP_RETRY_MS: u64 = 60;
@@ -65,7 +65,7 @@
     pub(crate) has_left: bool,
     /// Whether a departure was told that may have been an earlier life's.
     pub(crate) is_doubted: bool,
-    pub(crate) holds: Vec<HoldCall>,
+    pub(crate) pending_listings: Vec<PendingListing>,
     /// Calls in a row without an answer.
     pub(crate) unanswered: u32,
     /// Connections in a row that were refused.
@@ -76,7 +76,7 @@
     /// When it may be asked again.
     pub(crate) ask_ms: u64,
     pub(crate) leftovers: Vec<(RunKey, u64)>,
-    pub(crate) unsettled: UnsettledEnds,
+    pub(crate) retained_ends: RetainedEnds,
 }
 
 impl Minion {
@@ -94,18 +94,18 @@
             is_clean: false,
             has_left: false,
             is_doubted: false,
-            holds: Vec::new(),
+            pending_listings: Vec::new(),
             unanswered: 0,
             refused_in_a_row: 0,
             judged_ms: now_ms,
             loss: CallLoss::default(),
             ask_ms: now_ms,
             leftovers: Vec::new(),
-            unsettled: UnsettledEnds::new(now_ms),
+            retained_ends: RetainedEnds::new(now_ms),
         }
     }
 
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn is_accepting_starts(&self) -> bool {
         let is_staying = !self.is_leaving() && !self.is_doubted;
         self.is_clean && is_staying && self.is_answering() && self.has_room_for_ends()
     }
@@ -123,8 +123,8 @@
     pub(crate) fn is_of_another_life(&self, sent_ms: u64, listing: &Listing) -> bool {
         let is_later = listing.clock_ms > 0 && sent_ms > self.clock_read_ms;
         let has_run_back = is_later && listing.clock_ms < self.clock_ms;
-        let lifetime = &self.report.lifetime;
-        has_run_back || !lifetime.may_have_answered(listing.born_unix_ms)
+        let incarnation = &self.report.incarnation;
+        has_run_back || !incarnation.can_be_from(listing.started_unix_ms)
     }
 
     /// Whether calls are answered: some may stay without an answer by chance,
@@ -135,8 +135,8 @@
     }
 
     /// Notes what became of a call.
-    pub(crate) fn judge(&mut self, now_ms: u64, contact: Contact) {
-        let is_answered = contact == Contact::Answered;
+    pub(crate) fn judge(&mut self, now_ms: u64, call_outcome: CallOutcome) {
+        let is_answered = call_outcome == CallOutcome::Answered;
         self.loss.note(is_answered);
         self.judged_ms = now_ms;
         if is_answered {
@@ -145,9 +145,9 @@
         } else {
             self.unanswered += 1;
         }
-        self.refused_in_a_row = match contact {
-            Contact::Refused => self.refused_in_a_row + 1,
-            Contact::Answered | Contact::Silent => 0,
+        self.refused_in_a_row = match call_outcome {
+            CallOutcome::Refused => self.refused_in_a_row + 1,
+            CallOutcome::Answered | CallOutcome::Unanswered => 0,
         };
     }
 
@@ -166,7 +166,7 @@
         self.is_clean
     }
 
-    pub(crate) fn capacity(&self) -> Room {
+    pub(crate) fn capacity(&self) -> Resources {
         self.report.capacity
     }
 
@@ -184,15 +184,15 @@
             labels: self.report.labels.clone(),
             capacity: self.report.capacity,
             clock_ms: now_ms,
-            kept: self.unsettled.offered(),
+            retained_ends: self.retained_ends.offered(),
             crashes,
-            life: self.report.lifetime.to_string().into(),
+            incarnation: self.report.incarnation.to_string().into(),
         }
     }
 
     /// The last end that may be acknowledged, if it is not yet.
     pub(crate) fn acknowledgeable(&self) -> Option<u64> {
-        let through = self.unsettled.acknowledgeable(self.finished_through);
+        let through = self.retained_ends.acknowledgeable(self.finished_through);
         (through > self.acknowledged_through).then_some(through)
     }
 
@@ -223,9 +223,9 @@
 impl Agent {
     /// Whether the lease may be extended: not while a stop has no answer, and
     /// not while it must lapse.
-    pub(crate) fn may_extend_lease(&self, now_ms: u64) -> bool {
+    pub(crate) fn can_extend_lease(&self, now_ms: u64) -> bool {
         let minion = self.minion.as_ref();
-        if minion.is_some_and(|minion| minion.unsettled.needs_lapse()) {
+        if minion.is_some_and(|minion| minion.retained_ends.needs_lapse()) {
             return false;
         }
         !self.runs.iter().any(|run| match run.phase {
@@ -233,7 +233,7 @@
                 since_ms,
                 acked_ms: None,
                 ..
-            } => now_ms > since_ms + STOP_PATIENCE_MS,
+            } => now_ms > since_ms + STOP_TIMEOUT_MS,
             _ => false,
         })
     }
@@ -256,7 +256,7 @@
     pub(crate) fn send_stop(&mut self, key: RunKey) {
         if let Some(minion) = &self.minion {
             let stop = AgentAction::Stop {
-                lifetime: minion.report.lifetime.clone(),
+                incarnation: minion.report.incarnation.clone(),
                 key,
                 epoch: minion.epoch,
             };
@@ -266,8 +266,14 @@
     }
 
     /// The minion answered a stop, or did not.
-    pub fn stop_answered(&mut self, now_ms: u64, lifetime: &Lifetime, key: &RunKey, is_done: bool) {
-        if !self.serves(lifetime) || !is_done {
+    pub fn stop_answered(
+        &mut self,
+        now_ms: u64,
+        incarnation: &Incarnation,
+        key: &RunKey,
+        is_done: bool,
+    ) {
+        if !self.serves(incarnation) || !is_done {
             return;
         }
         let Some((link, order)) = self.runs.find(key) else {
@@ -287,22 +293,22 @@
         let Some(minion) = &self.minion else {
             return;
         };
-        let is_silent = now_ms > minion.answered_ms + SILENCE_MS;
-        let has_runs = self.runs.has_started();
+        let is_unanswered = now_ms > minion.answered_ms + SILENCE_MS;
+        let has_runs = self.runs.has_sent_starts();
         let is_over = now_ms > minion.lease_until_ms;
         let has_reports = now_ms <= minion.reported_ms + REPORTS_LOST_MS;
         if minion.is_gone() {
             // Its lease need not lapse first.
             let loss = Loss::of(minion);
-            self.note("minion-refuses", None, format!("loss={loss:?}"));
+            self.event("minion-refuses", None, format!("loss={loss:?}"));
             self.lose_minion(now_ms, loss);
         } else if is_over && minion.has_left {
             self.lose_minion(now_ms, Loss::Gone);
-        } else if is_over && is_silent && has_runs {
-            self.note("minion-silent", None, String::new());
+        } else if is_over && is_unanswered && has_runs {
+            self.event("minion-silent", None, String::new());
             self.lose_minion(now_ms, Loss::Gone);
         } else if !has_reports && !has_runs {
-            self.note("minion-unreported", None, String::new());
+            self.event("minion-unreported", None, String::new());
             self.lose_minion(now_ms, Loss::Gone);
         }
     }
@@ -331,8 +337,12 @@
         let Some(minion) = &self.minion else {
             return candidate_ms;
         };
-        let holds_ms = minion.holds.iter().map(|hold| hold.overdue_ms).min();
-        let has_runs = self.runs.has_started();
+        let listings_ms = minion
+            .pending_listings
+            .iter()
+            .map(|pending| pending.overdue_ms)
+            .min();
+        let has_runs = self.runs.has_sent_starts();
         let lease_ms = (has_runs || minion.has_left).then_some(minion.lease_until_ms + 1);
         let reports_ms = Some(minion.reported_ms + REPORTS_LOST_MS + 1);
         let stops = self.runs.iter().filter_map(|run| match run.phase {
@@ -347,10 +357,10 @@
         let next_copy = |run| Self::next_copy_ms(minion, run);
         let copies_ms = self.runs.iter().filter_map(next_copy).min();
         let ask_ms = Some(minion.ask_ms);
-        let ends_ms = minion.unsettled.due_ms(minion.lease_until_ms);
+        let ends_ms = minion.retained_ends.due_ms(minion.lease_until_ms);
         let stops_ms = stops.min();
         let times = [
-            holds_ms,
+            listings_ms,
             lease_ms,
             reports_ms,
             stops_ms,
@@ -360,13 +370,13 @@
             candidate_ms,
             ends_ms,
             self.check_due_ms(),
-            self.late_calls.until_ms(now_ms),
+            self.delayed_calls.until_ms(now_ms),
         ];
         let due_ms = times
             .into_iter()
             .flatten()
             .filter(|due_ms| *due_ms > now_ms)
             .min();
-        due_ms.or(Some(now_ms + HOLD_PATIENCE_MS))
+        due_ms.or(Some(now_ms + LIST_TIMEOUT_MS))
     }
 }
--- a/crates/dispatch/src/agent/mod.rs
+++ b/crates/dispatch/src/agent/mod.rs
@@ -29,23 +29,23 @@
 
 use crate::AgentFrame;
 use crate::AgentHello;
-use crate::Busy;
-use crate::CrashBook;
-use crate::End;
 use crate::EntryFrame;
 use crate::Evacuations;
+use crate::Incarnation;
 use crate::KEEPALIVE_MS;
-use crate::Lifetime;
+use crate::KnownCrashes;
 use crate::LinkId;
 use crate::MINION_LEASE_MS;
+use crate::NotStartedReason;
 use crate::Order;
 use crate::OrderId;
-use crate::Room;
+use crate::Resources;
+use crate::RunEnd;
 use crate::RunKey;
 use crate::StartOrder;
 use crate::agent::breaker::Breaker;
 use crate::agent::breaker::BreakerState;
-use crate::agent::delayed_calls::LateCalls;
+use crate::agent::delayed_calls::DelayedCalls;
 use crate::agent::epochs::Epochs;
 use crate::agent::incarnations::Candidate;
 use crate::agent::links::Link;
@@ -74,7 +74,7 @@
     /// Start a run; the result goes to [`Agent::start_answered`].
     Start {
         /// The minion's lifetime.
-        lifetime: Lifetime,
+        incarnation: Incarnation,
         /// The run.
         key: RunKey,
         /// Text for the task.
@@ -87,18 +87,18 @@
     /// Stop a run, or forbid it; the result goes to [`Agent::stop_answered`].
     Stop {
         /// The minion's lifetime.
-        lifetime: Lifetime,
+        incarnation: Incarnation,
         /// The run.
         key: RunKey,
         /// The agent's epoch.
         epoch: u64,
     },
     /// Extend the lease and list; the result goes to [`Agent::listed`].
-    Hold {
+    List {
         /// Number of the call.
         call: u64,
         /// The minion's lifetime.
-        lifetime: Lifetime,
+        incarnation: Incarnation,
         /// The agent's epoch; 0 to learn the clock only.
         epoch: u64,
         /// Ends up to this number may be forgotten.
@@ -117,12 +117,12 @@
     /// Connect to these entries as well.
     Entries(Vec<SocketAddr>),
     /// Something for the log and the counters.
-    Note(AgentNote),
+    Event(AgentEvent),
 }
 
 /// Something worth a line in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AgentNote {
+pub struct AgentEvent {
     /// Name of the event; each has one meaning.
     pub event: &'static str,
     /// The job that it is about, if it is about one.
@@ -139,11 +139,11 @@
     pub(crate) candidate: Option<Candidate>,
     /// The life that was shown to have ended last: a late report of it is not
     /// taken for a minion.
-    pub(crate) ended: Option<Lifetime>,
+    pub(crate) ended: Option<Incarnation>,
     pub(crate) epochs: Epochs,
-    pub(crate) late_calls: LateCalls,
+    pub(crate) delayed_calls: DelayedCalls,
     /// Crashes of the minion, to tell the entries that are greeted.
-    pub(crate) crashes: CrashBook,
+    pub(crate) crashes: KnownCrashes,
     /// Longest lease that the minion grants, in milliseconds.
     pub(crate) longest_lease_ms: u64,
     pub(crate) runs: RunTable,
@@ -168,8 +168,8 @@
             candidate: None,
             ended: None,
             epochs: Epochs::default(),
-            late_calls: LateCalls::default(),
-            crashes: CrashBook::default(),
+            delayed_calls: DelayedCalls::default(),
+            crashes: KnownCrashes::default(),
             longest_lease_ms: MINION_LEASE_MS,
             runs: RunTable::default(),
             links: BTreeMap::new(),
@@ -199,18 +199,21 @@
 
     /// Whether starts are admitted.
     #[must_use]
-    pub fn is_open(&self) -> bool {
+    pub fn is_accepting_starts(&self) -> bool {
         !self.is_stopping
             && !self.is_evacuated()
-            && self.minion.as_ref().is_some_and(Minion::is_open)
+            && self
+                .minion
+                .as_ref()
+                .is_some_and(Minion::is_accepting_starts)
     }
 
     /// Whether a planned stop may end the process now.
     #[must_use]
     pub fn may_stop(&self) -> bool {
         let minion = self.minion.as_ref();
-        let is_settled = minion.is_none_or(|minion| minion.unsettled.is_empty());
-        self.is_stopping && self.runs.is_empty() && is_settled
+        let has_no_retained_ends = minion.is_none_or(|minion| minion.retained_ends.is_empty());
+        self.is_stopping && self.runs.is_empty() && has_no_retained_ends
     }
 
     /// Runs that take room on the minion.
@@ -234,13 +237,13 @@
             match order {
                 Order::Start(start) => self.start_ordered(now_ms, link, start),
                 Order::Probe(probe) => self.offers.probed(now_ms, link, &probe),
-                Order::Pardon(job) => self.breaker.pardon(&job),
-                Order::Decline => self.offers.close(link),
+                Order::DiscountFailures(job) => self.breaker.discount_failures(&job),
+                Order::DeclineOffer => self.offers.close(link),
                 Order::Stop(order) => self.stop_ordered(now_ms, link, order),
-                Order::Settled(number, settlement) => {
-                    self.end_settled(now_ms, number, settlement);
+                Order::Disposition(number, disposition) => {
+                    self.apply_disposition(now_ms, number, disposition);
                 }
-                Order::Evacuations(newer) => self.told_evacuations(&newer),
+                Order::Evacuations(newer) => self.apply_evacuations(&newer),
                 Order::Entries(entries) => self.actions.push(AgentAction::Entries(entries)),
             }
         }
@@ -254,7 +257,7 @@
     /// Does what is due; returns when to call again at the latest.
     pub fn tick(&mut self, now_ms: u64) -> u64 {
         self.watch_ends(now_ms);
-        self.late_calls.expire(now_ms);
+        self.delayed_calls.expire(now_ms);
         self.crashes.expire(now_ms);
         self.expire_links(now_ms);
         self.close_retired(now_ms);
@@ -264,7 +267,7 @@
         self.copy_starts(now_ms);
         self.offer_room(now_ms);
         self.greet_links(now_ms);
-        self.hold_if_due(now_ms);
+        self.list_if_due(now_ms);
         self.check_minion(now_ms);
         self.send_frames(now_ms);
         self.next_due_ms(now_ms)
@@ -297,21 +300,26 @@
     fn start_ordered(&mut self, now_ms: u64, link: LinkId, start: StartOrder) {
         let mut is_retiring = false;
         if let Some(state) = self.links.get_mut(&link) {
-            state.starts_seen += 1;
+            state.starts_received += 1;
             is_retiring = state.is_retiring;
         }
         let order = start.id;
         if !self.admits(now_ms) || is_retiring {
             self.note_evacuated_start(&start);
-            self.report_end(link, order, End::NotStarted(Busy::Closing), 0);
+            self.report_end(
+                link,
+                order,
+                RunEnd::NotStarted(NotStartedReason::Closing),
+                0,
+            );
             return;
         }
         let run = Run::new(now_ms, link, start);
-        let has_room = self.free_for(link).holds(&run.needs);
+        let has_room = self.free_for(link).can_fit(&run.needs);
         let is_alone = !run.is_suspect || !self.runs.has_suspect_beside(&run.key.task.job);
         let is_free = has_room && is_alone && !self.runs.is_task_active(&run.key);
-        if !is_free || !self.may_extend_lease(now_ms) {
-            self.report_end(link, order, End::NotStarted(Busy::Full), 0);
+        if !is_free || !self.can_extend_lease(now_ms) {
+            self.report_end(link, order, RunEnd::NotStarted(NotStartedReason::Full), 0);
             return;
         }
         self.offers.close(link);
@@ -329,20 +337,20 @@
     }
 
     /// Room that no run takes.
-    pub(crate) fn free(&self) -> Room {
+    pub(crate) fn free(&self) -> Resources {
         let capacity = self.minion.as_ref().map(Minion::capacity);
         capacity.unwrap_or_default().minus(&self.runs.taken())
     }
 
     /// The same without what is kept for other entries.
-    pub(crate) fn free_for(&self, link: LinkId) -> Room {
+    pub(crate) fn free_for(&self, link: LinkId) -> Resources {
         self.free().minus(&self.offers.kept_from(link))
     }
 
     /// Offers the room that is free to entries whose tasks wait.
     fn offer_room(&mut self, now_ms: u64) {
         let is_sound = self.breaker.state(now_ms) == BreakerState::Closed;
-        if !is_sound || !self.is_open() {
+        if !is_sound || !self.is_accepting_starts() {
             self.offers.clear();
             return;
         }
@@ -355,7 +363,7 @@
 
     /// Whether a start is admitted now, as far as the minion's health goes.
     pub(crate) fn admits(&self, now_ms: u64) -> bool {
-        self.is_open()
+        self.is_accepting_starts()
             && match self.breaker.state(now_ms) {
                 BreakerState::Closed => true,
                 BreakerState::Open => false,
@@ -365,8 +373,8 @@
             }
     }
 
-    pub(crate) fn note(&mut self, event: &'static str, job: Option<Name>, detail: String) {
+    pub(crate) fn event(&mut self, event: &'static str, job: Option<Name>, detail: String) {
         self.actions
-            .push(AgentAction::Note(AgentNote { event, job, detail }));
+            .push(AgentAction::Event(AgentEvent { event, job, detail }));
     }
 }
--- a/crates/dispatch/src/agent/offers.rs
+++ b/crates/dispatch/src/agent/offers.rs
@@ -7,14 +7,14 @@
 
 use crate::LinkId;
 use crate::Probe;
-use crate::Room;
+use crate::Resources;
 
 /// Time for which an entry may use an offer, in milliseconds: two messages
 /// between availability zones and a slow process.
 const OFFER_MS: u64 = 10;
 /// Time for which a probe counts, in milliseconds. An entry whose task still
 /// waits probes other agents after that, so a lost probe does little harm.
-pub(crate) const PROBE_MS: u64 = 60;
+pub(crate) const PROBE_TTL_MS: u64 = 60;
 
 /// Probes that wait for room, and offers that wait for a start.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 struct WaitingProbe {
     link: LinkId,
-    needs: Room,
+    needs: Resources,
     tasks: u32,
     due_ms: u64,
     until_ms: u64,
@@ -35,9 +35,9 @@
 
 impl WaitingProbe {
     /// Room for as many of the tasks as fit, which are then served.
-    fn take(&mut self, mut left: Room) -> Room {
-        let mut taken = Room::default();
-        while self.tasks > 0 && left.holds(&self.needs) {
+    fn take(&mut self, mut left: Resources) -> Resources {
+        let mut taken = Resources::default();
+        while self.tasks > 0 && left.can_fit(&self.needs) {
             left = left.minus(&self.needs);
             taken = taken.plus(&self.needs);
             self.tasks -= 1;
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Offer {
     link: LinkId,
-    room: Room,
+    resources: Resources,
     until_ms: u64,
 }
 
@@ -62,7 +62,7 @@
             needs: probe.needs,
             tasks: probe.tasks,
             due_ms: now_ms + u64::from(probe.slack_ms),
-            until_ms: now_ms + PROBE_MS,
+            until_ms: now_ms + PROBE_TTL_MS,
         });
         self.waiting.sort_by_key(|probe| probe.due_ms);
     }
@@ -91,25 +91,25 @@
     }
 
     /// Offers free room, the most urgent probe first; returns whom to tell.
-    pub(crate) fn make(&mut self, now_ms: u64, free: Room) -> Vec<LinkId> {
+    pub(crate) fn make(&mut self, now_ms: u64, free: Resources) -> Vec<LinkId> {
         self.expire(now_ms);
         let mut left = self
             .open
             .iter()
-            .fold(free, |left, offer| left.minus(&offer.room));
+            .fold(free, |left, offer| left.minus(&offer.resources));
         let mut told = Vec::new();
         for probe in &mut self.waiting {
             if self.open.iter().any(|offer| offer.link == probe.link) {
                 continue;
             }
-            let room = probe.take(left);
-            if room == Room::default() {
+            let resources = probe.take(left);
+            if resources == Resources::default() {
                 continue;
             }
-            left = left.minus(&room);
+            left = left.minus(&resources);
             self.open.push(Offer {
                 link: probe.link,
-                room,
+                resources,
                 until_ms: now_ms + OFFER_MS,
             });
             told.push(probe.link);
@@ -119,9 +119,11 @@
     }
 
     /// Room that is kept for other entries.
-    pub(crate) fn kept_from(&self, link: LinkId) -> Room {
+    pub(crate) fn kept_from(&self, link: LinkId) -> Resources {
         let others = self.open.iter().filter(|offer| offer.link != link);
-        others.fold(Room::default(), |sum, offer| sum.plus(&offer.room))
+        others.fold(Resources::default(), |sum, offer| {
+            sum.plus(&offer.resources)
+        })
     }
 
     /// When the first offer ends.
--- a/crates/dispatch/src/agent/retained_ends.rs
+++ b/crates/dispatch/src/agent/retained_ends.rs
@@ -11,34 +11,34 @@
 use std::collections::BTreeSet;
 
 use crate::Agent;
-use crate::End;
-use crate::Finished;
-use crate::KeptEnd;
+use crate::Disposition;
+use crate::EndedRun;
 use crate::LinkId;
 use crate::MINION_LEASE_MS;
 use crate::Report;
-use crate::Settlement;
+use crate::RetainedEnd;
+use crate::RunEnd;
 use crate::stored::RUNS_PER_EPOCH;
 
 /// Time for which an end is offered, in milliseconds: the store gives a lost
 /// owner's partitions away after 1.2 s, and the next owner starts tasks anew
 /// 2.7 s after that.
-const KEEP_MS: u64 = 6_000;
+const RETAINED_END_TTL_MS: u64 = 6_000;
 
 /// Ends, by their number in the minion's lifetime.
 #[derive(Debug)]
-pub(crate) struct UnsettledEnds {
+pub(crate) struct RetainedEnds {
     /// Ends that an entry was told and has not settled yet.
-    told: BTreeMap<u64, (LinkId, KeptEnd)>,
+    told: BTreeMap<u64, (LinkId, RetainedEnd)>,
     /// Ends that wait for an owner, and until when.
-    kept: BTreeMap<u64, (KeptEnd, u64)>,
+    kept: BTreeMap<u64, (RetainedEnd, u64)>,
     /// Ends that nobody will record.
     disowned: BTreeSet<u64>,
     /// When a lease that an earlier agent asked for is over.
     inherited_until_ms: u64,
 }
 
-impl UnsettledEnds {
+impl RetainedEnds {
     /// None yet, on a minion that an earlier agent may have kept until now.
     pub(crate) fn new(now_ms: u64) -> Self {
         Self {
@@ -56,19 +56,20 @@
     }
 
     /// An end was told to the entry at a link.
-    pub(crate) fn tell(&mut self, link: LinkId, end: KeptEnd) {
+    pub(crate) fn tell(&mut self, link: LinkId, end: RetainedEnd) {
         self.told.insert(end.number, (link, end));
     }
 
     /// An end waits for an owner.
-    pub(crate) fn keep(&mut self, now_ms: u64, end: KeptEnd) {
-        self.kept.insert(end.number, (end, now_ms + KEEP_MS));
+    pub(crate) fn keep(&mut self, now_ms: u64, end: RetainedEnd) {
+        self.kept
+            .insert(end.number, (end, now_ms + RETAINED_END_TTL_MS));
     }
 
     /// A link is gone: what was told there waits for an owner.
-    fn keep_told(&mut self, now_ms: u64, link: LinkId) -> Vec<KeptEnd> {
+    fn keep_told(&mut self, now_ms: u64, link: LinkId) -> Vec<RetainedEnd> {
         let gone = self.told.values().filter(|(told, _)| *told == link);
-        let gone: Vec<KeptEnd> = gone.map(|(_, end)| end.clone()).collect();
+        let gone: Vec<RetainedEnd> = gone.map(|(_, end)| end.clone()).collect();
         for end in &gone {
             self.told.remove(&end.number);
             self.keep(now_ms, end.clone());
@@ -77,17 +78,22 @@
     }
 
     /// An entry settled an end; the end if it waits for another owner now.
-    fn settle(&mut self, now_ms: u64, number: u64, settlement: Settlement) -> Option<KeptEnd> {
+    fn dispose(
+        &mut self,
+        now_ms: u64,
+        number: u64,
+        disposition: Disposition,
+    ) -> Option<RetainedEnd> {
         let told = self.told.remove(&number).map(|(_, end)| end);
         let kept = self.kept.remove(&number).map(|(end, _)| end);
         let end = told.or(kept)?;
-        match settlement {
-            Settlement::Recorded => None,
-            Settlement::Superseded => {
+        match disposition {
+            Disposition::Recorded => None,
+            Disposition::Superseded => {
                 self.disowned.insert(number);
                 None
             }
-            Settlement::NoLongerOurs => {
+            Disposition::NotOwner => {
                 self.keep(now_ms, end.clone());
                 Some(end)
             }
@@ -95,7 +101,7 @@
     }
 
     /// Ends that wait for an owner.
-    pub(crate) fn offered(&self) -> Vec<KeptEnd> {
+    pub(crate) fn offered(&self) -> Vec<RetainedEnd> {
         self.kept.values().map(|(end, _)| end.clone()).collect()
     }
 
@@ -156,25 +162,25 @@
 }
 
 /// The end, if it counts for a stored task.
-pub(crate) fn stored_end(finished: &Finished) -> Option<KeptEnd> {
-    let key = finished.key.as_ref()?;
-    let is_counted = matches!(finished.end, End::Done | End::Failed);
+pub(crate) fn stored_end(ended: &EndedRun) -> Option<RetainedEnd> {
+    let key = ended.key.as_ref()?;
+    let is_counted = matches!(ended.end, RunEnd::Done | RunEnd::Failed);
     let is_stored = key.run >= RUNS_PER_EPOCH && is_counted;
-    is_stored.then(|| KeptEnd {
-        number: finished.number,
+    is_stored.then(|| RetainedEnd {
+        number: ended.number,
         task: key.task.clone(),
         run: key.run,
-        is_done: finished.end == End::Done,
+        is_done: ended.end == RunEnd::Done,
     })
 }
 
 impl Agent {
     /// The entry at a link settled an end.
-    pub(crate) fn end_settled(&mut self, now_ms: u64, number: u64, settlement: Settlement) {
+    pub(crate) fn apply_disposition(&mut self, now_ms: u64, number: u64, disposition: Disposition) {
         let Some(minion) = &mut self.minion else {
             return;
         };
-        let offered = minion.unsettled.settle(now_ms, number, settlement);
+        let offered = minion.retained_ends.dispose(now_ms, number, disposition);
         self.offer(offered.into_iter().collect());
     }
 
@@ -183,18 +189,18 @@
         let Some(minion) = &mut self.minion else {
             return;
         };
-        let offered = minion.unsettled.keep_told(now_ms, link);
+        let offered = minion.retained_ends.keep_told(now_ms, link);
         self.offer(offered);
     }
 
     /// Offers ends to all entries.
-    pub(crate) fn offer(&mut self, ends: Vec<KeptEnd>) {
+    pub(crate) fn offer(&mut self, ends: Vec<RetainedEnd>) {
         if ends.is_empty() {
             return;
         }
         let detail = format!("ends={}", ends.len());
-        self.note("ends-offered", None, detail);
-        self.report_to_all(&Report::Kept(ends));
+        self.event("ends-offered", None, detail);
+        self.report_to_all(&Report::RetainedEnds(ends));
     }
 
     /// Gives up ends that nobody took, and notes that the lease lapsed.
@@ -203,10 +209,10 @@
             return;
         };
         let lease_until_ms = minion.lease_until_ms;
-        let (given_up, freed) = minion.unsettled.expire(now_ms, lease_until_ms);
+        let (given_up, freed) = minion.retained_ends.expire(now_ms, lease_until_ms);
         if given_up + freed > 0 {
             let detail = format!("given_up={given_up} freed={freed}");
-            self.note("ends-disowned", None, detail);
+            self.event("ends-disowned", None, detail);
         }
     }
 }
--- a/crates/dispatch/src/agent/run_table.rs
+++ b/crates/dispatch/src/agent/run_table.rs
@@ -4,11 +4,11 @@
 
 use gannetvane_wire::Name;
 
-use crate::CrashSign;
+use crate::CrashEvidence;
 use crate::LinkId;
 use crate::OrderId;
 use crate::Report;
-use crate::Room;
+use crate::Resources;
 use crate::RunKey;
 use crate::StartOrder;
 use crate::StartResult;
@@ -46,7 +46,7 @@
     pub(crate) spec: Name,
     /// Whether minions crashed under its task before.
     pub(crate) is_suspect: bool,
-    pub(crate) needs: Room,
+    pub(crate) needs: Resources,
     pub(crate) phase: Phase,
     pub(crate) started_ms: u64,
     pub(crate) expected_ms: u32,
@@ -57,7 +57,7 @@
     /// When the minion was known to run it.
     pub(crate) confirmed_ms: u64,
     /// Whether the minion was seen to run it.
-    pub(crate) was_seen: bool,
+    pub(crate) was_seen_running: bool,
     /// Whether the life that is served listed it.
     pub(crate) was_listed: bool,
     /// Starts that are not answered yet.
@@ -68,7 +68,7 @@
     /// Why a copy of the last start was refused.
     pub(crate) refusal: Option<StartResult>,
     /// Whether a copy of the last start got no answer.
-    pub(crate) is_unsure: bool,
+    pub(crate) is_outcome_unknown: bool,
     /// When a connection broke that tells of it: that of its start after the call was
     /// sent, or that of a listing which waited for an end while the minion had it.
     pub(crate) cut_off_ms: Option<u64>,
@@ -102,13 +102,13 @@
             read_ms: now_ms,
             changed_ms: now_ms,
             confirmed_ms: now_ms,
-            was_seen: false,
+            was_seen_running: false,
             was_listed: false,
             pending: 0,
             copies: 0,
             sent_ms: now_ms,
             refusal: None,
-            is_unsure: false,
+            is_outcome_unknown: false,
             cut_off_ms: None,
             was_sent: false,
             unanswered: 0,
@@ -133,7 +133,7 @@
     /// id: a call that starts it had no answer, or nothing but that answer, which
     /// tells no birth, shows that it runs.
     pub(crate) fn may_be_of_next_life(&self) -> bool {
-        !self.was_listed || self.pending > 0 || self.is_unsure || self.unanswered > 0
+        !self.was_listed || self.pending > 0 || self.is_outcome_unknown || self.unanswered > 0
     }
 
     /// The connection of its start broke after the call was sent. If that took long, the
@@ -148,7 +148,7 @@
 
     /// What a crash of the minion tells of the task: nothing if its start may have met a
     /// minion that was gone already.
-    pub(crate) fn crash_sign(&self) -> Option<CrashSign> {
+    pub(crate) fn crash_evidence(&self) -> Option<CrashEvidence> {
         let is_stopped = matches!(
             self.phase,
             Phase::Stopping {
@@ -156,9 +156,13 @@
                 ..
             }
         );
-        match (is_stopped, self.cut_off_ms, self.was_seen || self.was_sent) {
-            (false, Some(_), _) => Some(CrashSign::Strong),
-            (false, None, true) => Some(CrashSign::Weak),
+        match (
+            is_stopped,
+            self.cut_off_ms,
+            self.was_seen_running || self.was_sent,
+        ) {
+            (false, Some(_), _) => Some(CrashEvidence::Strong),
+            (false, None, true) => Some(CrashEvidence::Weak),
             _ => None,
         }
     }
@@ -180,7 +184,7 @@
     }
 
     /// Whether the minion was sent the start of some run.
-    pub(crate) fn has_started(&self) -> bool {
+    pub(crate) fn has_sent_starts(&self) -> bool {
         self.runs.values().any(|run| run.phase != Phase::Checking)
     }
 
@@ -232,7 +236,7 @@
 
     /// A listing that waited for an end broke off: what the minion has taken was at work.
     pub(crate) fn cut_off(&mut self, now_ms: u64) {
-        for run in self.runs.values_mut().filter(|run| run.was_seen) {
+        for run in self.runs.values_mut().filter(|run| run.was_seen_running) {
             run.cut_off_ms = Some(now_ms);
         }
     }
@@ -246,9 +250,9 @@
     }
 
     /// Room of all runs that the minion may hold.
-    pub(crate) fn taken(&self) -> Room {
+    pub(crate) fn taken(&self) -> Resources {
         let runs = self.runs.values();
-        runs.fold(Room::default(), |sum, run| sum.plus(&run.needs))
+        runs.fold(Resources::default(), |sum, run| sum.plus(&run.needs))
     }
 
     /// How far the runs of a link are.
--- a/crates/dispatch/src/agent/stalls.rs
+++ b/crates/dispatch/src/agent/stalls.rs
@@ -42,7 +42,7 @@
         let stalled: Vec<(LinkId, OrderId)> =
             running.iter().map(|run| (run.link, run.order)).collect();
         self.breaker.trip(now_ms);
-        self.note("minion-stalled", None, format!("runs={}", stalled.len()));
+        self.event("minion-stalled", None, format!("runs={}", stalled.len()));
         for (link, order) in stalled {
             self.stop_run(now_ms, link, order);
         }
--- a/crates/dispatch/src/agent/starts.rs
+++ b/crates/dispatch/src/agent/starts.rs
@@ -3,17 +3,17 @@
 
 use crate::Agent;
 use crate::AgentAction;
-use crate::Busy;
-use crate::End;
-use crate::Lifetime;
+use crate::Incarnation;
 use crate::LinkId;
+use crate::NotStartedReason;
 use crate::OrderId;
+use crate::RunEnd;
 use crate::RunKey;
 use crate::StartResult;
 use crate::agent::minion::Minion;
 use crate::agent::run_table::Phase;
 use crate::agent::run_table::Run;
-use crate::minion_calls::Contact;
+use crate::minion_calls::CallOutcome;
 
 /// Starts that are sent before a run without an answer is given up.
 const START_TRIES: u32 = 3;
@@ -38,7 +38,7 @@
         run.read_ms = now_ms;
         run.changed_ms = now_ms;
         run.refusal = None;
-        run.is_unsure = false;
+        run.is_outcome_unknown = false;
         run.copies = 0;
         for _ in 0..minion.loss.copies().min(START_COPIES) {
             self.send_start(now_ms, link, order);
@@ -54,10 +54,10 @@
         run.pending += 1;
         run.sent_ms = now_ms;
         let deadline_ms = minion.extend_lease(now_ms);
-        let lifetime = minion.report.lifetime.clone();
-        self.late_calls.sent(&lifetime, &run.key);
+        let incarnation = minion.report.incarnation.clone();
+        self.delayed_calls.sent(&incarnation, &run.key);
         self.actions.push(AgentAction::Start {
-            lifetime,
+            incarnation,
             key: run.key.clone(),
             spec: run.spec.clone(),
             deadline_ms,
@@ -69,24 +69,24 @@
     pub fn start_answered(
         &mut self,
         now_ms: u64,
-        lifetime: &Lifetime,
+        incarnation: &Incarnation,
         key: &RunKey,
         result: StartResult,
     ) {
-        let is_answered = result.contact() != Contact::Silent;
-        self.late_calls.ended(now_ms, key, is_answered);
-        if !self.serves(lifetime) {
+        let is_answered = result.call_outcome() != CallOutcome::Unanswered;
+        self.delayed_calls.ended(now_ms, key, is_answered);
+        if !self.serves(incarnation) {
             return;
         }
         if !is_answered {
-            self.late_calls.lost_call();
+            self.delayed_calls.call_unanswered();
         }
         if result == StartResult::OtherInstance {
             self.minion_ended(now_ms, "other id");
             return;
         }
         if let Some(minion) = &mut self.minion {
-            minion.judge(now_ms, result.contact());
+            minion.judge(now_ms, result.call_outcome());
         }
         let Some((link, order)) = self.runs.find(key) else {
             return;
@@ -97,16 +97,16 @@
         run.pending = run.pending.saturating_sub(1);
         match result {
             StartResult::Started => {
-                run.was_seen = true;
+                run.was_seen_running = true;
                 run.cut_off_ms = None;
                 run.confirmed_ms = now_ms;
                 if run.phase == Phase::Starting {
                     run.phase = Phase::Running;
                 }
             }
-            StartResult::NoAnswer => run.is_unsure = true,
+            StartResult::NoAnswer => run.is_outcome_unknown = true,
             StartResult::Broken => {
-                run.is_unsure = true;
+                run.is_outcome_unknown = true;
                 run.start_broke(now_ms);
             }
             refused => run.refusal = Some(refused),
@@ -122,7 +122,7 @@
         let Some(run) = self.runs.get_mut(link, order) else {
             return;
         };
-        let may_be_there = run.was_seen || run.is_unsure || run.unanswered > 0;
+        let may_be_there = run.was_seen_running || run.is_outcome_unknown || run.unanswered > 0;
         let is_starting = run.phase == Phase::Starting;
         match run.refusal {
             Some(StartResult::OldRun) if may_be_there && is_starting => {
@@ -138,8 +138,8 @@
                 self.epoch_refused();
             }
             // An earlier start may still be carried out, so it is forbidden.
-            Some(_) if !run.is_unsure && is_starting => self.stop_run(now_ms, link, order),
-            _ if run.is_unsure => self.start_unanswered(now_ms, link, order),
+            Some(_) if !run.is_outcome_unknown && is_starting => self.stop_run(now_ms, link, order),
+            _ if run.is_outcome_unknown => self.start_unanswered(now_ms, link, order),
             _ => {}
         }
     }
@@ -157,7 +157,7 @@
         } else if run.phase == Phase::Starting {
             self.stop_run(now_ms, link, order);
         }
-        self.note("start-unanswered", Some(job), detail);
+        self.event("start-unanswered", Some(job), detail);
     }
 
     /// When one more copy of a start is sent that has no answer yet.
@@ -179,7 +179,7 @@
         let due = self.runs.iter().filter(is_due);
         let due: Vec<(LinkId, OrderId)> = due.map(|run| (run.link, run.order)).collect();
         let may_start = !self.is_evacuated() && self.runs_fit();
-        if due.is_empty() || !may_start || !self.may_extend_lease(now_ms) {
+        if due.is_empty() || !may_start || !self.can_extend_lease(now_ms) {
             return;
         }
         for (link, order) in due {
@@ -202,7 +202,7 @@
             }
             return;
         }
-        if due.is_empty() || !self.may_extend_lease(now_ms) {
+        if due.is_empty() || !self.can_extend_lease(now_ms) {
             return;
         }
         for (link, order) in due {
@@ -215,17 +215,17 @@
             return;
         };
         let busy = match result {
-            StartResult::OldRun => Busy::OldRun,
-            StartResult::NoRoom => Busy::Full,
+            StartResult::OldRun => NotStartedReason::OldRun,
+            StartResult::NoRoom => NotStartedReason::Full,
             // It says nothing of the minion's health.
-            StartResult::Fenced => Busy::Closing,
-            _ => Busy::Unhealthy,
+            StartResult::Fenced => NotStartedReason::Closing,
+            _ => NotStartedReason::Unhealthy,
         };
         let end = match run.phase {
-            Phase::Stopping { .. } => End::Stopped,
-            _ => End::NotStarted(busy),
+            Phase::Stopping { .. } => RunEnd::Stopped,
+            _ => RunEnd::NotStarted(busy),
         };
-        self.note(
+        self.event(
             "start-refused",
             Some(run.key.task.job.clone()),
             format!(
--- a/crates/dispatch/src/agent/suspect_starts.rs
+++ b/crates/dispatch/src/agent/suspect_starts.rs
@@ -4,11 +4,11 @@
 //! stalled before the start is not taken for one more, it must answer a listing first.
 
 use crate::Agent;
-use crate::Busy;
-use crate::End;
 use crate::LinkId;
+use crate::NotStartedReason;
 use crate::OrderId;
-use crate::agent::listing_calls::HoldCall;
+use crate::RunEnd;
+use crate::agent::listing_calls::PendingListing;
 use crate::agent::run_table::Phase;
 
 /// Time for the answer of a minion before a start, in milliseconds; a sound one on the
@@ -28,13 +28,13 @@
         };
         for (link, order, since_ms) in checking {
             if now_ms > since_ms + CHECK_MS {
-                self.give_up_check(link, order, Busy::NoAnswer);
+                self.give_up_check(link, order, NotStartedReason::NoAnswer);
             }
         }
         // One that waits for an end would be answered too late.
-        let is_asked = |hold: &HoldCall| !hold.waits && hold.sent_ms >= latest_ms;
+        let is_asked = |pending: &PendingListing| !pending.waits && pending.sent_ms >= latest_ms;
         let minion = self.minion.as_ref();
-        if minion.is_some_and(|minion| !minion.holds.iter().any(is_asked)) {
+        if minion.is_some_and(|minion| !minion.pending_listings.iter().any(is_asked)) {
             self.ask_listing(now_ms, None, 0);
         }
     }
@@ -49,10 +49,10 @@
             .filter(|run| is_due(run.phase, run.started_ms));
         let due: Vec<(LinkId, OrderId)> = due.map(|run| (run.link, run.order)).collect();
         for (link, order) in due {
-            if self.is_open() && self.may_extend_lease(now_ms) && self.runs_fit() {
+            if self.is_accepting_starts() && self.can_extend_lease(now_ms) && self.runs_fit() {
                 self.start_run(now_ms, link, order);
             } else {
-                self.give_up_check(link, order, Busy::Closing);
+                self.give_up_check(link, order, NotStartedReason::Closing);
             }
         }
     }
@@ -62,15 +62,15 @@
         let checking = self.runs.iter().filter(|run| run.phase == Phase::Checking);
         let checking: Vec<(LinkId, OrderId)> = checking.map(|run| (run.link, run.order)).collect();
         for (link, order) in checking {
-            self.give_up_check(link, order, Busy::NoAnswer);
+            self.give_up_check(link, order, NotStartedReason::NoAnswer);
         }
     }
 
-    fn give_up_check(&mut self, link: LinkId, order: OrderId, busy: Busy) {
+    fn give_up_check(&mut self, link: LinkId, order: OrderId, busy: NotStartedReason) {
         if let Some(run) = self.runs.remove(link, order) {
             let detail = format!("run={} busy={busy:?}", run.key.run);
-            self.note("suspect-not-started", Some(run.key.task.job), detail);
-            self.report_end(link, order, End::NotStarted(busy), 0);
+            self.event("suspect-not-started", Some(run.key.task.job), detail);
+            self.report_end(link, order, RunEnd::NotStarted(busy), 0);
         }
     }
 
--- a/crates/dispatch/src/crashes.rs
+++ b/crates/dispatch/src/crashes.rs
@@ -14,15 +14,15 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::CrashSign;
+use crate::CrashEvidence;
 use crate::OrderId;
 use crate::RunKey;
 use crate::TaskId;
 
 /// Time for which a crash is known, in milliseconds: callers come again within seconds.
-pub(crate) const KEEP_MS: u64 = 30_000;
+pub(crate) const CRASH_TTL_MS: u64 = 30_000;
 /// Most crashes that are known; the oldest are forgotten first.
-const MOST_CRASHES: usize = 1_024;
+const MAX_KNOWN_CRASHES: usize = 1_024;
 
 /// A crash of a minion under a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,14 +32,19 @@
     /// The task.
     pub task: TaskId,
     /// How surely the task was at work.
-    pub sign: CrashSign,
+    pub evidence: CrashEvidence,
     /// Time since, in milliseconds, when it is told.
     pub age_ms: u64,
 }
 
 impl Crash {
     /// A crash that is just seen, under a run that an entry ordered of an agent.
-    pub(crate) fn now(run: &RunKey, order: OrderId, agent: NodeId, sign: CrashSign) -> Self {
+    pub(crate) fn observed(
+        run: &RunKey,
+        order: OrderId,
+        agent: NodeId,
+        evidence: CrashEvidence,
+    ) -> Self {
         let task = &run.task;
         let text = format!(
             "{}.{}.{}.{} {} {}",
@@ -48,7 +53,7 @@
         Self {
             number: xxh3_64(text.as_bytes()),
             task: task.clone(),
-            sign,
+            evidence,
             age_ms: 0,
         }
     }
@@ -63,24 +68,24 @@
 
 /// The crashes that a process knows of.
 #[derive(Clone, Debug, Default)]
-pub struct CrashBook {
+pub struct KnownCrashes {
     /// By the order in which they became known.
     known: BTreeMap<u64, KnownCrash>,
     last: u64,
 }
 
-impl CrashBook {
+impl KnownCrashes {
     /// Takes over a crash; false if it is known or too old.
     pub(crate) fn learn(&mut self, now_ms: u64, crash: Crash) -> bool {
         let mut known = self.known.values();
         let is_known = known.any(|other| other.crash.number == crash.number);
-        if is_known || crash.age_ms >= KEEP_MS {
+        if is_known || crash.age_ms >= CRASH_TTL_MS {
             return false;
         }
         let at_ms = now_ms.saturating_sub(crash.age_ms);
         self.last += 1;
         self.known.insert(self.last, KnownCrash { crash, at_ms });
-        if self.known.len() > MOST_CRASHES {
+        if self.known.len() > MAX_KNOWN_CRASHES {
             self.known.pop_first();
         }
         true
@@ -88,7 +93,7 @@
 
     /// Forgets what is too old.
     pub(crate) fn expire(&mut self, now_ms: u64) {
-        let is_kept = |_: &u64, known: &mut KnownCrash| now_ms < known.at_ms + KEEP_MS;
+        let is_kept = |_: &u64, known: &mut KnownCrash| now_ms < known.at_ms + CRASH_TTL_MS;
         self.known.retain(is_kept);
     }
 
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -7,16 +7,16 @@
 
 use gannetvane_wire::Name;
 
-use crate::KnownEntry;
-use crate::rendezvous::Choice;
+use crate::SeenEntry;
+use crate::rendezvous::RendezvousHash;
 
 /// Entries that an agent keeps a link to: its messages stay the same in a larger
 /// fleet, and each entry has agents enough while there are fewer entries than agents.
-pub const LINKED_ENTRIES: usize = 12;
+pub const MAX_LINKED_ENTRIES: usize = 12;
 
 /// Other entries that an entry connects to; as many connect to it on average,
 /// so that some hundred entries know each other after a few lists.
-pub const LINKED_PEERS: usize = 8;
+pub const MAX_LINKED_PEERS: usize = 8;
 
 /// Time without any contact after which an entry is forgotten, in
 /// milliseconds; long enough for a restart and for a cut to heal.
@@ -28,13 +28,13 @@
     own: Option<SocketAddr>,
     seeds: BTreeSet<SocketAddr>,
     /// When each was last named or reached.
-    heard: BTreeMap<SocketAddr, u64>,
+    last_mentioned_ms: BTreeMap<SocketAddr, u64>,
     /// When each was last reached, by anybody.
-    reached: BTreeMap<SocketAddr, u64>,
-    choice: Option<Choice>,
+    last_seen_ms: BTreeMap<SocketAddr, u64>,
+    rendezvous: Option<RendezvousHash>,
     targets: Option<Targets>,
     /// Times that an entry was named or reached which was not known before.
-    gains: u64,
+    discoveries: u64,
 }
 
 /// The targets as they were last chosen.
@@ -55,11 +55,11 @@
         Self {
             own,
             seeds: seeds.into_iter().collect(),
-            heard: BTreeMap::new(),
-            reached: BTreeMap::new(),
-            choice: None,
+            last_mentioned_ms: BTreeMap::new(),
+            last_seen_ms: BTreeMap::new(),
+            rendezvous: None,
             targets: None,
-            gains: 0,
+            discoveries: 0,
         }
     }
 
@@ -67,8 +67,8 @@
     /// the chooser, by rendezvous hashing, so that a change of the set moves
     /// few links.
     #[must_use]
-    pub fn with_choice(mut self, chooser: Name, most: usize) -> Self {
-        self.choice = Some(Choice::new(chooser, most));
+    pub fn with_max_targets(mut self, chooser: Name, max: usize) -> Self {
+        self.rendezvous = Some(RendezvousHash::new(chooser, max));
         self.targets = None;
         self
     }
@@ -89,8 +89,8 @@
     }
 
     /// Notes entries that others reached, as long ago as they say.
-    pub fn learn_reached(&mut self, now_ms: u64, entries: &[KnownEntry]) {
-        let recent = |entry: &&KnownEntry| u64::from(entry.age_ms) < FORGET_MS;
+    pub fn merge_seen(&mut self, now_ms: u64, entries: &[SeenEntry]) {
+        let recent = |entry: &&SeenEntry| u64::from(entry.age_ms) < FORGET_MS;
         for entry in entries.iter().filter(recent) {
             let at_ms = now_ms.saturating_sub(u64::from(entry.age_ms));
             self.note_reached(now_ms, entry.addr, at_ms);
@@ -98,32 +98,32 @@
     }
 
     /// Notes an entry that was reached just now.
-    pub fn reached(&mut self, now_ms: u64, entry: SocketAddr) {
+    pub fn mark_seen(&mut self, now_ms: u64, entry: SocketAddr) {
         self.note_reached(now_ms, entry, now_ms);
     }
 
     fn note_reached(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
         self.note_heard(now_ms, entry, at_ms);
-        self.gains += u64::from(note(&mut self.reached, now_ms, entry, at_ms));
+        self.discoveries += u64::from(note(&mut self.last_seen_ms, now_ms, entry, at_ms));
     }
 
     fn note_heard(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
-        if note(&mut self.heard, now_ms, entry, at_ms) {
-            self.gains += 1;
+        if note(&mut self.last_mentioned_ms, now_ms, entry, at_ms) {
+            self.discoveries += 1;
             self.add_target(now_ms, entry, at_ms);
         }
     }
 
     /// Chooses between the targets and an entry that was not known before.
     fn add_target(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
-        let chosen = self.targets.take().zip(self.choice.as_ref());
-        self.targets = chosen.and_then(|(mut targets, choice)| {
+        let chosen = self.targets.take().zip(self.rendezvous.as_ref());
+        self.targets = chosen.and_then(|(mut targets, rendezvous)| {
             if targets.has_seeds || !targets.hold_ms.contains(&now_ms) {
                 return None;
             }
             if Some(entry) != self.own {
                 targets.entries.insert(entry);
-                targets.entries = choice.highest(targets.entries);
+                targets.entries = rendezvous.select(targets.entries);
             }
             targets.hold_ms.end = targets.hold_ms.end.min(at_ms + FORGET_MS);
             Some(targets)
@@ -134,8 +134,8 @@
     /// and told of at once: after a start of all processes, it would be without
     /// agents until the next look.
     #[must_use]
-    pub fn gains(&self) -> u64 {
-        self.gains
+    pub fn discoveries(&self) -> u64 {
+        self.discoveries
     }
 
     /// The entries, but this one, that are worth a connection. Looked at far more
@@ -150,20 +150,23 @@
 
     fn choose(&self, now_ms: u64) -> Targets {
         let recent = || {
-            let heard = self.heard.iter();
-            heard.filter(|(_, at_ms)| is_recent(now_ms, **at_ms))
+            let mentioned = self.last_mentioned_ms.iter();
+            mentioned.filter(|(_, at_ms)| is_recent(now_ms, **at_ms))
         };
         let first_ms = recent().map(|(_, at_ms)| *at_ms).min();
         let mut entries: BTreeSet<SocketAddr> = recent().map(|(entry, _)| *entry).collect();
-        let most = self.choice.as_ref().map_or(usize::MAX, Choice::most);
-        let has_seeds = entries.len() < most;
+        let max = self
+            .rendezvous
+            .as_ref()
+            .map_or(usize::MAX, RendezvousHash::max);
+        let has_seeds = entries.len() < max;
         if has_seeds {
             // Seeds may be long gone, so they do not take the places of others.
             entries.extend(self.seeds.iter().copied());
         }
         entries.retain(|entry| Some(*entry) != self.own);
-        if let Some(choice) = &self.choice {
-            entries = choice.highest(entries);
+        if let Some(rendezvous) = &self.rendezvous {
+            entries = rendezvous.select(entries);
         }
         Targets {
             entries,
@@ -174,7 +177,7 @@
 
     /// What is told to agents: this entry and those reached lately.
     #[must_use]
-    pub fn news(&self, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn recent_addrs(&self, now_ms: u64) -> Vec<SocketAddr> {
         let reached = self.known(now_ms);
         reached.into_iter().map(|entry| entry.addr).collect()
     }
@@ -183,13 +186,16 @@
     /// the time since then. It grows on its way, so that one that is gone is
     /// forgotten everywhere.
     #[must_use]
-    pub fn known(&self, now_ms: u64) -> Vec<KnownEntry> {
+    pub fn known(&self, now_ms: u64) -> Vec<SeenEntry> {
         let own = self.own.map(|addr| (addr, now_ms));
-        let recent = self.reached.iter().map(|(addr, at_ms)| (*addr, *at_ms));
+        let recent = self
+            .last_seen_ms
+            .iter()
+            .map(|(addr, at_ms)| (*addr, *at_ms));
         let others =
             recent.filter(|(addr, at_ms)| is_recent(now_ms, *at_ms) && Some(*addr) != self.own);
         let all: BTreeMap<SocketAddr, u64> = own.into_iter().chain(others).collect();
-        let known = all.into_iter().map(|(addr, at_ms)| KnownEntry {
+        let known = all.into_iter().map(|(addr, at_ms)| SeenEntry {
             addr,
             age_ms: u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX),
         });
--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -7,18 +7,18 @@
 
 use crate::AgentHello;
 use crate::Crash;
-use crate::CrashBook;
-use crate::CrashSign;
+use crate::CrashEvidence;
+use crate::KnownCrashes;
 use crate::OrderId;
 use crate::RunKey;
-use crate::crashes::KEEP_MS;
+use crate::crashes::CRASH_TTL_MS;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::OrderState;
 use crate::dispatcher::jobs::JobState;
 use crate::stored::StoredEvent;
 
 /// Most runs that are remembered after their agents were lost.
-const MOST_LOST_RUNS: usize = 1_024;
+const MAX_LOST_RUNS: usize = 1_024;
 
 /// A run that was out at an agent when that was lost.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     run: RunKey,
     host: Name,
     agent: NodeId,
-    life: Name,
+    incarnation: Name,
 }
 
 /// The runs that were out at agents that were lost and have not greeted since.
@@ -40,7 +40,7 @@
 impl LostRuns {
     /// Remembers a run, in place of the oldest one if there are too many.
     pub(crate) fn add(&mut self, now_ms: u64, order: OrderId, run: RunKey, agent: &AgentHello) {
-        if self.runs.len() >= MOST_LOST_RUNS {
+        if self.runs.len() >= MAX_LOST_RUNS {
             self.runs.pop_front();
         }
         self.runs.push_back(LostRun {
@@ -49,23 +49,25 @@
             run,
             host: agent.host.clone(),
             agent: agent.node,
-            life: agent.life.clone(),
+            incarnation: agent.incarnation.clone(),
         });
     }
 
     /// The runs of the agent that greets in place of one that was lost, if its minion
     /// was lost as well. An agent that is still there tells of crashes itself.
     fn lost_with_minion(&mut self, now_ms: u64, agent: &AgentHello) -> Vec<Crash> {
-        self.runs.retain(|lost| now_ms < lost.lost_ms + KEEP_MS);
+        self.runs
+            .retain(|lost| now_ms < lost.lost_ms + CRASH_TTL_MS);
         let (of_host, others): (VecDeque<LostRun>, _) = std::mem::take(&mut self.runs)
             .into_iter()
             .partition(|lost| lost.host == agent.host);
         self.runs = others;
         let unseen = of_host
             .iter()
-            .filter(|lost| lost.agent != agent.node && lost.life != agent.life);
-        let crash =
-            |lost: &LostRun| Crash::now(&lost.run, lost.order, lost.agent, CrashSign::Unseen);
+            .filter(|lost| lost.agent != agent.node && lost.incarnation != agent.incarnation);
+        let crash = |lost: &LostRun| {
+            Crash::observed(&lost.run, lost.order, lost.agent, CrashEvidence::Unseen)
+        };
         unseen.map(crash).collect()
     }
 }
@@ -77,20 +79,20 @@
         now_ms: u64,
         order: OrderId,
         state: &OrderState,
-        sign: CrashSign,
+        evidence: CrashEvidence,
     ) {
         let (Some(agent), Some(job)) = (self.agents.get(&state.link), self.jobs.get(&state.job))
         else {
             return;
         };
         let run = job.run_key(state.position);
-        let crash = Crash::now(&run, order, agent.hello.node, sign);
+        let crash = Crash::observed(&run, order, agent.hello.node, evidence);
         self.learn_crash(now_ms, crash);
     }
 
     /// The crashes that are known here.
     #[must_use]
-    pub fn crashes(&self) -> &CrashBook {
+    pub fn crashes(&self) -> &KnownCrashes {
         &self.crashes
     }
 
@@ -101,7 +103,7 @@
             let is_news = self.learn_crash(now_ms, crash);
             if is_news && self.jobs.get(&id).is_some_and(JobState::is_open) {
                 self.event("crash-told", Some(id.clone()), String::new());
-                self.settle(now_ms, &id);
+                self.advance_job(now_ms, &id);
             }
         }
     }
@@ -113,10 +115,10 @@
     }
 
     /// Holds what is known of crashes against the tasks of a job that came in.
-    pub(crate) fn recall_crashes(&mut self, id: &Name) {
+    pub(crate) fn apply_known_crashes(&mut self, id: &Name) {
         let known: Vec<Crash> = self.crashes.of_job(id).cloned().collect();
         for crash in known {
-            self.accuse(crash);
+            self.apply_crash(crash);
         }
     }
 
@@ -124,18 +126,18 @@
     fn learn_crash(&mut self, now_ms: u64, crash: Crash) -> bool {
         let is_news = self.crashes.learn(now_ms, crash.clone());
         if is_news {
-            self.accuse(crash);
+            self.apply_crash(crash);
         }
         is_news
     }
 
     /// Holds a crash against its task. That of a stored task is to be recorded before the
     /// task is started anew.
-    fn accuse(&mut self, crash: Crash) {
+    fn apply_crash(&mut self, crash: Crash) {
         let Some(job) = self.jobs.get_mut(&crash.task.job) else {
             return;
         };
-        let Some(position) = job.hold_against(&crash) else {
+        let Some(position) = job.record_crash(&crash) else {
             return;
         };
         if job.is_stored && job.is_open() {
--- a/crates/dispatch/src/dispatcher/ends.rs
+++ b/crates/dispatch/src/dispatcher/ends.rs
@@ -5,21 +5,21 @@
 
 use gannetvane_wire::Name;
 
-use crate::Busy;
-use crate::End;
+use crate::Disposition;
 use crate::JobOutcome;
+use crate::NotStartedReason;
 use crate::Order;
 use crate::OrderId;
-use crate::Settlement;
+use crate::RunEnd;
 use crate::StoredEnd;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::DispatcherAction;
-use crate::dispatcher::JobEvent;
+use crate::dispatcher::EntryEvent;
 use crate::dispatcher::OrderState;
 use crate::dispatcher::jobs::JobState;
 use crate::dispatcher::jobs::TaskPhase;
 use crate::dispatcher::jobs::TaskState;
-use crate::lease::LATE_CALL_MS;
+use crate::lease::MAX_CALL_DELAY_MS;
 use crate::stored::StoredEvent;
 
 /// A run is moved when what remains of it takes longer than this many times
@@ -51,15 +51,15 @@
         &mut self,
         now_ms: u64,
         order: OrderId,
-        end: End,
+        end: RunEnd,
         ran_ms: u32,
-        kept: Option<u64>,
+        retained_number: Option<u64>,
     ) {
         let Some(state) = self.orders.remove(&order) else {
             return;
         };
-        if let Some(number) = kept.filter(|_| !self.jobs.contains_key(&state.job)) {
-            self.settle_end(state.link, number, Settlement::NoLongerOurs);
+        if let Some(number) = retained_number.filter(|_| !self.jobs.contains_key(&state.job)) {
+            self.send_disposition(state.link, number, Disposition::NotOwner);
         }
         let Some(agent) = self.agents.get_mut(&state.link) else {
             return;
@@ -71,24 +71,24 @@
             return;
         };
         let is_open = job.is_open();
-        job.has_run |= !matches!(end, End::NotStarted(_));
-        job.was_seen |= job.has_run;
+        job.may_have_run |= !matches!(end, RunEnd::NotStarted(_));
+        job.was_seen_running |= job.may_have_run;
         let queue = Arc::clone(&job.job.queue);
-        if let Some(number) = kept {
+        if let Some(number) = retained_number {
             self.stored_events.push(StoredEvent::TaskEnded {
                 job: state.job.clone(),
                 position: u32::try_from(state.position).unwrap_or(u32::MAX),
                 link: state.link,
                 number,
                 run: job.tasks[state.position].run,
-                is_done: end == End::Done,
+                is_done: end == RunEnd::Done,
             });
         }
         let task = &mut job.tasks[state.position];
         let declared_ms = job.job.steps[task.step].declared_ms;
         task.phase = TaskPhase::Waiting;
         match end {
-            End::Done => {
+            RunEnd::Done => {
                 task.phase = TaskPhase::Done;
                 let held_ms = now_ms.saturating_sub(state.ordered_ms);
                 job.last_end = format!(
@@ -97,48 +97,51 @@
                     held_ms.saturating_sub(u64::from(ran_ms)),
                 );
                 let record = self.hosts.record(&host);
-                record.clear();
+                record.record_success();
                 if SOUND_SPEEDS.contains(&speed) {
                     self.estimates.observe(&queue.name, declared_ms, ran_ms);
                 }
             }
-            End::Failed => {
+            RunEnd::Failed => {
                 task.failures += 1;
                 self.task_failed(now_ms, &state, &host);
             }
-            End::Stopped => {}
-            End::Unsettled { crash } => {
+            RunEnd::Stopped => {}
+            RunEnd::Unsettled { crash } => {
                 // Greeted again, the agent vouches that nothing of it is left.
-                let until_ms = now_ms + LATE_CALL_MS;
+                let until_ms = now_ms + MAX_CALL_DELAY_MS;
                 task.phase = TaskPhase::Orphaned { until_ms };
                 task.avoid(&host);
-                self.hosts.record(&host).strike(now_ms);
-                if let Some(sign) = crash {
-                    self.crashed(now_ms, order, &state, sign);
+                self.hosts.record(&host).record_failure(now_ms);
+                if let Some(evidence) = crash {
+                    self.crashed(now_ms, order, &state, evidence);
                 }
                 self.task_event("task-unsettled", &state, &host, end, ran_ms);
             }
-            End::Crashed(sign) => {
+            RunEnd::Crashed(evidence) => {
                 task.avoid(&host);
-                self.hosts.record(&host).strike(now_ms);
-                self.crashed(now_ms, order, &state, sign);
+                self.hosts.record(&host).record_failure(now_ms);
+                self.crashed(now_ms, order, &state, evidence);
                 self.task_event("task-crashed", &state, &host, end, ran_ms);
             }
-            End::Lost | End::NotStarted(Busy::NoAnswer | Busy::Unhealthy) => {
+            RunEnd::Lost
+            | RunEnd::NotStarted(NotStartedReason::NoAnswer | NotStartedReason::Unhealthy) => {
                 task.avoid(&host);
-                self.hosts.record(&host).strike(now_ms);
+                self.hosts.record(&host).record_failure(now_ms);
                 self.task_event("task-lost", &state, &host, end, ran_ms);
             }
-            End::NotStarted(Busy::OldRun) => {
+            RunEnd::NotStarted(NotStartedReason::OldRun) => {
                 // An earlier submission of the job had runs there.
                 task.run += 3;
             }
             // Another suspect may run there.
-            End::NotStarted(Busy::Full) if task.suspicion() > 0 => task.avoid(&host),
-            End::NotStarted(Busy::Full | Busy::Closing) => {}
+            RunEnd::NotStarted(NotStartedReason::Full) if task.crash_weight() > 0 => {
+                task.avoid(&host);
+            }
+            RunEnd::NotStarted(NotStartedReason::Full | NotStartedReason::Closing) => {}
         }
         if is_open {
-            self.settle(now_ms, &state.job);
+            self.advance_job(now_ms, &state.job);
         } else {
             self.clear_if_gone(&state.job);
         }
@@ -162,21 +165,21 @@
         job.tasks[order.position].avoid(host);
         let after = failed_on(job);
         if after.len() == 1 {
-            self.hosts.record(host).strike(now_ms);
+            self.hosts.record(host).record_failure(now_ms);
         } else if before.len() == 1 && after.len() == 2 {
             for host in &before {
-                self.hosts.record(host).pardon();
+                self.hosts.record(host).discount_failure();
             }
-            self.pardon(&order.job, &after);
+            self.send_discount(&order.job, &after);
         }
-        self.task_event("task-failed", order, host, End::Failed, 0);
+        self.task_event("task-failed", order, host, RunEnd::Failed, 0);
     }
 
     /// Tells the agents of hosts that a job's failures are its own.
-    fn pardon(&mut self, job: &Name, hosts: &[Name]) {
+    fn send_discount(&mut self, job: &Name, hosts: &[Name]) {
         for agent in self.agents.values_mut() {
             if hosts.contains(&agent.hello.host) {
-                agent.outbox.push(Order::Pardon(job.clone()));
+                agent.outbox.push(Order::DiscountFailures(job.clone()));
             }
         }
     }
@@ -186,7 +189,7 @@
         event: &'static str,
         order: &OrderState,
         host: &Name,
-        end: End,
+        end: RunEnd,
         ran_ms: u32,
     ) {
         let detail = format!(
@@ -197,7 +200,7 @@
     }
 
     /// Ends a job whose tasks are done or cannot be.
-    pub(crate) fn settle(&mut self, now_ms: u64, id: &Name) {
+    pub(crate) fn advance_job(&mut self, now_ms: u64, id: &Name) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -255,7 +258,7 @@
         for order in orders {
             self.send_stop(order);
         }
-        self.actions.push(DispatcherAction::Event(JobEvent {
+        self.actions.push(DispatcherAction::Event(EntryEvent {
             event: outcome_event(outcome),
             job: Some(id.clone()),
             detail,
@@ -310,7 +313,7 @@
             return;
         };
         if let Some(job) = self.jobs.get_mut(&state.job) {
-            job.was_seen = true;
+            job.was_seen_running = true;
         }
         if state.is_stop_sent || !self.jobs.get(&state.job).is_some_and(JobState::is_open) {
             return;
@@ -372,7 +375,7 @@
             job.tasks[state.position].moves += 1;
         }
         if remaining_ms.is_infinite() {
-            self.hosts.record(host).strike(now_ms);
+            self.hosts.record(host).record_failure(now_ms);
         }
         let detail = format!(
             "position={} host={host} remaining_ms={remaining_ms:.0}",
--- a/crates/dispatch/src/dispatcher/evacuation.rs
+++ b/crates/dispatch/src/dispatcher/evacuation.rs
@@ -42,7 +42,7 @@
             let detail = format!(
                 "zones={} as_of={} without_agents={}",
                 newer.names(),
-                newer.as_of,
+                newer.log_offset,
                 unknown.count()
             );
             self.event("evacuations", None, detail);
@@ -52,8 +52,8 @@
     }
 
     /// Tells an agent that greeted, before it gets any order.
-    pub(crate) fn tell_evacuations(&mut self, link: LinkId) {
-        if self.evacuations.as_of == 0 {
+    pub(crate) fn send_evacuations(&mut self, link: LinkId) {
+        if self.evacuations.log_offset == 0 {
             return;
         }
         if let Some(agent) = self.agents.get_mut(&link) {
--- a/crates/dispatch/src/dispatcher/fleet.rs
+++ b/crates/dispatch/src/dispatcher/fleet.rs
@@ -10,16 +10,16 @@
 use crate::AgentHello;
 use crate::Demand;
 use crate::GRANT_MS;
-use crate::LINKED_ENTRIES;
+use crate::MAX_LINKED_ENTRIES;
 use crate::Order;
 use crate::OrderId;
-use crate::Room;
-use crate::rendezvous::Choice;
+use crate::Resources;
+use crate::rendezvous::RendezvousHash;
 
 /// First time for which a host that failed gets no tasks, in milliseconds.
 const FIRST_EJECTION_MS: u64 = 300;
 /// Longest such time, in milliseconds.
-const LONGEST_EJECTION_MS: u64 = 2_400;
+const MAX_EJECTION_MS: u64 = 2_400;
 /// Silence of an agent after which it gets no starts, in milliseconds: two
 /// keepalives.
 const QUIET_MS: u64 = 250;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct HostRecord {
     /// Bad ends since the last good one.
-    pub(crate) strikes: u32,
+    pub(crate) consecutive_failures: u32,
     /// Until when it gets no tasks.
     pub(crate) ejected_until_ms: u64,
     labels: Vec<Name>,
@@ -40,29 +40,29 @@
 impl HostRecord {
     fn new(labels: Vec<Name>) -> Self {
         Self {
-            strikes: 0,
+            consecutive_failures: 0,
             ejected_until_ms: 0,
             labels,
         }
     }
 
     /// A run ended badly for a reason that speaks against the host.
-    pub(crate) fn strike(&mut self, now_ms: u64) {
-        let doubled = FIRST_EJECTION_MS << self.strikes.min(3);
-        self.strikes += 1;
-        self.ejected_until_ms = now_ms + doubled.min(LONGEST_EJECTION_MS);
+    pub(crate) fn record_failure(&mut self, now_ms: u64) {
+        let doubled = FIRST_EJECTION_MS << self.consecutive_failures.min(3);
+        self.consecutive_failures += 1;
+        self.ejected_until_ms = now_ms + doubled.min(MAX_EJECTION_MS);
     }
 
     /// A run ended well.
-    pub(crate) fn clear(&mut self) {
-        self.strikes = 0;
+    pub(crate) fn record_success(&mut self) {
+        self.consecutive_failures = 0;
         self.ejected_until_ms = 0;
     }
 
     /// A failure turned out to be the task's own.
-    pub(crate) fn pardon(&mut self) {
-        self.strikes = self.strikes.saturating_sub(1);
-        if self.strikes == 0 {
+    pub(crate) fn discount_failure(&mut self) {
+        self.consecutive_failures = self.consecutive_failures.saturating_sub(1);
+        if self.consecutive_failures == 0 {
             self.ejected_until_ms = 0;
         }
     }
@@ -73,140 +73,140 @@
 pub(crate) struct AgentState {
     pub(crate) hello: AgentHello,
     /// The most room that its minion has had.
-    pub(crate) largest: Room,
+    pub(crate) max_capacity: Resources,
     pub(crate) outbox: Vec<Order>,
-    pub(crate) heard_ms: u64,
+    pub(crate) last_seen_ms: u64,
     pub(crate) sent_ms: u64,
     pub(crate) clock_ms: u64,
     /// Speed of its minion, 1 for the ordinary one.
     pub(crate) speed: f64,
     /// Whether it has told its room since it greeted.
     pub(crate) is_room_known: bool,
-    free: Room,
+    free: Resources,
     /// What all entries together told the agent of their demand.
     demand: Demand,
     /// What this entry told it last.
-    pub(crate) told: Demand,
-    is_open: bool,
+    pub(crate) sent_demand: Demand,
+    is_accepting_starts: bool,
     /// Whether operators are emptying its zone.
     pub(crate) is_evacuated: bool,
     /// Whether it keeps room for this entry.
     has_offered: bool,
-    starts_seen: u64,
+    starts_received: u64,
     starts_sent: u64,
     /// Orders without an end, with their number on the link and their need.
-    pub(crate) outstanding: BTreeMap<OrderId, (u64, Room)>,
+    pub(crate) outstanding: BTreeMap<OrderId, (u64, Resources)>,
     /// The entries that it was told of.
     chosen: BTreeSet<SocketAddr>,
     /// Whether these are its choice of what all agents were last told.
-    pub(crate) is_choice_of_told: bool,
+    pub(crate) is_chosen_from_sent: bool,
 }
 
 impl AgentState {
     pub(crate) fn new(now_ms: u64, hello: AgentHello) -> Self {
         Self {
             clock_ms: hello.clock_ms,
-            largest: hello.capacity,
+            max_capacity: hello.capacity,
             speed: 1.0,
             is_room_known: false,
-            free: Room::default(),
+            free: Resources::default(),
             demand: Demand::default(),
-            told: Demand::default(),
-            is_open: false,
+            sent_demand: Demand::default(),
+            is_accepting_starts: false,
             is_evacuated: false,
             has_offered: false,
             hello,
             outbox: Vec::new(),
-            heard_ms: now_ms,
+            last_seen_ms: now_ms,
             sent_ms: 0,
-            starts_seen: 0,
+            starts_received: 0,
             starts_sent: 0,
             outstanding: BTreeMap::new(),
             chosen: BTreeSet::new(),
-            is_choice_of_told: false,
+            is_chosen_from_sent: false,
         }
     }
 
-    pub(crate) fn heard(&mut self, now_ms: u64, frame: &AgentFrame) {
-        self.heard_ms = now_ms;
+    pub(crate) fn update(&mut self, now_ms: u64, frame: &AgentFrame) {
+        self.last_seen_ms = now_ms;
         self.clock_ms = frame.clock_ms;
         self.is_room_known = true;
         self.free = frame.free;
         self.speed = f64::from(frame.speed_permille) / PERMILLE;
         self.demand = frame.demand;
-        self.is_open = frame.is_open;
-        self.starts_seen = frame.starts_seen;
-        self.has_offered |= frame.is_offer;
+        self.is_accepting_starts = frame.is_accepting_starts;
+        self.starts_received = frame.starts_received;
+        self.has_offered |= frame.has_offer;
     }
 
     /// The minion has other room than before.
-    pub(crate) fn resized(&mut self, capacity: Room) {
+    pub(crate) fn resized(&mut self, capacity: Resources) {
         self.hello.capacity = capacity;
-        self.largest = self.largest.max(&capacity);
+        self.max_capacity = self.max_capacity.max(&capacity);
     }
 
     /// Until when a frame that is sent now lets tasks run, on the agent's
     /// clock. The clock is taken as early as it can be.
     pub(crate) fn grant_until_ms(&self, now_ms: u64) -> u64 {
-        self.clock_ms + now_ms.saturating_sub(self.heard_ms) + GRANT_MS
+        self.clock_ms + now_ms.saturating_sub(self.last_seen_ms) + GRANT_MS
     }
 
-    pub(crate) fn add_order(&mut self, order: OrderId, needs: Room) {
+    pub(crate) fn add_order(&mut self, order: OrderId, needs: Resources) {
         self.starts_sent += 1;
         self.has_offered = false;
         self.outstanding.insert(order, (self.starts_sent, needs));
     }
 
     /// Room that is left after the orders that the agent had not seen.
-    pub(crate) fn free(&self) -> Room {
-        let unseen = self.unseen();
-        unseen.fold(self.free, |free, needs| free.minus(&needs))
+    pub(crate) fn free(&self) -> Resources {
+        let unreceived = self.unreceived();
+        unreceived.fold(self.free, |free, needs| free.minus(&needs))
     }
 
-    fn unseen(&self) -> impl Iterator<Item = Room> {
-        let is_unseen = |(number, _): &&(u64, Room)| *number > self.starts_seen;
-        let orders = self.outstanding.values().filter(is_unseen);
+    fn unreceived(&self) -> impl Iterator<Item = Resources> {
+        let is_unreceived = |(number, _): &&(u64, Resources)| *number > self.starts_received;
+        let orders = self.outstanding.values().filter(is_unreceived);
         orders.map(|(_, needs)| *needs)
     }
 
     /// Tells the agent of those entries that it chooses. All of them would be a
     /// list that grows with the fleet, to as many agents.
-    pub(crate) fn tell_entries(&mut self, entries: BTreeSet<SocketAddr>) {
-        let choice = Choice::new(self.hello.host.clone(), LINKED_ENTRIES);
-        self.chosen = choice.highest(entries);
-        self.is_choice_of_told = true;
+    pub(crate) fn send_entries(&mut self, entries: BTreeSet<SocketAddr>) {
+        let rendezvous = RendezvousHash::new(self.hello.host.clone(), MAX_LINKED_ENTRIES);
+        self.chosen = rendezvous.select(entries);
+        self.is_chosen_from_sent = true;
         let chosen = self.chosen.iter().copied().collect();
         self.outbox.push(Order::Entries(chosen));
     }
 
     /// The same, when these were added to those told last and others may be gone.
-    pub(crate) fn tell_changed_entries(
+    pub(crate) fn send_entry_changes(
         &mut self,
         entries: &BTreeSet<SocketAddr>,
         added: &[SocketAddr],
     ) {
-        if self.is_choice_of_told && self.chosen.is_subset(entries) {
+        if self.is_chosen_from_sent && self.chosen.is_subset(entries) {
             let chosen = self.chosen.iter().chain(added);
-            self.tell_entries(chosen.copied().collect());
+            self.send_entries(chosen.copied().collect());
         } else {
-            self.tell_entries(entries.clone());
+            self.send_entries(entries.clone());
         }
     }
 
     /// Tells the agent that its offer is of no use, if it made one.
     pub(crate) fn decline_offer(&mut self) {
         if std::mem::take(&mut self.has_offered) {
-            self.outbox.push(Order::Decline);
+            self.outbox.push(Order::DeclineOffer);
         }
     }
 
     pub(crate) fn takes_starts(&self, now_ms: u64) -> bool {
-        self.is_open && !self.is_evacuated && now_ms <= self.heard_ms + QUIET_MS
+        self.is_accepting_starts && !self.is_evacuated && now_ms <= self.last_seen_ms + QUIET_MS
     }
 
     /// Demand of the other entries on this agent.
     pub(crate) fn demand_of_others(&self) -> Demand {
-        self.demand.minus(self.told)
+        self.demand.minus(self.sent_demand)
     }
 
     pub(crate) fn has_label(&self, label: &Name) -> bool {
--- a/crates/dispatch/src/dispatcher/intake.rs
+++ b/crates/dispatch/src/dispatcher/intake.rs
@@ -2,19 +2,19 @@
 
 use gannetvane_wire::Name;
 
-use crate::Caller;
+use crate::CallerId;
 use crate::Job;
 use crate::JobOutcome;
 use crate::Refusal;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::DispatcherAction;
-use crate::dispatcher::JobEvent;
+use crate::dispatcher::EntryEvent;
 use crate::dispatcher::evacuation::retry_after_ms;
 use crate::dispatcher::jobs::JobState;
 
 impl Dispatcher {
     /// A caller submits a job.
-    pub fn submit(&mut self, now_ms: u64, caller: Caller, job: Job) {
+    pub fn submit(&mut self, now_ms: u64, caller: CallerId, job: Job) {
         self.callers.insert(caller, job.id.clone());
         if let Some(earlier) = self.jobs.get_mut(&job.id) {
             if earlier.is_open() {
@@ -28,7 +28,7 @@
     }
 
     /// A caller has gone away.
-    pub fn caller_left(&mut self, now_ms: u64, caller: Caller) {
+    pub fn caller_left(&mut self, now_ms: u64, caller: CallerId) {
         let Some(id) = self.callers.remove(&caller) else {
             return;
         };
@@ -58,11 +58,11 @@
         is_open
     }
 
-    pub(crate) fn admit(&mut self, caller: Caller, job: Job, received_ms: u64) {
+    pub(crate) fn admit(&mut self, caller: CallerId, job: Job, received_ms: u64) {
         if let Err(reason) = self.check(&job) {
             let retry_after_ms = retry_after_ms(reason);
             let detail = format!("reason={} queue={}", reason.name(), job.queue.name);
-            self.actions.push(DispatcherAction::Event(JobEvent {
+            self.actions.push(DispatcherAction::Event(EntryEvent {
                 event: "refused",
                 job: Some(job.id.clone()),
                 detail,
@@ -78,15 +78,15 @@
             return;
         }
         let id = job.id.clone();
-        let now_ms = self.ticked_ms.max(received_ms);
+        let now_ms = self.last_tick_ms.max(received_ms);
         let state = JobState::new(received_ms, caller, job, &self.estimates);
-        let is_taken = self.takes_in(now_ms, &state);
+        let is_taken = self.policy_admits(now_ms, &state);
         self.jobs.insert(id.clone(), state);
-        self.recall_crashes(&id);
+        self.apply_known_crashes(&id);
         if !is_taken {
             self.refuse_overloaded(now_ms, &id, "over-share");
         } else if self.jobs.get(&id).is_some_and(JobState::crashes_minions) {
-            self.settle(now_ms, &id);
+            self.advance_job(now_ms, &id);
         }
     }
 
--- a/crates/dispatch/src/dispatcher/jobs.rs
+++ b/crates/dispatch/src/dispatcher/jobs.rs
@@ -5,16 +5,16 @@
 
 use gannetvane_wire::Name;
 
-use crate::Caller;
+use crate::CallerId;
 use crate::Crash;
-use crate::CrashSign;
+use crate::CrashEvidence;
 use crate::Job;
 use crate::JobOutcome;
 use crate::OrderId;
 use crate::RunKey;
 use crate::TaskId;
 use crate::dispatcher::estimate::Estimates;
-use crate::ledger::partition::JobEntry;
+use crate::ledger::partition::OwnedJob;
 use crate::policy::WaitingJob;
 use crate::stored::RUNS_PER_EPOCH;
 
@@ -30,10 +30,10 @@
 /// Weight of the signs with which a task is given up, since each such minion is gone for
 /// seconds with all that ran there: two sure crashes, or four at most. A weak sign beside
 /// a sure one is not enough: a sound task may meet a crash of another cause.
-const SUSPICION_OF_A_TASK: u32 = 4;
+const MAX_CRASH_WEIGHT: u32 = 4;
 /// The same for a stored task, which may meet such crashes in a longer time: three
 /// crashes, and five at most.
-const SUSPICION_OF_A_STORED_TASK: u32 = 5;
+const MAX_STORED_CRASH_WEIGHT: u32 = 5;
 
 /// Where a task stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     /// Runs that failed.
     pub(crate) failures: u32,
     /// Minions that crashed under it, by the number of the crash.
-    pub(crate) crashes: BTreeMap<u64, CrashSign>,
+    pub(crate) crashes: BTreeMap<u64, CrashEvidence>,
     /// Crashes that the log does not tell of yet.
     unrecorded: u32,
     /// Times that it was moved since its host was slow.
@@ -83,8 +83,8 @@
 
 impl TaskState {
     /// Weight of the signs that it crashes its minions.
-    pub(crate) fn suspicion(&self) -> u32 {
-        CrashSign::weight(self.crashes.values().copied())
+    pub(crate) fn crash_weight(&self) -> u32 {
+        CrashEvidence::weight(self.crashes.values().copied())
     }
 
     /// A crash is to be recorded before it is started anew.
@@ -125,21 +125,21 @@
 #[derive(Debug)]
 pub(crate) struct JobState {
     pub(crate) job: Arc<Job>,
-    pub(crate) callers: Vec<Caller>,
+    pub(crate) callers: Vec<CallerId>,
     pub(crate) received_ms: u64,
     /// When it should be complete.
     pub(crate) objective_ms: u64,
     /// When it is of no use any more.
-    pub(crate) worthless_ms: u64,
+    pub(crate) give_up_at_ms: u64,
     /// Time by which a task works longer than was expected, in milliseconds.
     excess_ms: f64,
     pub(crate) tasks: Vec<TaskState>,
     /// Whether a minion may have run some of it.
-    pub(crate) has_run: bool,
+    pub(crate) may_have_run: bool,
     /// How it ended; tasks may still be about to stop.
     pub(crate) outcome: Option<JobOutcome>,
     /// A submission of the same id that waits until this one is gone.
-    pub(crate) next: Option<(Caller, Job, u64)>,
+    pub(crate) next: Option<(CallerId, Job, u64)>,
     pub(crate) first_start_ms: Option<u64>,
     /// Until when agents know that its tasks wait.
     pub(crate) probed_until_ms: u64,
@@ -149,14 +149,14 @@
     /// and its ends are recorded.
     pub(crate) is_stored: bool,
     /// Whether a minion was seen to run some of it.
-    pub(crate) was_seen: bool,
+    pub(crate) was_seen_running: bool,
     /// Whether nothing more of it is started here.
-    pub(crate) is_held: bool,
+    pub(crate) is_paused: bool,
 }
 
 impl JobState {
     /// A job whose caller waits.
-    pub(crate) fn new(now_ms: u64, caller: Caller, job: Job, estimates: &Estimates) -> Self {
+    pub(crate) fn new(now_ms: u64, caller: CallerId, job: Job, estimates: &Estimates) -> Self {
         let mut state = Self::without_caller(now_ms, job, estimates);
         state.callers.push(caller);
         state
@@ -167,12 +167,12 @@
         now_ms: u64,
         job: Job,
         epoch: u32,
-        known: &JobEntry,
+        known: &OwnedJob,
         estimates: &Estimates,
     ) -> Self {
         let mut state = Self::without_caller(now_ms, job, estimates);
         state.is_stored = true;
-        state.worthless_ms = u64::MAX;
+        state.give_up_at_ms = u64::MAX;
         for (position, task) in (0_u32..).zip(&mut state.tasks) {
             task.run = epoch.saturating_mul(RUNS_PER_EPOCH);
             task.failures = known.progress.failures(position);
@@ -186,7 +186,7 @@
     }
 
     fn without_caller(now_ms: u64, job: Job, estimates: &Estimates) -> Self {
-        let times = Times::new(&job, chain_ms(&job, estimates));
+        let times = Times::new(&job, critical_path_ms(&job, estimates));
         let tasks = job.steps.iter().enumerate().flat_map(|(number, step)| {
             let phase = if step.after.is_empty() {
                 TaskPhase::Waiting
@@ -212,17 +212,17 @@
             callers: Vec::new(),
             received_ms: now_ms,
             objective_ms: now_ms.saturating_add(times.objective_ms),
-            worthless_ms: now_ms.saturating_add(times.worthless_ms),
+            give_up_at_ms: now_ms.saturating_add(times.give_up_at_ms),
             excess_ms: 0.0,
-            has_run: false,
+            may_have_run: false,
             outcome: None,
             next: None,
             first_start_ms: None,
             probed_until_ms: 0,
             last_end: String::new(),
             is_stored: false,
-            was_seen: false,
-            is_held: false,
+            was_seen_running: false,
+            is_paused: false,
         }
     }
 
@@ -240,11 +240,11 @@
             return;
         }
         self.excess_ms = excess_ms;
-        let chain_ms = chain_ms(&self.job, estimates) + excess_ms;
-        let times = Times::new(&self.job, chain_ms);
+        let critical_path_ms = critical_path_ms(&self.job, estimates) + excess_ms;
+        let times = Times::new(&self.job, critical_path_ms);
         let received_ms = self.received_ms;
         self.objective_ms = self.objective_ms.max(received_ms + times.objective_ms);
-        self.worthless_ms = self.worthless_ms.max(received_ms + times.worthless_ms);
+        self.give_up_at_ms = self.give_up_at_ms.max(received_ms + times.give_up_at_ms);
     }
 
     pub(crate) fn is_open(&self) -> bool {
@@ -252,7 +252,7 @@
     }
 
     /// Holds a crash against its task; the task's position if that is news.
-    pub(crate) fn hold_against(&mut self, crash: &Crash) -> Option<usize> {
+    pub(crate) fn record_crash(&mut self, crash: &Crash) -> Option<usize> {
         let is_its = |task: &TaskState| {
             u32::try_from(task.step).is_ok_and(|step| step == crash.task.step)
                 && task.index == crash.task.index
@@ -260,17 +260,17 @@
         let position = self.tasks.iter().position(is_its)?;
         let known = self.tasks[position]
             .crashes
-            .insert(crash.number, crash.sign);
+            .insert(crash.number, crash.evidence);
         known.is_none().then_some(position)
     }
 
     /// Whether so many minions crashed under a task that it is given up.
     pub(crate) fn crashes_minions(&self) -> bool {
         let limit = match self.is_stored {
-            true => SUSPICION_OF_A_STORED_TASK,
-            false => SUSPICION_OF_A_TASK,
+            true => MAX_STORED_CRASH_WEIGHT,
+            false => MAX_CRASH_WEIGHT,
         };
-        self.tasks.iter().any(|task| task.suspicion() >= limit)
+        self.tasks.iter().any(|task| task.crash_weight() >= limit)
     }
 
     pub(crate) fn is_done(&self) -> bool {
@@ -289,12 +289,12 @@
 
     /// Whether nothing of it has run or may run.
     pub(crate) fn is_untouched(&self) -> bool {
-        !self.has_run && self.is_clear()
+        !self.may_have_run && self.is_clear()
     }
 
     pub(crate) fn has_waiting(&self) -> bool {
         let mut tasks = self.tasks.iter();
-        !self.is_held && tasks.any(|task| task.phase == TaskPhase::Waiting)
+        !self.is_paused && tasks.any(|task| task.phase == TaskPhase::Waiting)
     }
 
     pub(crate) fn orders(&self) -> Vec<OrderId> {
@@ -372,15 +372,15 @@
     pub(crate) fn waiting(&self, estimates: &Estimates) -> WaitingJob {
         WaitingJob {
             objective_ms: self.objective_ms,
-            rest_ms: chain_from_ms(&self.job, self.next_step(), estimates),
-            has_begun: self.first_start_ms.is_some(),
+            remaining_ms: critical_path_from_ms(&self.job, self.next_step(), estimates),
+            has_started: self.first_start_ms.is_some(),
         }
     }
 
     /// Time at which a task of the step must start for the job to be in time.
     pub(crate) fn latest_start_ms(&self, step: usize, estimates: &Estimates) -> i64 {
-        let rest_ms = chain_from_ms(&self.job, step, estimates);
-        self.objective_ms.cast_signed() - rest_ms as i64
+        let remaining_ms = critical_path_from_ms(&self.job, step, estimates);
+        self.objective_ms.cast_signed() - remaining_ms as i64
     }
 }
 
@@ -389,28 +389,29 @@
     /// Within which it should be complete.
     objective_ms: u64,
     /// After which it is of no use.
-    worthless_ms: u64,
+    give_up_at_ms: u64,
 }
 
 impl Times {
-    fn new(job: &Job, chain_ms: f64) -> Self {
-        let objective_ms = job.queue.stretch * chain_ms + job.queue.target_latency_ms as f64;
+    fn new(job: &Job, critical_path_ms: f64) -> Self {
+        let objective_ms =
+            job.queue.stretch * critical_path_ms + job.queue.target_latency_ms as f64;
         let late_ms = (objective_ms * LATE_FACTOR - TRANSIT_MS).max(1.0) as u64;
         Self {
             objective_ms: (objective_ms - TRANSIT_MS).max(1.0) as u64,
-            worthless_ms: late_ms.min(job.wait_ms.max(1)),
+            give_up_at_ms: late_ms.min(job.wait_ms.max(1)),
         }
     }
 }
 
 /// Longest chain of expected run times, in milliseconds.
-fn chain_ms(job: &Job, estimates: &Estimates) -> f64 {
-    let lengths = (0..job.steps.len()).map(|step| chain_from_ms(job, step, estimates));
+fn critical_path_ms(job: &Job, estimates: &Estimates) -> f64 {
+    let lengths = (0..job.steps.len()).map(|step| critical_path_from_ms(job, step, estimates));
     lengths.fold(0.0, f64::max)
 }
 
 /// Expected time from the start of a step to the end of all that needs it.
-fn chain_from_ms(job: &Job, step: usize, estimates: &Estimates) -> f64 {
+fn critical_path_from_ms(job: &Job, step: usize, estimates: &Estimates) -> f64 {
     let own_ms = estimates.expected_ms(&job.queue.name, job.steps[step].declared_ms);
     let mut longest: BTreeMap<usize, f64> = BTreeMap::from([(step, own_ms)]);
     for later in step + 1..job.steps.len() {
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -24,37 +24,37 @@
 
 use crate::AgentFrame;
 use crate::AgentHello;
-use crate::Caller;
-use crate::CrashBook;
+use crate::CallerId;
 use crate::EntryFrame;
 use crate::Evacuations;
 use crate::GRANT_MS;
 use crate::JobOutcome;
 use crate::KEEPALIVE_MS;
+use crate::KnownCrashes;
 use crate::LinkId;
 use crate::OrderId;
+use crate::RUNS_GONE_AFTER_MS;
 use crate::Report;
 use crate::RoutingTable;
-use crate::SAFE_AFTER_MS;
 use crate::dispatcher::crashes::LostRuns;
 use crate::dispatcher::estimate::Estimates;
 use crate::dispatcher::fleet::AgentState;
 use crate::dispatcher::fleet::Hosts;
 use crate::dispatcher::jobs::JobState;
 use crate::dispatcher::jobs::TaskPhase;
-use crate::dispatcher::overload::MINION_WAIT_PART;
+use crate::dispatcher::overload::MINION_WAIT_DIVISOR;
 use crate::dispatcher::overload::SHED_MS;
 use crate::policy::BoxedPolicy;
 use crate::policy::FairShare;
-use crate::policy::Flow;
+use crate::policy::WorkRate;
 use crate::stored::StoredEvent;
 
 /// Pause after which this process counts as having stood still, in
 /// milliseconds; agents have then stopped what it ordered.
-pub(crate) const STOOD_STILL_MS: u64 = 300;
+pub(crate) const SUSPENSION_MS: u64 = 300;
 /// Time after standing still before anything is started, in milliseconds:
 /// broken connections of callers are noticed first.
-const SETTLE_MS: u64 = 40;
+const RESUME_DELAY_MS: u64 = 40;
 /// Settings of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatcherSettings {
@@ -70,18 +70,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatcherAction {
     /// Answer a caller.
-    Answer(Caller, JobOutcome),
+    Answer(CallerId, JobOutcome),
     /// Send a frame to an agent.
     Send(LinkId, EntryFrame),
     /// Close the connection to an agent.
     Close(LinkId),
     /// Log and count.
-    Event(JobEvent),
+    Event(EntryEvent),
 }
 
 /// Something that touches a job or changes what the entry believes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct JobEvent {
+pub struct EntryEvent {
     /// Name of the event; each has one meaning.
     pub event: &'static str,
     /// The job, if it is about one.
@@ -113,27 +113,27 @@
     pub(crate) evacuations: Evacuations,
     pub(crate) agents: BTreeMap<LinkId, AgentState>,
     /// The entries that all agents were last told of.
-    told_entries: BTreeSet<SocketAddr>,
+    sent_entries: BTreeSet<SocketAddr>,
     pub(crate) hosts: Hosts,
     pub(crate) jobs: BTreeMap<Name, JobState>,
     pub(crate) orders: BTreeMap<OrderId, OrderState>,
-    pub(crate) callers: BTreeMap<Caller, Name>,
+    pub(crate) callers: BTreeMap<CallerId, Name>,
     pub(crate) estimates: Estimates,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) next_order: u64,
     pub(crate) is_stopping: bool,
-    pub(crate) ticked_ms: u64,
-    pub(crate) settled_ms: u64,
+    pub(crate) last_tick_ms: u64,
+    pub(crate) starts_resume_at_ms: u64,
     pub(crate) policy: BoxedPolicy,
     /// Work of each service that was started of late.
-    pub(crate) started: BTreeMap<Name, Flow>,
+    pub(crate) started: BTreeMap<Name, WorkRate>,
     pub(crate) shed_ms: u64,
     pub(crate) lenient: Vec<Name>,
     /// Speed that minions have at present, 1 for the ordinary one.
     pub(crate) usual_speed: f64,
     pub(crate) actions: Vec<DispatcherAction>,
     pub(crate) stored_events: Vec<StoredEvent>,
-    pub(crate) crashes: CrashBook,
+    pub(crate) crashes: KnownCrashes,
     pub(crate) lost_runs: LostRuns,
 }
 
@@ -153,7 +153,7 @@
             table: RoutingTable::default(),
             evacuations: Evacuations::default(),
             agents: BTreeMap::new(),
-            told_entries: BTreeSet::new(),
+            sent_entries: BTreeSet::new(),
             hosts: Hosts::default(),
             jobs: BTreeMap::new(),
             orders: BTreeMap::new(),
@@ -161,8 +161,8 @@
             estimates: Estimates::default(),
             next_order: 1,
             is_stopping: false,
-            ticked_ms: now_ms,
-            settled_ms: now_ms,
+            last_tick_ms: now_ms,
+            starts_resume_at_ms: now_ms,
             policy,
             started: BTreeMap::new(),
             shed_ms: now_ms,
@@ -170,7 +170,7 @@
             usual_speed: 1.0,
             actions: Vec::new(),
             stored_events: Vec::new(),
-            crashes: CrashBook::default(),
+            crashes: KnownCrashes::default(),
             lost_runs: LostRuns::default(),
         }
     }
@@ -194,7 +194,7 @@
 
     /// Jobs whose callers wait.
     #[must_use]
-    pub fn open_jobs(&self) -> usize {
+    pub fn unfinished_jobs(&self) -> usize {
         self.jobs.values().filter(|job| job.is_open()).count()
     }
 
@@ -241,7 +241,7 @@
         );
         self.event("agent-up", None, detail);
         self.hosts.greeted(&hello);
-        self.offered(link, hello.kept.clone());
+        self.retained_ends_reported(link, hello.retained_ends.clone());
         self.learn_crashes(now_ms, hello.crashes.clone());
         self.learn_unseen_crashes(now_ms, &hello);
         let host = hello.host.clone();
@@ -254,7 +254,7 @@
             self.agent_down(stale, "greeted-again");
         }
         self.agents.insert(link, AgentState::new(now_ms, hello));
-        self.tell_evacuations(link);
+        self.send_evacuations(link);
         self.release_orphans(&host);
     }
 
@@ -270,16 +270,17 @@
             orders.len()
         );
         self.event("agent-down", None, detail);
-        let until_ms = agent.sent_ms + SAFE_AFTER_MS;
+        let until_ms = agent.sent_ms + RUNS_GONE_AFTER_MS;
         for order in orders {
             let Some(state) = self.orders.remove(&order) else {
                 continue;
             };
             if let Some(job) = self.jobs.get_mut(&state.job) {
                 job.tasks[state.position].phase = TaskPhase::Orphaned { until_ms };
-                job.has_run = true;
+                job.may_have_run = true;
                 let run = job.run_key(state.position);
-                self.lost_runs.add(self.ticked_ms, order, run, &agent.hello);
+                self.lost_runs
+                    .add(self.last_tick_ms, order, run, &agent.hello);
             }
             let detail = format!(
                 "position={} host={} cause={cause}",
@@ -295,16 +296,16 @@
         let Some(agent) = self.agents.get_mut(&link) else {
             return;
         };
-        agent.heard(now_ms, &frame);
+        agent.update(now_ms, &frame);
         for report in frame.reports {
             match report {
                 Report::Ended {
                     order,
                     end,
                     ran_ms,
-                    kept,
-                } => self.ended(now_ms, order, end, ran_ms, kept),
-                Report::Kept(ends) => self.offered(link, ends),
+                    retained_number,
+                } => self.ended(now_ms, order, end, ran_ms, retained_number),
+                Report::RetainedEnds(ends) => self.retained_ends_reported(link, ends),
                 Report::Capacity(capacity) => self.resized(now_ms, link, capacity),
                 Report::Progress {
                     order,
@@ -318,12 +319,12 @@
 
     /// Does what is due; returns when to call again at the latest.
     pub fn tick(&mut self, now_ms: u64) -> u64 {
-        if now_ms > self.ticked_ms + STOOD_STILL_MS {
-            let detail = format!("pause_ms={}", now_ms - self.ticked_ms);
+        if now_ms > self.last_tick_ms + SUSPENSION_MS {
+            let detail = format!("pause_ms={}", now_ms - self.last_tick_ms);
             self.event("stood-still", None, detail);
-            self.settled_ms = now_ms + SETTLE_MS;
+            self.starts_resume_at_ms = now_ms + RESUME_DELAY_MS;
         }
-        self.ticked_ms = now_ms;
+        self.last_tick_ms = now_ms;
         self.drop_silent(now_ms);
         self.expire_orphans(now_ms);
         self.crashes.expire(now_ms);
@@ -346,10 +347,10 @@
             .map(|agent| agent.sent_ms + KEEPALIVE_MS);
         let open = self.jobs.values().filter(|job| job.is_open());
         let jobs = open.map(|job| {
-            let part_ms = (job.objective_ms - job.received_ms) / MINION_WAIT_PART + 1;
+            let part_ms = (job.objective_ms - job.received_ms) / MINION_WAIT_DIVISOR + 1;
             match job.first_start_ms {
                 None if now_ms < job.received_ms + part_ms => job.received_ms + part_ms,
-                _ => job.worthless_ms,
+                _ => job.give_up_at_ms,
             }
         });
         let due_ms = frames.chain(jobs).min().unwrap_or(now_ms + KEEPALIVE_MS);
@@ -358,12 +359,12 @@
 
     /// Gives up agents that are silent for as long as a grant lasts.
     pub(crate) fn drop_silent(&mut self, now_ms: u64) {
-        let is_silent = |agent: &AgentState| {
-            let is_unheard = now_ms > agent.heard_ms + GRANT_MS;
+        let is_lost = |agent: &AgentState| {
+            let is_unheard = now_ms > agent.last_seen_ms + GRANT_MS;
             let is_expired = agent.sent_ms > 0 && now_ms > agent.sent_ms + GRANT_MS;
             is_unheard || is_expired
         };
-        let silent = self.agents.iter().filter(|(_, agent)| is_silent(agent));
+        let silent = self.agents.iter().filter(|(_, agent)| is_lost(agent));
         let silent: Vec<LinkId> = silent.map(|(link, _)| *link).collect();
         for link in silent {
             self.actions.push(DispatcherAction::Close(link));
@@ -383,10 +384,10 @@
                 continue;
             }
             let demand = demands.get(&agent.hello.service).copied();
-            agent.told = demand.unwrap_or_default();
+            agent.sent_demand = demand.unwrap_or_default();
             let frame = EntryFrame {
                 grant_until_ms: agent.grant_until_ms(now_ms),
-                demand: agent.told,
+                demand: agent.sent_demand,
                 orders: std::mem::take(&mut agent.outbox),
             };
             agent.sent_ms = now_ms;
@@ -395,27 +396,27 @@
     }
 
     /// Tells each agent of the entries that it is to link to.
-    pub fn tell_entries(&mut self, entries: &[SocketAddr]) {
+    pub fn send_entries(&mut self, entries: &[SocketAddr]) {
         let told: BTreeSet<SocketAddr> = entries.iter().copied().collect();
-        let added: Vec<SocketAddr> = told.difference(&self.told_entries).copied().collect();
+        let added: Vec<SocketAddr> = told.difference(&self.sent_entries).copied().collect();
         for agent in self.agents.values_mut() {
-            agent.tell_changed_entries(&told, &added);
+            agent.send_entry_changes(&told, &added);
         }
-        self.told_entries = told;
+        self.sent_entries = told;
     }
 
     /// Tells one agent of the entries that it is to link to.
-    pub fn tell_entries_to(&mut self, link: LinkId, entries: &[SocketAddr]) {
+    pub fn send_entries_to(&mut self, link: LinkId, entries: &[SocketAddr]) {
         if let Some(agent) = self.agents.get_mut(&link) {
             let entries = entries.iter().copied().collect();
-            let is_as_told = entries == self.told_entries;
-            agent.tell_entries(entries);
-            agent.is_choice_of_told = is_as_told;
+            let is_as_told = entries == self.sent_entries;
+            agent.send_entries(entries);
+            agent.is_chosen_from_sent = is_as_told;
         }
     }
 
     pub(crate) fn event(&mut self, event: &'static str, job: Option<Name>, detail: String) {
-        self.actions.push(DispatcherAction::Event(JobEvent {
+        self.actions.push(DispatcherAction::Event(EntryEvent {
             event,
             job,
             detail,
--- a/crates/dispatch/src/dispatcher/overload.rs
+++ b/crates/dispatch/src/dispatcher/overload.rs
@@ -10,11 +10,11 @@
 use crate::Refusal;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::jobs::JobState;
-use crate::policy::LEAST_RATE_MILLI;
+use crate::policy::MIN_RATE_MILLI;
 
 /// A job waits for the first minion of its service for one in this many parts
 /// of its objective; agents greet within that after a restart.
-pub(crate) const MINION_WAIT_PART: u64 = 3;
+pub(crate) const MINION_WAIT_DIVISOR: u64 = 3;
 /// Pause between two looks for jobs without a prospect, in milliseconds.
 pub(crate) const SHED_MS: u64 = 10;
 
@@ -25,7 +25,7 @@
             .jobs
             .iter()
             .filter(|(_, job)| job.is_open() && !job.is_stored)
-            .filter(|(_, job)| self.is_hopeless(now_ms, job))
+            .filter(|(_, job)| self.is_expired(now_ms, job))
             .map(|(id, _)| id.clone())
             .collect();
         for id in over {
@@ -53,13 +53,13 @@
 
     /// Whether a job is of no use any more, or has waited in vain for a minion
     /// of its service.
-    pub(crate) fn is_hopeless(&self, now_ms: u64, job: &JobState) -> bool {
+    pub(crate) fn is_expired(&self, now_ms: u64, job: &JobState) -> bool {
         let waited_ms = now_ms.saturating_sub(job.received_ms);
         let objective_ms = job.objective_ms.saturating_sub(job.received_ms);
-        let has_waited = waited_ms * MINION_WAIT_PART >= objective_ms;
+        let has_waited = waited_ms * MINION_WAIT_DIVISOR >= objective_ms;
         let waits_in_vain =
             job.is_untouched() && has_waited && !self.has_minions(&job.job.queue.service);
-        now_ms >= job.worthless_ms || waits_in_vain
+        now_ms >= job.give_up_at_ms || waits_in_vain
     }
 
     /// Refuses jobs of which nothing has started and that would not be complete
@@ -70,7 +70,7 @@
         }
         let rates = self.drain_rates();
         let mut ahead: BTreeMap<Name, f64> = BTreeMap::new();
-        let mut hopeless = Vec::new();
+        let mut shed_jobs = Vec::new();
         for id in self.waiting_by_urgency(now_ms) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -78,15 +78,15 @@
             let service = &job.job.queue.service;
             let work =
                 ahead.get(service).copied().unwrap_or(0.0) + job.waiting_work(&self.estimates);
-            let rate_milli = rates.get(service).copied().unwrap_or(LEAST_RATE_MILLI);
-            if !job.is_stored && self.has_no_prospect(now_ms, job, work / rate_milli) {
-                hopeless.push((id, service.clone(), job.received_ms));
+            let rate_milli = rates.get(service).copied().unwrap_or(MIN_RATE_MILLI);
+            if !job.is_stored && self.cannot_meet_objective(now_ms, job, work / rate_milli) {
+                shed_jobs.push((id, service.clone(), job.received_ms));
             } else {
                 ahead.insert(service.clone(), work);
             }
         }
-        for (id, service, received_ms) in hopeless {
-            self.policy.waited_in_vain(now_ms, &service, received_ms);
+        for (id, service, received_ms) in shed_jobs {
+            self.policy.note_shed(now_ms, &service, received_ms);
             self.refuse_overloaded(now_ms, &id, "no-prospect");
         }
     }
@@ -107,12 +107,12 @@
 
     /// Whether nothing of a job has started and it is of no use when all of its
     /// tasks start within `wait_ms`.
-    fn has_no_prospect(&self, now_ms: u64, job: &JobState, wait_ms: f64) -> bool {
+    fn cannot_meet_objective(&self, now_ms: u64, job: &JobState, wait_ms: f64) -> bool {
         let service = &job.job.queue.service;
         if !job.is_untouched() || !self.has_minions(service) || !self.is_room_known(service) {
             return false;
         }
         let waiting = job.waiting(&self.estimates);
-        !self.policy.has_prospect(now_ms, &waiting, wait_ms)
+        !self.policy.can_meet_objective(now_ms, &waiting, wait_ms)
     }
 }
--- a/crates/dispatch/src/dispatcher/probes.rs
+++ b/crates/dispatch/src/dispatcher/probes.rs
@@ -9,9 +9,9 @@
 use crate::LinkId;
 use crate::Order;
 use crate::Probe;
-use crate::agent::offers::PROBE_MS;
+use crate::agent::offers::PROBE_TTL_MS;
 use crate::dispatcher::Dispatcher;
-use crate::dispatcher::STOOD_STILL_MS;
+use crate::dispatcher::SUSPENSION_MS;
 use crate::dispatcher::fleet::AgentState;
 use crate::dispatcher::jobs::TaskPhase;
 use crate::policy::placement;
@@ -24,8 +24,8 @@
     /// Tells agents of the tasks that wait, and answers offers that were of no
     /// use.
     pub(crate) fn probe(&mut self, now_ms: u64) {
-        let stands_still = now_ms > self.ticked_ms + STOOD_STILL_MS;
-        if now_ms >= self.settled_ms && !stands_still {
+        let stands_still = now_ms > self.last_tick_ms + SUSPENSION_MS;
+        if now_ms >= self.starts_resume_at_ms && !stands_still {
             let waiting = self
                 .jobs
                 .iter()
@@ -45,7 +45,7 @@
         let Some(state) = self.jobs.get_mut(id) else {
             return;
         };
-        state.probed_until_ms = now_ms + PROBE_MS;
+        state.probed_until_ms = now_ms + PROBE_TTL_MS;
         let job = Arc::clone(&state.job);
         let is_waiting = |position: &usize| state.tasks[*position].phase == TaskPhase::Waiting;
         let waiting: Vec<usize> = (0..state.tasks.len()).filter(is_waiting).collect();
@@ -60,12 +60,12 @@
             .iter()
             .map(|(link, agent)| (*link, agent))
             .collect();
-        let Some(demand) = self.demand(now_ms, &job, first) else {
+        let Some(context) = self.placement_context(now_ms, &job, first) else {
             return;
         };
         let count = waiting.len() * PROBES_A_TASK;
         let mut spread = || self.rng.random::<f64>();
-        let chosen = placement::choose_probed(&agents, &self.hosts, &demand, &mut spread, count);
+        let chosen = placement::choose_probed(&agents, &self.hosts, &context, &mut spread, count);
         // A small fleet has fewer agents than that, so each hears of more tasks.
         let tasks = count.div_ceil(chosen.len().max(1)).min(waiting.len());
         let probe = Probe {
--- a/crates/dispatch/src/dispatcher/resizes.rs
+++ b/crates/dispatch/src/dispatcher/resizes.rs
@@ -5,13 +5,13 @@
 use crate::Job;
 use crate::LinkId;
 use crate::Refusal;
-use crate::Room;
+use crate::Resources;
 use crate::dispatcher::Dispatcher;
 use crate::policy::placement;
 
 impl Dispatcher {
     /// An agent told that its minion has other room than before.
-    pub(crate) fn resized(&mut self, now_ms: u64, link: LinkId, capacity: Room) {
+    pub(crate) fn resized(&mut self, now_ms: u64, link: LinkId, capacity: Resources) {
         let Some(agent) = self.agents.get_mut(&link) else {
             return;
         };
@@ -19,7 +19,7 @@
         agent.resized(capacity);
         let detail = format!("host={} from={former:?} to={capacity:?}", agent.hello.host);
         self.event("agent-resized", None, detail);
-        if !capacity.holds(&former) {
+        if !capacity.can_fit(&former) {
             let is_homeless = |this: &Self, job: &Job| this.unfitting(job).is_some();
             self.refuse_untouched(now_ms, Refusal::Overloaded, is_homeless);
         }
--- a/crates/dispatch/src/dispatcher/rounds.rs
+++ b/crates/dispatch/src/dispatcher/rounds.rs
@@ -15,18 +15,18 @@
 use crate::Step;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::OrderState;
-use crate::dispatcher::STOOD_STILL_MS;
+use crate::dispatcher::SUSPENSION_MS;
 use crate::dispatcher::fleet::AgentState;
 use crate::dispatcher::jobs::JobState;
 use crate::dispatcher::jobs::TaskPhase;
 use crate::policy::Rank;
 use crate::policy::placement;
-use crate::policy::placement::Demand;
+use crate::policy::placement::PlacementContext;
 
 /// Least median speed that is reckoned with.
-const LEAST_USUAL_SPEED: f64 = 0.2;
+const MIN_USUAL_SPEED: f64 = 0.2;
 /// Ejection ends when more than one in this many hosts would be left out.
-const EJECTED_PART: usize = 2;
+const MAX_EJECTED_DIVISOR: usize = 2;
 /// Jobs that find no room before a round of placement ends.
 const MISSES_A_ROUND: usize = 12;
 
@@ -42,14 +42,14 @@
             *all += 1;
             *ejected += usize::from(is_ejected);
         }
-        let is_lenient = |(all, ejected): &(usize, usize)| ejected * EJECTED_PART > *all;
+        let is_lenient = |(all, ejected): &(usize, usize)| ejected * MAX_EJECTED_DIVISOR > *all;
         let lenient = counts.iter().filter(|(_, counts)| is_lenient(counts));
         lenient.map(|(service, _)| (*service).clone()).collect()
     }
 
     /// Orders waiting tasks, the most urgent first, while there is room.
     pub(crate) fn place(&mut self, now_ms: u64) {
-        if now_ms < self.settled_ms || now_ms > self.ticked_ms + STOOD_STILL_MS {
+        if now_ms < self.starts_resume_at_ms || now_ms > self.last_tick_ms + SUSPENSION_MS {
             return;
         }
         let open = self.open_agents(now_ms);
@@ -70,11 +70,11 @@
 
     /// The median speed of the minions at work, and at most the ordinary one.
     pub(crate) fn learn_usual_speed(&mut self) {
-        let at_work = self.agents.values().filter(|agent| agent.load() > 0.0);
-        let mut speeds: Vec<f64> = at_work.map(|agent| agent.speed).collect();
+        let busy = self.agents.values().filter(|agent| agent.load() > 0.0);
+        let mut speeds: Vec<f64> = busy.map(|agent| agent.speed).collect();
         speeds.sort_by(f64::total_cmp);
         let median = speeds.get(speeds.len() / 2).copied().unwrap_or(1.0);
-        self.usual_speed = median.clamp(LEAST_USUAL_SPEED, 1.0);
+        self.usual_speed = median.clamp(MIN_USUAL_SPEED, 1.0);
     }
 
     /// Agents that may take a waiting task; in a full fleet they are few, which
@@ -142,34 +142,34 @@
         position: usize,
         open: &[LinkId],
     ) -> Option<LinkId> {
-        let demand = self.demand(now_ms, job, position)?;
+        let context = self.placement_context(now_ms, job, position)?;
         let agents: Vec<(LinkId, &AgentState)> = open
             .iter()
             .filter_map(|link| Some((*link, self.agents.get(link)?)))
             .collect();
         let mut spread = || self.rng.random::<f64>();
-        placement::choose(&agents, &self.hosts, &demand, &mut spread)
+        placement::choose(&agents, &self.hosts, &context, &mut spread)
     }
 
     /// What the choice of an agent for a task depends on.
-    pub(crate) fn demand<'a>(
+    pub(crate) fn placement_context<'a>(
         &self,
         now_ms: u64,
         job: &'a Job,
         position: usize,
-    ) -> Option<Demand<'a>> {
+    ) -> Option<PlacementContext<'a>> {
         let state = self.jobs.get(&job.id)?;
         let task = &state.tasks[position];
         let step = &job.steps[task.step];
-        let mut beside: BTreeMap<Name, u32> = BTreeMap::new();
+        let mut tasks_per_host: BTreeMap<Name, u32> = BTreeMap::new();
         if step.max_per_minion > 0 {
             let same = state.tasks.iter().filter(|other| other.step == task.step);
             let running = same.filter(|other| matches!(other.phase, TaskPhase::Ordered(_)));
             for host in running.filter_map(|other| other.host.clone()) {
-                *beside.entry(host).or_default() += 1;
+                *tasks_per_host.entry(host).or_default() += 1;
             }
         }
-        Some(Demand {
+        Some(PlacementContext {
             step,
             service: &job.queue.service,
             zone: self.settings.zone.clone(),
@@ -178,7 +178,7 @@
                 .expected_ms(&job.queue.name, step.declared_ms),
             left_ms: state.objective_ms as f64 - now_ms as f64,
             avoid: self.avoided(&task.avoid, &job.queue.service, step),
-            beside,
+            tasks_per_host,
             remote_factor: self.settings.remote_factor,
             is_ejecting: !self.lenient.contains(&job.queue.service),
             now_ms,
@@ -214,7 +214,7 @@
         task.phase = TaskPhase::Ordered(order);
         task.host = Some(agent.hello.host.clone());
         let run = task.run;
-        let is_suspect = task.suspicion() > 0;
+        let is_suspect = task.crash_weight() > 0;
         state.first_start_ms.get_or_insert(now_ms);
         agent.add_order(order, step.needs);
         let work = expected_ms * f64::from(step.needs.cpu_milli);
--- a/crates/dispatch/src/dispatcher/stored_runs.rs
+++ b/crates/dispatch/src/dispatcher/stored_runs.rs
@@ -4,25 +4,25 @@
 use gannetvane_wire::Name;
 
 use crate::Dispatcher;
+use crate::Disposition;
 use crate::Job;
 use crate::JobOutcome;
-use crate::KeptEnd;
 use crate::LinkId;
 use crate::Order;
 use crate::Refusal;
-use crate::Settlement;
+use crate::RetainedEnd;
 use crate::Step;
 use crate::StoredJob;
 use crate::dispatcher::jobs::JobState;
 use crate::dispatcher::jobs::TaskPhase;
-use crate::ledger::partition::JobEntry;
+use crate::ledger::partition::OwnedJob;
 use crate::stored::RUNS_PER_EPOCH;
 use crate::stored::StoredEvent;
 
 /// A stored job is refused when all that waits before it takes longer than
 /// this, in milliseconds, and than its whole objective twice: a job is of use
 /// until three times its objective.
-const LONGEST_BACKLOG_MS: f64 = 3_000.0;
+const MAX_STORED_BACKLOG_MS: f64 = 3_000.0;
 const BACKLOG_OBJECTIVES: f64 = 2.0;
 
 impl Dispatcher {
@@ -54,7 +54,7 @@
         let rate = self.drain_rates().get(service).copied();
         let wait_ms = rate.map_or(0.0, |rate| ahead / rate);
         let longest_ms = stored.objective_ms() as f64 * BACKLOG_OBJECTIVES;
-        if wait_ms > longest_ms.max(LONGEST_BACKLOG_MS) {
+        if wait_ms > longest_ms.max(MAX_STORED_BACKLOG_MS) {
             return Err(Refusal::Overloaded);
         }
         Ok(())
@@ -67,7 +67,7 @@
         now_ms: u64,
         stored: &StoredJob,
         epoch: u32,
-        known: &JobEntry,
+        known: &OwnedJob,
     ) -> bool {
         if self.jobs.contains_key(&stored.id) {
             return false;
@@ -75,9 +75,9 @@
         let job = executable(stored);
         let state = JobState::stored(now_ms, job, epoch, known, &self.estimates);
         self.jobs.insert(stored.id.clone(), state);
-        self.recall_crashes(&stored.id);
+        self.apply_known_crashes(&stored.id);
         // All of it may be done, with only the end of the job not recorded.
-        self.settle(now_ms, &stored.id);
+        self.advance_job(now_ms, &stored.id);
         true
     }
 
@@ -96,38 +96,40 @@
     }
 
     /// Starts nothing more of a stored job; what runs may end.
-    pub(crate) fn hold_stored(&mut self, id: &Name) {
+    pub(crate) fn pause_stored(&mut self, id: &Name) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.is_held = true;
+            job.is_paused = true;
         }
     }
 
     /// Whether nothing of a stored job can be running.
-    pub(crate) fn is_stored_clear(&self, id: &Name) -> bool {
+    pub(crate) fn has_no_stored_runs(&self, id: &Name) -> bool {
         self.jobs.get(id).is_none_or(JobState::is_clear)
     }
 
     /// Whether something of a stored job is known to have begun here; a task
     /// that waits at an agent has not.
-    pub(crate) fn has_stored_begun(&self, id: &Name) -> bool {
+    pub(crate) fn has_stored_job_started(&self, id: &Name) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|job| job.was_seen)
+        job.is_some_and(|job| job.was_seen_running)
     }
 
     /// An agent offers ends that wait for an owner.
-    pub(crate) fn offered(&mut self, link: LinkId, ends: Vec<KeptEnd>) {
-        let offers = ends.into_iter().map(|end| StoredEvent::Offered(link, end));
+    pub(crate) fn retained_ends_reported(&mut self, link: LinkId, ends: Vec<RetainedEnd>) {
+        let offers = ends
+            .into_iter()
+            .map(|end| StoredEvent::EndRetained(link, end));
         self.stored_events.extend(offers);
     }
 
     /// Takes over the end of a run that this entry lost sight of, or that an
     /// earlier owner started; `false` when the task was started anew since.
-    pub(crate) fn adopt_end(
+    pub(crate) fn apply_retained_end(
         &mut self,
         now_ms: u64,
         id: &Name,
         position: u32,
-        end: &KeptEnd,
+        end: &RetainedEnd,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             return false;
@@ -151,7 +153,7 @@
             task.phase = TaskPhase::Waiting;
         }
         if job.is_open() {
-            self.settle(now_ms, id);
+            self.advance_job(now_ms, id);
         } else {
             self.clear_if_gone(id);
         }
@@ -159,7 +161,7 @@
     }
 
     /// A task whose last run was lost may be started anew.
-    pub(crate) fn run_noted(&mut self, id: &Name, position: u32) {
+    pub(crate) fn run_loss_recorded(&mut self, id: &Name, position: u32) {
         let job = self.jobs.get_mut(id);
         let task = job.and_then(|job| job.tasks.get_mut(position as usize));
         if let Some(task) = task.filter(|task| task.phase == TaskPhase::Noting) {
@@ -177,9 +179,9 @@
     }
 
     /// Tells an agent what became of an end that its minion keeps.
-    pub(crate) fn settle_end(&mut self, link: LinkId, number: u64, settlement: Settlement) {
+    pub(crate) fn send_disposition(&mut self, link: LinkId, number: u64, disposition: Disposition) {
         if let Some(agent) = self.agents.get_mut(&link) {
-            agent.outbox.push(Order::Settled(number, settlement));
+            agent.outbox.push(Order::Disposition(number, disposition));
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/views.rs
+++ b/crates/dispatch/src/dispatcher/views.rs
@@ -9,48 +9,48 @@
 use crate::dispatcher::fleet::AgentState;
 use crate::dispatcher::jobs::JobState;
 use crate::policy::Arrival;
-use crate::policy::LEAST_RATE_MILLI;
+use crate::policy::MIN_RATE_MILLI;
 use crate::policy::ServiceView;
 
 /// Share of a busy service that an entry reckons with at least: as if eight
 /// entries had equal shares.
-const LEAST_SHARE: f64 = 0.125;
+const MIN_SHARE: f64 = 0.125;
 /// Thousandths of a core in a core.
 const MILLI: f64 = 1_000.0;
 
 impl Dispatcher {
     /// Whether the policy takes in a job that has just come.
-    pub(crate) fn takes_in(&mut self, now_ms: u64, job: &JobState) -> bool {
+    pub(crate) fn policy_admits(&mut self, now_ms: u64, job: &JobState) -> bool {
         let queue = &job.job.queue;
         let waiting = job.waiting(&self.estimates);
         let arrival = Arrival {
             queue,
             work: job.waiting_work(&self.estimates),
-            slack_ms: (job.objective_ms - job.received_ms) as f64 - waiting.rest_ms,
+            slack_ms: (job.objective_ms - job.received_ms) as f64 - waiting.remaining_ms,
         };
         let view = self.service_view(now_ms, &queue.service);
-        self.policy.takes_in(now_ms, &arrival, &view)
+        self.policy.admits(now_ms, &arrival, &view)
     }
 
     /// The service as this entry sees it.
     pub(crate) fn service_view(&self, now_ms: u64, service: &Name) -> ServiceView {
         let own = self.own_demand(now_ms, service);
         let mut demand = own;
-        let mut room_milli = 0.0;
+        let mut capacity_milli = 0.0;
         for agent in self.agents_of(service) {
             demand = demand.plus(agent.demand_of_others());
             if agent.takes_starts(now_ms) {
-                room_milli += f64::from(agent.hello.capacity.cpu_milli) * agent.speed;
+                capacity_milli += f64::from(agent.hello.capacity.cpu_milli) * agent.speed;
             }
         }
         // An entry that stood still has not heard its agents for that time, and
         // would take their room for gone.
-        let is_awake = now_ms >= self.settled_ms && room_milli > 0.0;
+        let is_awake = now_ms >= self.starts_resume_at_ms && capacity_milli > 0.0;
         ServiceView {
-            room_milli,
+            capacity_milli,
             offered_milli: f64::from(demand.offered_milli),
             waiting_core_ms: f64::from(demand.waiting_core_ms),
-            is_room_known: is_awake && self.is_room_known(service),
+            is_capacity_known: is_awake && self.is_room_known(service),
         }
     }
 
@@ -123,8 +123,8 @@
         }
         for (service, used_milli) in used {
             let rate_milli = rates.entry(service).or_default();
-            let least_milli = used_milli * LEAST_SHARE;
-            *rate_milli = rate_milli.max(least_milli).max(LEAST_RATE_MILLI);
+            let least_milli = used_milli * MIN_SHARE;
+            *rate_milli = rate_milli.max(least_milli).max(MIN_RATE_MILLI);
         }
         rates
     }
--- a/crates/dispatch/src/evacuations.rs
+++ b/crates/dispatch/src/evacuations.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
     /// Records that are taken account of; 0 before any was read.
-    pub as_of: u64,
+    pub log_offset: u64,
     /// The zones.
     pub zones: BTreeSet<Name>,
 }
@@ -33,7 +33,7 @@
 
     /// Takes over what is newer; whether it was.
     pub fn advance(&mut self, newer: &Self) -> bool {
-        let is_newer = newer.as_of > self.as_of;
+        let is_newer = newer.log_offset > self.log_offset;
         if is_newer {
             self.clone_from(newer);
         }
--- a/crates/dispatch/src/gossip.rs
+++ b/crates/dispatch/src/gossip.rs
@@ -3,19 +3,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::CrashBook;
 use crate::Evacuations;
-use crate::KnownEntry;
+use crate::KnownCrashes;
 use crate::PeerFrame;
 use crate::RoutingTable;
+use crate::SeenEntry;
 
 /// Time from a frame with all known entries to the next, in milliseconds: a little
 /// less than five keepalives. Entries that became known are told at once.
-const LIST_MS: u64 = 4_500;
+const FULL_LIST_INTERVAL_MS: u64 = 4_500;
 
 /// What an entry tells the others.
 #[derive(Clone, Debug, Default)]
-pub struct PeerNews {
+pub struct GossipState {
     /// The configuration in force.
     pub table: Arc<RoutingTable>,
     /// The zones that are being emptied.
@@ -25,38 +25,38 @@
     /// Whether there are stored jobs.
     pub has_stored_jobs: bool,
     /// Crashes of minions under tasks.
-    pub crashes: CrashBook,
+    pub crashes: KnownCrashes,
 }
 
 /// What was told on a connection.
 #[derive(Debug, Default)]
-pub struct PeerTeller {
+pub struct GossipSender {
     version: u64,
-    evacuated_as_of: u64,
+    sent_evacuations_offset: u64,
     last_crash: u64,
     entries: Vec<SocketAddr>,
     listed_ms: Option<u64>,
 }
 
-impl PeerTeller {
+impl GossipSender {
     /// What changed since the last frame; everything in the first one.
     pub fn next_frame(
         &mut self,
         now_ms: u64,
-        news: &PeerNews,
-        known: impl FnOnce() -> Vec<KnownEntry>,
+        gossip: &GossipState,
+        known: impl FnOnce() -> Vec<SeenEntry>,
     ) -> PeerFrame {
-        let is_newer = news.table.version > self.version;
-        self.version = news.table.version;
-        let is_later = news.evacuations.as_of > self.evacuated_as_of;
-        self.evacuated_as_of = news.evacuations.as_of;
-        let crashes = news.crashes.since(now_ms, self.last_crash);
-        self.last_crash = news.crashes.last();
+        let is_newer = gossip.table.version > self.version;
+        self.version = gossip.table.version;
+        let is_later = gossip.evacuations.log_offset > self.sent_evacuations_offset;
+        self.sent_evacuations_offset = gossip.evacuations.log_offset;
+        let crashes = gossip.crashes.since(now_ms, self.last_crash);
+        self.last_crash = gossip.crashes.last();
         PeerFrame {
-            entries: self.next_entries(now_ms, news, known),
-            table: is_newer.then(|| (*news.table).clone()),
-            has_stored_jobs: news.has_stored_jobs,
-            evacuations: is_later.then(|| news.evacuations.clone()),
+            entries: self.next_entries(now_ms, gossip, known),
+            table: is_newer.then(|| (*gossip.table).clone()),
+            has_stored_jobs: gossip.has_stored_jobs,
+            evacuations: is_later.then(|| gossip.evacuations.clone()),
             crashes,
         }
     }
@@ -66,11 +66,13 @@
     fn next_entries(
         &mut self,
         now_ms: u64,
-        news: &PeerNews,
-        known: impl FnOnce() -> Vec<KnownEntry>,
-    ) -> Vec<KnownEntry> {
-        let is_list_due = self.listed_ms.is_none_or(|at_ms| now_ms >= at_ms + LIST_MS);
-        if !is_list_due && self.entries == news.entries {
+        gossip: &GossipState,
+        known: impl FnOnce() -> Vec<SeenEntry>,
+    ) -> Vec<SeenEntry> {
+        let is_list_due = self
+            .listed_ms
+            .is_none_or(|at_ms| now_ms >= at_ms + FULL_LIST_INTERVAL_MS);
+        if !is_list_due && self.entries == gossip.entries {
             return Vec::new();
         }
         let mut entries = known();
@@ -79,7 +81,7 @@
         } else {
             entries.retain(|entry| self.entries.binary_search(&entry.addr).is_err());
         }
-        self.entries.clone_from(&news.entries);
+        self.entries.clone_from(&gossip.entries);
         entries
     }
 }
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -8,11 +8,11 @@
 use thiserror::Error;
 
 use crate::Queue;
-use crate::Room;
+use crate::Resources;
 
 /// A caller that waits at an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Caller(pub u64);
+pub struct CallerId(pub u64);
 
 /// Names one task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     /// Number of tasks.
     pub count: u32,
     /// What each task needs.
-    pub needs: Room,
+    pub needs: Resources,
     /// Run time that the caller declared, in milliseconds.
     pub declared_ms: u64,
     /// Steps that must be done before this one.
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -5,7 +5,7 @@
 //!
 //! ```text
 //! entry's last frame --GRANT_MS--> agent stops the entry's tasks
-//!   --STOP_PATIENCE_MS--> a stop without an answer: no lease is extended any more
+//!   --STOP_TIMEOUT_MS--> a stop without an answer: no lease is extended any more
 //!   --MINION_LEASE_MS, on a clock that may be 2% slow--> the minion kills them
 //! ```
 
@@ -19,19 +19,19 @@
 pub const MINION_LEASE_MS: u64 = 450;
 /// Time after which an agent stops to extend the minion's lease because a
 /// stop has no answer, in milliseconds.
-pub const STOP_PATIENCE_MS: u64 = 250;
+pub const STOP_TIMEOUT_MS: u64 = 250;
 /// Time that a minion may take to stop a task, and rounding, in milliseconds.
 pub const STOP_GRACE_MS: u64 = 60;
 /// Time after the last frame to an agent at which nothing that was ordered
 /// there runs any more, whatever happened to the agent, in milliseconds.
-pub const SAFE_AFTER_MS: u64 =
-    GRANT_MS + STOP_PATIENCE_MS + MINION_LEASE_MS + MINION_LEASE_MS / 50 + STOP_GRACE_MS;
+pub const RUNS_GONE_AFTER_MS: u64 =
+    GRANT_MS + STOP_TIMEOUT_MS + MINION_LEASE_MS + MINION_LEASE_MS / 50 + STOP_GRACE_MS;
 
 /// Longest time after which a call without an answer is carried out, in milliseconds:
 /// the platform's calls come seconds late.
-pub(crate) const LATE_CALL_MS: u64 = 12_000;
+pub(crate) const MAX_CALL_DELAY_MS: u64 = 12_000;
 
 const _: () = assert!(
-    SAFE_AFTER_MS < 1_300,
+    RUNS_GONE_AFTER_MS < 1_300,
     "a job that is sent again must find nothing running"
 );
--- a/crates/dispatch/src/ledger/calls.rs
+++ b/crates/dispatch/src/ledger/calls.rs
@@ -14,7 +14,7 @@
 use crate::StoredJob;
 use crate::StoredState;
 use crate::ledger::partition::Change;
-use crate::ledger::partition::JobEntry;
+use crate::ledger::partition::OwnedJob;
 use crate::ledger::partition::OwnedPartition;
 use crate::stored::Progress;
 
@@ -108,7 +108,7 @@
                     self.state_or_wait(now_ms, doubt.caller, &doubt.job, dispatcher)
                 }
             } else if is_over {
-                Some(StoredAnswer::Elsewhere)
+                Some(StoredAnswer::NotOwner)
             } else {
                 self.doubts.push(doubt);
                 continue;
@@ -142,7 +142,7 @@
         let partition = self.partition_of(&id);
         let owned = self.partitions.get_mut(&partition);
         let Some(owned) = owned.filter(|owned| owned.takes_jobs()) else {
-            return Some(StoredAnswer::Elsewhere);
+            return Some(StoredAnswer::NotOwner);
         };
         match owned.jobs.get(&id) {
             Some(known) if known.is_accepted => return Some(StoredAnswer::Accepted),
@@ -161,7 +161,7 @@
             self.refused(&id, &[caller], refusal);
             return None;
         }
-        owned.jobs.insert(id.clone(), JobEntry::new(job));
+        owned.jobs.insert(id.clone(), OwnedJob::new(job));
         owned.push(now_ms, Change::Accept(id, vec![caller]));
         None
     }
@@ -209,17 +209,17 @@
 
     fn state(&mut self, id: &Name, dispatcher: &Dispatcher) -> StoredAnswer {
         let Some(owned) = self.served(id) else {
-            return StoredAnswer::Elsewhere;
+            return StoredAnswer::NotOwner;
         };
         let Some(entry) = owned.jobs.get(id).filter(|entry| entry.is_accepted) else {
             return StoredAnswer::Unknown;
         };
-        let has_begun = entry.progress != Progress::default()
+        let has_started = entry.progress != Progress::default()
             || !entry.crashes.is_empty()
-            || dispatcher.has_stored_begun(id);
+            || dispatcher.has_stored_job_started(id);
         StoredAnswer::State(match entry.end {
             Some((end, _)) => StoredState::Ended(end),
-            None if has_begun => StoredState::Running,
+            None if has_started => StoredState::Running,
             None => StoredState::Queued,
         })
     }
@@ -233,7 +233,7 @@
         dispatcher: &mut Dispatcher,
     ) -> Option<StoredAnswer> {
         let Some(owned) = self.served(id) else {
-            return Some(StoredAnswer::Elsewhere);
+            return Some(StoredAnswer::NotOwner);
         };
         let Some(entry) = owned.jobs.get_mut(id) else {
             return Some(StoredAnswer::Unknown);
@@ -251,12 +251,15 @@
     fn pending(&self, queue: &Name, dispatcher: &Dispatcher) -> StoredAnswer {
         let served = || self.partitions.values().filter(|owned| owned.takes_jobs());
         let jobs = served().flat_map(|owned| &owned.jobs);
-        let is_pending = |(id, entry): &(&Name, &JobEntry)| {
+        let is_pending = |(id, entry): &(&Name, &OwnedJob)| {
             let of_queue = entry
                 .job
                 .as_ref()
                 .is_some_and(|job| job.queue.name == *queue);
-            of_queue && entry.is_accepted && entry.is_open() && !dispatcher.has_stored_begun(id)
+            of_queue
+                && entry.is_accepted
+                && entry.is_open()
+                && !dispatcher.has_stored_job_started(id)
         };
         StoredAnswer::Pending {
             jobs: u32::try_from(jobs.filter(is_pending).count()).unwrap_or(u32::MAX),
--- a/crates/dispatch/src/ledger/jobs.rs
+++ b/crates/dispatch/src/ledger/jobs.rs
@@ -4,13 +4,13 @@
 use gannetvane_wire::Name;
 
 use crate::Dispatcher;
-use crate::KeptEnd;
+use crate::Disposition;
 use crate::Ledger;
 use crate::LinkId;
 use crate::Partition;
-use crate::Settlement;
+use crate::RetainedEnd;
 use crate::ledger::partition::Change;
-use crate::ledger::partition::JobEntry;
+use crate::ledger::partition::OwnedJob;
 use crate::ledger::partition::OwnedPartition;
 use crate::ledger::partition::Stage;
 use crate::stored::RUNS_PER_EPOCH;
@@ -18,7 +18,7 @@
 
 /// Time for which an offer waits for us to own its job, in milliseconds: as long
 /// as its agent keeps it.
-const OFFER_MS: u64 = 6_000;
+const PENDING_END_TTL_MS: u64 = 6_000;
 /// Time for which an ended job is still known, in milliseconds; the platform
 /// asks for 120 s.
 const RETENTION_MS: u64 = 150_000;
@@ -28,9 +28,9 @@
 
 /// An end that an agent offers to whoever owns its job.
 #[derive(Debug)]
-pub(crate) struct Offer {
+pub(crate) struct PendingEnd {
     link: LinkId,
-    end: KeptEnd,
+    end: RetainedEnd,
     until_ms: u64,
 }
 
@@ -54,7 +54,7 @@
                 let partition = self.partition_of(&job);
                 let owned = self.partitions.get_mut(&partition);
                 let Some(owned) = owned.filter(|owned| owned.jobs.contains_key(&job)) else {
-                    dispatcher.settle_end(link, number, Settlement::NoLongerOurs);
+                    dispatcher.send_disposition(link, number, Disposition::NotOwner);
                     return;
                 };
                 if let Some(entry) = owned.jobs.get_mut(&job) {
@@ -80,15 +80,15 @@
                 };
                 if let Some(entry) = owned.jobs.get_mut(&job) {
                     let of_task = entry.crashes.entry(position).or_default();
-                    of_task.insert(crash.number, crash.sign);
+                    of_task.insert(crash.number, crash.evidence);
                     owned.push(now_ms, Change::Crashed(job, position));
                 }
             }
-            StoredEvent::Offered(link, end) => {
-                self.offers.push(Offer {
+            StoredEvent::EndRetained(link, end) => {
+                self.pending_ends.push(PendingEnd {
                     link,
                     end,
-                    until_ms: now_ms + OFFER_MS,
+                    until_ms: now_ms + PENDING_END_TTL_MS,
                 });
             }
             StoredEvent::JobEnded(job, end) => {
@@ -106,14 +106,14 @@
     }
 
     /// Decides on the ends that agents offer, where their jobs are known.
-    pub(crate) fn take_offers(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
-        for offer in std::mem::take(&mut self.offers) {
-            let partition = self.partition_of(&offer.end.task.job);
+    pub(crate) fn decide_on_pending_ends(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
+        for pending in std::mem::take(&mut self.pending_ends) {
+            let partition = self.partition_of(&pending.end.task.job);
             let owned = self.partitions.get_mut(&partition);
-            let epoch = offer.end.run / RUNS_PER_EPOCH;
-            match owned.filter(|owned| owned.serves() && owned.may_judge(now_ms, epoch)) {
-                Some(owned) => take_offer(now_ms, owned, &offer, dispatcher),
-                None if now_ms < offer.until_ms => self.offers.push(offer),
+            let epoch = pending.end.run / RUNS_PER_EPOCH;
+            match owned.filter(|owned| owned.serves() && owned.can_decide(now_ms, epoch)) {
+                Some(owned) => apply_decision(now_ms, owned, &pending, dispatcher),
+                None if now_ms < pending.until_ms => self.pending_ends.push(pending),
                 None => {}
             }
         }
@@ -139,7 +139,7 @@
                 }
             }
             Stage::Flushing if !owned.is_flushed() => {}
-            Stage::Flushing if owned.is_settled(now_ms) => {
+            Stage::Flushing if owned.has_no_former_runs(now_ms) => {
                 owned.stage = Stage::Leaving;
                 owned.push(now_ms, Change::Release);
             }
@@ -152,7 +152,10 @@
 
 /// Whether nothing of the partition's jobs can be running here.
 fn is_clear(owned: &OwnedPartition, dispatcher: &Dispatcher) -> bool {
-    owned.jobs.keys().all(|id| dispatcher.is_stored_clear(id))
+    owned
+        .jobs
+        .keys()
+        .all(|id| dispatcher.has_no_stored_runs(id))
 }
 
 /// Runs a job of which nothing has run anywhere.
@@ -162,7 +165,7 @@
     id: &Name,
     dispatcher: &mut Dispatcher,
 ) {
-    let is_open = owned.jobs.get(id).is_some_and(JobEntry::is_open);
+    let is_open = owned.jobs.get(id).is_some_and(OwnedJob::is_open);
     if is_open && owned.serves() {
         start(now_ms, owned, id, dispatcher);
     }
@@ -171,7 +174,7 @@
 /// Runs the jobs of earlier owners, when nothing of theirs runs any more and the
 /// log says so; and those that could not be run at once.
 fn start_due(now_ms: u64, owned: &mut OwnedPartition, dispatcher: &mut Dispatcher) {
-    let is_due = |entry: &JobEntry| entry.is_accepted && !entry.is_started && entry.is_open();
+    let is_due = |entry: &OwnedJob| entry.is_accepted && !entry.is_started && entry.is_open();
     let due = owned.jobs.iter().filter(|(_, entry)| is_due(entry));
     let due: Vec<Name> = due.map(|(id, _)| id.clone()).collect();
     if due.is_empty() {
@@ -181,34 +184,44 @@
         for id in due {
             start(now_ms, owned, &id, dispatcher);
         }
-    } else if now_ms >= owned.settled_ms {
+    } else if now_ms >= owned.former_runs_gone_at_ms {
         owned.reopen(now_ms);
     }
 }
 
 /// Records an end that an agent offers, or tells that it must not count.
-fn take_offer(now_ms: u64, owned: &mut OwnedPartition, offer: &Offer, dispatcher: &mut Dispatcher) {
-    let settlement = judge_offer(now_ms, owned, &offer.end, dispatcher);
-    match settlement {
-        Some(settlement) => dispatcher.settle_end(offer.link, offer.end.number, settlement),
+fn apply_decision(
+    now_ms: u64,
+    owned: &mut OwnedPartition,
+    pending: &PendingEnd,
+    dispatcher: &mut Dispatcher,
+) {
+    let disposition = decide(now_ms, owned, &pending.end, dispatcher);
+    match disposition {
+        Some(disposition) => {
+            dispatcher.send_disposition(pending.link, pending.end.number, disposition);
+        }
         None => {
-            let id = offer.end.task.job.clone();
-            owned.push(now_ms, Change::TaskEnd(id, offer.link, offer.end.number));
+            let id = pending.end.task.job.clone();
+            owned.push(
+                now_ms,
+                Change::TaskEnd(id, pending.link, pending.end.number),
+            );
         }
     }
 }
 
 /// What becomes of an offered end; `None` when it is to be recorded.
-fn judge_offer(
+fn decide(
     now_ms: u64,
     owned: &mut OwnedPartition,
-    end: &KeptEnd,
+    end: &RetainedEnd,
     dispatcher: &mut Dispatcher,
-) -> Option<Settlement> {
+) -> Option<Disposition> {
     let is_old = end.run / RUNS_PER_EPOCH < owned.started_epoch;
     let id = &end.task.job;
     let Some(entry) = owned.jobs.get_mut(id) else {
-        return Some(Settlement::Superseded);
+        return Some(Disposition::Superseded);
     };
     let position = entry.job.as_ref().and_then(|job| job.position(&end.task));
     let is_noted = match position {
@@ -218,19 +231,19 @@
     };
     if is_noted {
         // It may be on its way to the log still.
-        return entry.end.map(|_| Settlement::Recorded);
+        return entry.end.map(|_| Disposition::Recorded);
     }
     let is_countable = |position: &u32| {
         let is_superseded = entry.progress.is_superseded(*position, end.run);
         entry.is_open() && !is_old && !is_superseded
     };
     let Some(position) = position.filter(is_countable) else {
-        return Some(Settlement::Superseded);
+        return Some(Disposition::Superseded);
     };
     let is_done = entry.progress.done.contains_key(&position);
-    let is_taken = !entry.is_started || dispatcher.adopt_end(now_ms, id, position, end);
+    let is_taken = !entry.is_started || dispatcher.apply_retained_end(now_ms, id, position, end);
     if is_done || !is_taken {
-        return Some(Settlement::Superseded);
+        return Some(Disposition::Superseded);
     }
     entry.progress.note(position, end.run, end.is_done);
     None
@@ -248,7 +261,7 @@
 
 /// Drops jobs that ended long ago.
 fn forget_old(now_ms: u64, owned: &mut OwnedPartition) {
-    let is_old = |entry: &JobEntry| {
+    let is_old = |entry: &OwnedJob| {
         let ended_ms = entry.end.map(|(_, ended_ms)| ended_ms);
         ended_ms.is_some_and(|ended_ms| now_ms >= ended_ms + RETENTION_MS)
     };
