--- a/crates/dispatch/src/ledger/log.rs
+++ b/crates/dispatch/src/ledger/log.rs
@@ -3,12 +3,12 @@
 
 use crate::AppendResult;
 use crate::Dispatcher;
+use crate::Disposition;
 use crate::Ledger;
 use crate::LedgerAction;
 use crate::LogRecord;
 use crate::Partition;
 use crate::Refusal;
-use crate::Settlement;
 use crate::StoredAnswer;
 use crate::ledger::jobs::start_if_new;
 use crate::ledger::partition::Change;
@@ -44,10 +44,13 @@
                 }
             }
             AppendResult::Fenced => self.lose(partition, "fenced", dispatcher),
-            AppendResult::Moved => self.lose(partition, "overtaken", dispatcher),
-            AppendResult::OtherNumber(expected) => {
-                let is_unsure = owned.batch.as_ref().is_some_and(|batch| batch.is_unsure);
-                if is_unsure || expected == number {
+            AppendResult::UnexpectedEnd => self.lose(partition, "overtaken", dispatcher),
+            AppendResult::UnexpectedNumber(expected) => {
+                let is_outcome_unknown = owned
+                    .batch
+                    .as_ref()
+                    .is_some_and(|batch| batch.is_outcome_unknown);
+                if is_outcome_unknown || expected == number {
                     self.lose(partition, "number", dispatcher);
                 } else {
                     owned.renumber(now_ms, expected);
@@ -60,11 +63,11 @@
 
     /// The store did not take the records: the append is sent again, and jobs
     /// that were not sent yet are refused.
-    fn held_up(&mut self, now_ms: u64, partition: Partition, is_unsure: bool) {
+    fn held_up(&mut self, now_ms: u64, partition: Partition, is_outcome_unknown: bool) {
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
         };
-        owned.retry(now_ms, is_unsure);
+        owned.retry(now_ms, is_outcome_unknown);
         for (id, callers) in owned.withdraw_accepts() {
             self.refused(&id, &callers, Refusal::NotStorable);
         }
@@ -105,9 +108,9 @@
                     self.answer_all(&callers, StoredAnswer::Accepted);
                 }
                 Change::TaskEnd(_, link, number) => {
-                    dispatcher.settle_end(link, number, Settlement::Recorded);
+                    dispatcher.send_disposition(link, number, Disposition::Recorded);
                 }
-                Change::RunLost(id, position) => dispatcher.run_noted(&id, position),
+                Change::RunLost(id, position) => dispatcher.run_loss_recorded(&id, position),
                 Change::Crashed(id, position) => dispatcher.crash_recorded(&id, position),
                 Change::JobEnd(id, end, callers) => {
                     if let Some(entry) = owned.jobs.get_mut(&id) {
--- a/crates/dispatch/src/ledger/mod.rs
+++ b/crates/dispatch/src/ledger/mod.rs
@@ -20,17 +20,17 @@
 use gannetvane_wire::Name;
 
 use crate::Dispatcher;
+use crate::Disposition;
 use crate::LogRecord;
 use crate::Partition;
+use crate::RUNS_GONE_AFTER_MS;
 use crate::Refusal;
-use crate::SAFE_AFTER_MS;
-use crate::Settlement;
 use crate::StoredAnswer;
 use crate::StoredCaller;
-use crate::dispatcher::JobEvent;
+use crate::dispatcher::EntryEvent;
 use crate::ledger::calls::Doubt;
 use crate::ledger::calls::Watcher;
-use crate::ledger::jobs::Offer;
+use crate::ledger::jobs::PendingEnd;
 use crate::ledger::partition::Change;
 use crate::ledger::partition::OwnedPartition;
 use crate::ledger::partition::Stage;
@@ -46,7 +46,7 @@
 const WRITES_SHARE: f64 = 0.8;
 /// Least pause between two joins, in milliseconds: while calls wait for one, and
 /// after the group changed, since it often does so again.
-const LEAST_JOIN_MS: u64 = 100;
+const MIN_JOIN_INTERVAL_MS: u64 = 100;
 /// Pause between two joins, in milliseconds.
 const JOIN_MS: u64 = 300;
 
@@ -70,7 +70,7 @@
 
 /// The partitions that the store lists as ours.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Membership {
+pub struct Assignment {
     /// Rises with each change of the group.
     pub generation: u64,
     /// The partitions.
@@ -111,7 +111,7 @@
     /// Answer a caller.
     Answer(StoredCaller, StoredAnswer),
     /// Log and count.
-    Event(JobEvent),
+    Event(EntryEvent),
 }
 
 /// The stored jobs of an entry.
@@ -132,7 +132,7 @@
     last_join_ms: u64,
     pub(crate) watchers: Vec<Watcher>,
     pub(crate) doubts: Vec<Doubt>,
-    pub(crate) offers: Vec<Offer>,
+    pub(crate) pending_ends: Vec<PendingEnd>,
     pub(crate) actions: Vec<LedgerAction>,
 }
 
@@ -154,7 +154,7 @@
             last_join_ms: 0,
             watchers: Vec::new(),
             doubts: Vec::new(),
-            offers: Vec::new(),
+            pending_ends: Vec::new(),
             actions: Vec::new(),
         }
     }
@@ -200,31 +200,31 @@
         &mut self,
         now_ms: u64,
         sent_ms: u64,
-        membership: Option<Membership>,
+        assignment: Option<Assignment>,
         dispatcher: &mut Dispatcher,
     ) {
         self.join_due_ms = Some(now_ms.max(sent_ms + JOIN_MS));
         if !self.doubts.is_empty() {
             self.join_soon(now_ms);
         }
-        let Some(membership) = membership else {
+        let Some(assignment) = assignment else {
             return;
         };
         // A partition may have gone to another entry and come back only if there
         // was more than one change.
-        let has_gap = membership.generation > self.generation + 1;
-        if membership.generation != self.generation {
+        let has_gap = assignment.generation > self.generation + 1;
+        if assignment.generation != self.generation {
             self.join_soon(now_ms);
         }
-        self.generation = membership.generation;
+        self.generation = assignment.generation;
         let epoch = u32::try_from(self.generation).unwrap_or(u32::MAX);
         let owned: Vec<Partition> = self.partitions.keys().copied().collect();
         for partition in owned {
-            if !membership.partitions.contains(&partition) {
+            if !assignment.partitions.contains(&partition) {
                 self.release(now_ms, partition, dispatcher);
             }
         }
-        for partition in membership.partitions {
+        for partition in assignment.partitions {
             if let Some(owned) = self.partitions.get_mut(&partition) {
                 owned.confirmed_ms = owned.confirmed_ms.max(sent_ms);
                 if has_gap {
@@ -243,8 +243,8 @@
             _ => 0,
         };
         // The last owner was listed before this answer was made.
-        let settled_ms = now_ms + OWNER_LEASE_MS + SAFE_AFTER_MS;
-        let mut owned = OwnedPartition::claim(epoch, sent_ms, settled_ms, first);
+        let former_runs_gone_at_ms = now_ms + OWNER_LEASE_MS + RUNS_GONE_AFTER_MS;
+        let mut owned = OwnedPartition::claim(epoch, sent_ms, former_runs_gone_at_ms, first);
         owned.append_pause_ms = self.settings.append_pause_ms();
         self.partitions.insert(partition, owned);
         self.event(
@@ -264,7 +264,7 @@
             Stage::Serving | Stage::Verifying => {
                 owned.stage = Stage::Releasing { since_ms: now_ms };
                 for id in owned.jobs.keys() {
-                    dispatcher.hold_stored(id);
+                    dispatcher.pause_stored(id);
                 }
             }
             Stage::Releasing { .. } | Stage::Flushing | Stage::Leaving => {}
@@ -285,10 +285,10 @@
         for change in owned.take_changes() {
             match change {
                 Change::TaskEnd(_, link, number) => {
-                    dispatcher.settle_end(link, number, Settlement::NoLongerOurs);
+                    dispatcher.send_disposition(link, number, Disposition::NotOwner);
                 }
                 Change::Accept(_, callers) | Change::JobEnd(_, _, callers) => {
-                    self.answer_all(&callers, StoredAnswer::Unsure);
+                    self.answer_all(&callers, StoredAnswer::OutcomeUnknown);
                 }
                 _ => {}
             }
@@ -319,7 +319,7 @@
         for event in dispatcher.take_stored_events() {
             self.take_event(now_ms, event, dispatcher);
         }
-        self.take_offers(now_ms, dispatcher);
+        self.decide_on_pending_ends(now_ms, dispatcher);
         for partition in owned {
             self.flush(now_ms, partition, dispatcher);
         }
@@ -341,7 +341,7 @@
 
     /// Brings the next join forward, unless one is under way.
     pub(crate) fn join_soon(&mut self, now_ms: u64) {
-        let soon_ms = now_ms.max(self.last_join_ms + LEAST_JOIN_MS);
+        let soon_ms = now_ms.max(self.last_join_ms + MIN_JOIN_INTERVAL_MS);
         self.join_due_ms = self.join_due_ms.map(|due_ms| due_ms.min(soon_ms));
     }
 
@@ -369,9 +369,10 @@
     fn next_due_ms(&self, now_ms: u64) -> Option<u64> {
         let owned = self.partitions.values();
         let times = owned.flat_map(|owned| {
-            let settled_ms = (owned.settled_ms > now_ms).then_some(owned.settled_ms);
+            let former_runs_gone_at_ms =
+                (owned.former_runs_gone_at_ms > now_ms).then_some(owned.former_runs_gone_at_ms);
             let lease_ms = Some(owned.confirmed_ms + OWNER_LEASE_MS + 1);
-            [owned.next_due_ms(), settled_ms, lease_ms]
+            [owned.next_due_ms(), former_runs_gone_at_ms, lease_ms]
         });
         let due_ms = times.flatten().chain(self.join_due_ms).min();
         let watchers_ms = self.watchers.iter().map(|watcher| watcher.until_ms);
@@ -380,7 +381,7 @@
     }
 
     pub(crate) fn refused(&mut self, id: &Name, callers: &[StoredCaller], refusal: Refusal) {
-        self.actions.push(LedgerAction::Event(JobEvent {
+        self.actions.push(LedgerAction::Event(EntryEvent {
             event: "refused",
             job: Some(id.clone()),
             detail: format!("reason={}", refusal.name()),
@@ -398,7 +399,7 @@
     }
 
     pub(crate) fn event(&mut self, event: &'static str, job: Option<Name>, detail: String) {
-        self.actions.push(LedgerAction::Event(JobEvent {
+        self.actions.push(LedgerAction::Event(EntryEvent {
             event,
             job,
             detail,
--- a/crates/dispatch/src/ledger/partition.rs
+++ b/crates/dispatch/src/ledger/partition.rs
@@ -28,11 +28,11 @@
     /// The records lie in the log, and where the partition ended with them.
     Appended(u64),
     /// The partition ends elsewhere than expected: nothing was done.
-    Moved,
+    UnexpectedEnd,
     /// Another entry has appended with a higher epoch: nothing was done.
     Fenced,
     /// The log expects another number: nothing was done.
-    OtherNumber(u64),
+    UnexpectedNumber(u64),
     /// The store refused, and did nothing.
     Refused,
     /// No answer; it may have been done.
@@ -64,7 +64,7 @@
 
 /// One stored job at its owner.
 #[derive(Debug)]
-pub(crate) struct JobEntry {
+pub(crate) struct OwnedJob {
     /// The job; `None` once it has ended.
     pub(crate) job: Option<StoredJob>,
     pub(crate) progress: Progress,
@@ -82,7 +82,7 @@
     pub(crate) closing: Option<StoredEnd>,
 }
 
-impl JobEntry {
+impl OwnedJob {
     pub(crate) fn new(job: StoredJob) -> Self {
         Self {
             job: Some(job),
@@ -163,7 +163,7 @@
     /// When it is sent again; `None` while an answer is awaited.
     pub(crate) retry_ms: Option<u64>,
     /// Whether an attempt got no answer.
-    pub(crate) is_unsure: bool,
+    pub(crate) is_outcome_unknown: bool,
     /// Whether an attempt was not taken.
     pub(crate) is_retried: bool,
 }
@@ -179,7 +179,7 @@
     /// call was sent.
     pub(crate) confirmed_ms: u64,
     /// When runs of the last owner are surely gone.
-    pub(crate) settled_ms: u64,
+    pub(crate) former_runs_gone_at_ms: u64,
     /// The last epoch that started jobs of earlier owners.
     pub(crate) started_epoch: u32,
     /// Whether that is ours.
@@ -193,7 +193,7 @@
     /// Number of the read that is awaited.
     pub(crate) load: u64,
     pub(crate) batch: Option<Batch>,
-    pub(crate) jobs: BTreeMap<Name, JobEntry>,
+    pub(crate) jobs: BTreeMap<Name, OwnedJob>,
     waiting: Vec<Change>,
     gather_until_ms: u64,
     /// Least pause between two appends, and when the next may be sent.
@@ -202,13 +202,18 @@
 }
 
 impl OwnedPartition {
-    pub(crate) fn claim(epoch: u32, confirmed_ms: u64, settled_ms: u64, first: u64) -> Self {
+    pub(crate) fn claim(
+        epoch: u32,
+        confirmed_ms: u64,
+        former_runs_gone_at_ms: u64,
+        first: u64,
+    ) -> Self {
         Self {
             epoch,
             claimed_epoch: epoch,
             stage: Stage::Claiming,
             confirmed_ms,
-            settled_ms,
+            former_runs_gone_at_ms,
             started_epoch: 0,
             may_start_old: false,
             is_reopening: false,
@@ -266,14 +271,14 @@
     }
 
     /// Whether nothing of earlier owners runs any more.
-    pub(crate) fn is_settled(&self, now_ms: u64) -> bool {
-        self.may_start_old || now_ms >= self.settled_ms
+    pub(crate) fn has_no_former_runs(&self, now_ms: u64) -> bool {
+        self.may_start_old || now_ms >= self.former_runs_gone_at_ms
     }
 
     /// Whether the end of a run that was started in this epoch can be judged: an
     /// earlier owner may still start its task anew.
-    pub(crate) fn may_judge(&self, now_ms: u64, epoch: u32) -> bool {
-        epoch >= self.claimed_epoch || self.is_settled(now_ms)
+    pub(crate) fn can_decide(&self, now_ms: u64, epoch: u32) -> bool {
+        epoch >= self.claimed_epoch || self.has_no_former_runs(now_ms)
     }
 
     /// Jobs of earlier owners may be started.
@@ -381,7 +386,7 @@
             records,
             expected_end,
             retry_ms: Some(now_ms),
-            is_unsure: false,
+            is_outcome_unknown: false,
             is_retried: false,
         });
         Ok(())
@@ -397,10 +402,10 @@
     }
 
     /// The append is tried again; a claim with the number that is expected.
-    pub(crate) fn retry(&mut self, now_ms: u64, is_unsure: bool) {
+    pub(crate) fn retry(&mut self, now_ms: u64, is_outcome_unknown: bool) {
         if let Some(batch) = &mut self.batch {
             batch.retry_ms = Some(now_ms + RETRY_MS);
-            batch.is_unsure |= is_unsure;
+            batch.is_outcome_unknown |= is_outcome_unknown;
             batch.is_retried = true;
         }
     }
--- a/crates/dispatch/src/ledger/records.rs
+++ b/crates/dispatch/src/ledger/records.rs
@@ -8,11 +8,11 @@
 use crate::LogRecord;
 use crate::RecordError;
 use crate::ledger::partition::Change;
-use crate::ledger::partition::JobEntry;
+use crate::ledger::partition::OwnedJob;
 use crate::ledger::partition::OwnedPartition;
-use crate::stored::Entry;
 use crate::stored::JobRecord;
 use crate::stored::RELEASED_KEY;
+use crate::stored::RecordContent;
 use crate::stored::crashes_key;
 use crate::stored::progress_key;
 
@@ -91,30 +91,30 @@
     pub(crate) fn load(&mut self, now_ms: u64, records: &[LogRecord]) -> Vec<RecordError> {
         if records.iter().all(LogRecord::is_claim) {
             // Nobody has owned it before.
-            self.settled_ms = now_ms;
+            self.former_runs_gone_at_ms = now_ms;
         }
         let mut errors = Vec::new();
         let mut progress = BTreeMap::new();
         let mut crashes = BTreeMap::new();
         for record in records.iter().filter(|record| !record.value.is_empty()) {
-            match record.entry() {
-                Ok(Entry::Job(id, JobRecord::Open(job))) => {
-                    let mut entry = JobEntry::new(job);
+            match record.content() {
+                Ok(RecordContent::Job(id, JobRecord::Open(job))) => {
+                    let mut entry = OwnedJob::new(job);
                     entry.is_accepted = true;
                     self.jobs.insert(id, entry);
                 }
-                Ok(Entry::Job(id, JobRecord::Ended { end, done })) => {
-                    self.jobs.insert(id, JobEntry::ended(end, done, now_ms));
+                Ok(RecordContent::Job(id, JobRecord::Ended { end, done })) => {
+                    self.jobs.insert(id, OwnedJob::ended(end, done, now_ms));
                 }
-                Ok(Entry::Progress(id, of_job)) => {
+                Ok(RecordContent::Progress(id, of_job)) => {
                     progress.insert(id, of_job);
                 }
-                Ok(Entry::Crashes(id, of_job)) => {
+                Ok(RecordContent::Crashes(id, of_job)) => {
                     crashes.insert(id, of_job);
                 }
-                Ok(Entry::Owner) => {}
-                Ok(Entry::Released) => self.reopen(now_ms),
-                Ok(Entry::Started(epoch)) => self.started_epoch = epoch,
+                Ok(RecordContent::Owner) => {}
+                Ok(RecordContent::Released) => self.reopen(now_ms),
+                Ok(RecordContent::Started(epoch)) => self.started_epoch = epoch,
                 Err(error) => errors.push(error),
             }
         }
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -10,7 +10,7 @@
 
 use crate::Crash;
 use crate::Evacuations;
-use crate::Room;
+use crate::Resources;
 use crate::RoutingTable;
 use crate::StoredAnswer;
 use crate::StoredCall;
@@ -68,15 +68,15 @@
     /// Labels of its minion.
     pub labels: Vec<Name>,
     /// All of its minion's room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// The agent's steady clock in milliseconds.
     pub clock_ms: u64,
     /// Ends that wait for an owner.
-    pub kept: Vec<KeptEnd>,
+    pub retained_ends: Vec<RetainedEnd>,
     /// Crashes of its minions under tasks.
     pub crashes: Vec<Crash>,
     /// The life of its minion: its id and its birth.
-    pub life: Name,
+    pub incarnation: Name,
 }
 
 /// Work that comes for a service, and work that waits for room there.
@@ -128,13 +128,13 @@
     /// Tasks wait for room: offer some when there is any.
     Probe(Probe),
     /// The job failed on several hosts, so its failures say nothing of this one.
-    Pardon(Name),
+    DiscountFailures(Name),
     /// The room that was offered is of no use any more.
-    Decline,
+    DeclineOffer,
     /// Stop what an earlier order started, or forget it.
     Stop(OrderId),
     /// The end with this number in the minion's lifetime is settled.
-    Settled(u64, Settlement),
+    Disposition(u64, Disposition),
     /// Entries to connect to.
     Entries(Vec<SocketAddr>),
     /// Zones in which nothing is to be started.
@@ -143,18 +143,18 @@
 
 /// What becomes of an end of a stored task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Settlement {
+pub enum Disposition {
     /// It lies in the job log.
     Recorded,
     /// The task was started anew, or its job is gone: the end must not count.
     Superseded,
     /// Another entry owns the job now.
-    NoLongerOurs,
+    NotOwner,
 }
 
 /// An end of a stored task that its minion keeps until it is settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptEnd {
+pub struct RetainedEnd {
     /// Its number in the minion's lifetime.
     pub number: u64,
     /// The task.
@@ -180,7 +180,7 @@
     /// a crash then tells which of them is at fault.
     pub is_suspect: bool,
     /// What it needs.
-    pub needs: Room,
+    pub needs: Resources,
     /// Run time expected on a minion of ordinary speed, in milliseconds.
     pub expected_ms: u32,
     /// Whether the minion keeps its end until that is settled.
@@ -191,7 +191,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
     /// What each of them needs.
-    pub needs: Room,
+    pub needs: Resources,
     /// How many there are at most.
     pub tasks: u32,
     /// Time in milliseconds within which they should start.
@@ -204,16 +204,16 @@
     /// The agent's steady clock in milliseconds.
     pub clock_ms: u64,
     /// Start orders received on this link so far.
-    pub starts_seen: u64,
+    pub starts_received: u64,
     /// Room that is neither taken nor promised.
-    pub free: Room,
+    pub free: Resources,
     /// Speed of the minion of late, in thousandths of the ordinary one.
     pub speed_permille: u32,
     /// Whether starts are admitted.
-    pub is_open: bool,
+    pub is_accepting_starts: bool,
     /// Whether some of the free room is kept for this entry, until a start or
     /// word that it is not needed.
-    pub is_offer: bool,
+    pub has_offer: bool,
     /// What all entries told this agent of their demand, together.
     pub demand: Demand,
     /// What happened.
@@ -228,16 +228,16 @@
         /// The order.
         order: OrderId,
         /// How.
-        end: End,
+        end: RunEnd,
         /// Time that it ran, in milliseconds.
         ran_ms: u32,
         /// Number under which the minion keeps the end until it is settled.
-        kept: Option<u64>,
+        retained_number: Option<u64>,
     },
     /// Ends that wait for an owner.
-    Kept(Vec<KeptEnd>),
+    RetainedEnds(Vec<RetainedEnd>),
     /// All room of the minion, which has shrunk or grown.
-    Capacity(Room),
+    Capacity(Resources),
     /// How far a run is.
     Progress {
         /// The order.
@@ -253,7 +253,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum RunEnd {
     /// Its work is done.
     Done,
     /// It failed.
@@ -263,21 +263,21 @@
     /// It ended with its lease or its minion, which may never have taken it.
     Lost,
     /// Its minion crashed, and had taken it.
-    Crashed(CrashSign),
+    Crashed(CrashEvidence),
     /// Its minion ended, and a later life of the minion that keeps the id may carry
     /// out the call that starts it, until the agent has shown its epoch there and
     /// greets again.
     Unsettled {
         /// What that tells of the task, if the minion crashed and had taken it.
-        crash: Option<CrashSign>,
+        crash: Option<CrashEvidence>,
     },
     /// It never began.
-    NotStarted(Busy),
+    NotStarted(NotStartedReason),
 }
 
 /// How surely a task was at work when its minion crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CrashSign {
+pub enum CrashEvidence {
     /// The minion had answered for it, and its work may have ended untold since.
     Weak,
     /// A connection broke while the minion had it.
@@ -286,12 +286,14 @@
     Unseen,
 }
 
-impl CrashSign {
+impl CrashEvidence {
     /// How much all signs together speak against a task. A host that is lost with all
     /// that runs there says nothing by itself.
-    pub(crate) fn weight(signs: impl Iterator<Item = Self> + Clone) -> u32 {
-        let is_proven = signs.clone().any(|sign| sign == Self::Strong);
-        let weights = signs.map(|sign| match sign {
+    pub(crate) fn weight(all_evidence: impl Iterator<Item = Self> + Clone) -> u32 {
+        let is_proven = all_evidence
+            .clone()
+            .any(|evidence| evidence == Self::Strong);
+        let weights = all_evidence.map(|evidence| match evidence {
             Self::Strong => 2,
             Self::Weak => 1,
             Self::Unseen => u32::from(is_proven),
@@ -302,7 +304,7 @@
 
 /// Why a run never began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Busy {
+pub enum NotStartedReason {
     /// The agent has no room.
     Full,
     /// The minion is leaving, or the agent is.
@@ -317,7 +319,7 @@
 
 /// An entry that somebody reached, and how long ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownEntry {
+pub struct SeenEntry {
     /// Where it accepts connections.
     pub addr: SocketAddr,
     /// Time since it was reached, in milliseconds.
@@ -328,7 +330,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerFrame {
     /// Entries that the sender knows; empty in most frames.
-    pub entries: Vec<KnownEntry>,
+    pub entries: Vec<SeenEntry>,
     /// The configuration of the sender, when it changed since the last frame.
     pub table: Option<RoutingTable>,
     /// Whether the sender knows of stored jobs.
--- a/crates/dispatch/src/minion_calls.rs
+++ b/crates/dispatch/src/minion_calls.rs
@@ -2,7 +2,7 @@
 
 use gannetvane_wire::Name;
 
-use crate::Room;
+use crate::Resources;
 use crate::TaskId;
 
 /// One run of a task.
@@ -17,17 +17,20 @@
 /// One life of a minion, from its start to its end. A minion that starts again may
 /// keep its id; then only its birth tells the lives apart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Lifetime {
+pub struct Incarnation {
     id: Name,
-    born_unix_ms: Option<u64>,
+    started_unix_ms: Option<u64>,
 }
 
-impl Lifetime {
+impl Incarnation {
     /// The life of the minion with this id that began at this time, in
     /// milliseconds since 1970; `None` when the minion does not tell its birth.
     #[must_use]
-    pub fn new(id: Name, born_unix_ms: Option<u64>) -> Self {
-        Self { id, born_unix_ms }
+    pub fn new(id: Name, started_unix_ms: Option<u64>) -> Self {
+        Self {
+            id,
+            started_unix_ms,
+        }
     }
 
     /// The id by which calls address the minion. It says nothing of the life.
@@ -38,25 +41,25 @@
 
     /// When it began, in milliseconds since 1970.
     #[must_use]
-    pub fn born_unix_ms(&self) -> Option<u64> {
-        self.born_unix_ms
+    pub fn started_unix_ms(&self) -> Option<u64> {
+        self.started_unix_ms
     }
 
     /// Whether an answer to a call that named this life's id can be of this life;
     /// answers other than listings tell no birth.
     #[must_use]
-    pub fn may_have_answered(&self, born_unix_ms: Option<u64>) -> bool {
-        match (self.born_unix_ms, born_unix_ms) {
+    pub fn can_be_from(&self, started_unix_ms: Option<u64>) -> bool {
+        match (self.started_unix_ms, started_unix_ms) {
             (Some(own_ms), Some(told_ms)) => own_ms == told_ms,
             _ => true,
         }
     }
 }
 
-impl std::fmt::Display for Lifetime {
+impl std::fmt::Display for Incarnation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self.born_unix_ms {
-            Some(born_unix_ms) => write!(f, "{}@{born_unix_ms}", self.id),
+        match self.started_unix_ms {
+            Some(started_unix_ms) => write!(f, "{}@{started_unix_ms}", self.id),
             None => f.write_str(&self.id),
         }
     }
@@ -66,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MinionReport {
     /// The minion's lifetime.
-    pub lifetime: Lifetime,
+    pub incarnation: Incarnation,
     /// Its service.
     pub service: Name,
     /// Its availability zone.
@@ -74,7 +77,7 @@
     /// Its labels.
     pub labels: Vec<Name>,
     /// All of its room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Whether it is about to leave.
     pub is_draining: bool,
     /// Its steady clock in milliseconds.
@@ -113,28 +116,28 @@
 
 /// Whether a minion was heard when it was called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Contact {
+pub(crate) enum CallOutcome {
     /// It answered.
     Answered,
     /// Nobody takes connections at its address: it has crashed or left.
     Refused,
     /// No answer.
-    Silent,
+    Unanswered,
 }
 
 impl StartResult {
-    pub(crate) fn contact(self) -> Contact {
+    pub(crate) fn call_outcome(self) -> CallOutcome {
         match self {
-            Self::NoAnswer | Self::Broken => Contact::Silent,
-            Self::Unreached => Contact::Refused,
-            _ => Contact::Answered,
+            Self::NoAnswer | Self::Broken => CallOutcome::Unanswered,
+            Self::Unreached => CallOutcome::Refused,
+            _ => CallOutcome::Answered,
         }
     }
 }
 
 /// Something that runs on a minion.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Running {
+pub struct ActiveRun {
     /// The run; `None` when its name is not one of ours.
     pub key: Option<RunKey>,
     /// Part of the work that is done.
@@ -143,31 +146,31 @@
 
 /// A run that ended on a minion.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Finished {
+pub struct EndedRun {
     /// Number of the end in the minion's lifetime.
     pub number: u64,
     /// The run; `None` when its name is not one of ours.
     pub key: Option<RunKey>,
     /// How it ended.
-    pub end: crate::End,
+    pub end: crate::RunEnd,
 }
 
 /// What a minion lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
     /// When the life that answered began, in milliseconds since 1970, if it tells.
-    pub born_unix_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// The minion's steady clock in milliseconds.
     pub clock_ms: u64,
     /// What runs.
-    pub running: Vec<Running>,
+    pub running: Vec<ActiveRun>,
     /// What ended and is not acknowledged yet.
-    pub finished: Vec<Finished>,
+    pub ended: Vec<EndedRun>,
 }
 
 /// How a call that lists a minion's runs ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HoldResult {
+pub enum ListResult {
     /// The minion listed what runs.
     Listed(Listing),
     /// A minion with another id is at the address: the one that was meant has
--- a/crates/dispatch/src/policy/backlog.rs
+++ b/crates/dispatch/src/policy/backlog.rs
@@ -7,10 +7,10 @@
 
 /// Part of the time that jobs can wait which the backlog may take at most: a
 /// short burst is borne by waiting.
-const LARGEST_PART: f64 = 0.6;
+const MAX_BACKLOG_FRACTION: f64 = 0.6;
 /// The same at least, while an overload lasts: waiting then only makes the large
 /// jobs late.
-const LEAST_PART: f64 = 0.1;
+const MIN_BACKLOG_FRACTION: f64 = 0.1;
 /// What is left of the part when jobs waited in vain.
 const SHRINKAGE: f64 = 0.75;
 /// Pause between two shrinkages, in milliseconds: until the smaller backlog shows
@@ -25,37 +25,37 @@
 /// Found so, and not fixed, callers who are refused hear of it early, and large jobs
 /// are not starved by small ones.
 #[derive(Debug)]
-pub(super) struct BacklogPart {
-    part: f64,
+pub(super) struct BacklogFraction {
+    fraction: f64,
     grown_ms: u64,
     shrunk_ms: u64,
 }
 
-impl Default for BacklogPart {
+impl Default for BacklogFraction {
     fn default() -> Self {
         Self {
-            part: LARGEST_PART,
+            fraction: MAX_BACKLOG_FRACTION,
             grown_ms: 0,
             shrunk_ms: 0,
         }
     }
 }
 
-impl BacklogPart {
+impl BacklogFraction {
     /// The part as of now.
     pub(super) fn at(&mut self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.grown_ms);
         self.grown_ms = now_ms;
         let growth = passed_ms as f64 / 1_000.0 * GROWTH_PER_S;
-        self.part = (self.part + growth).min(LARGEST_PART);
-        self.part
+        self.fraction = (self.fraction + growth).min(MAX_BACKLOG_FRACTION);
+        self.fraction
     }
 
     /// A job that was taken in has waited in vain.
     pub(super) fn shrink(&mut self, now_ms: u64) {
         if now_ms >= self.shrunk_ms + SHRINK_PAUSE_MS {
             self.shrunk_ms = now_ms;
-            self.part = (self.at(now_ms) * SHRINKAGE).max(LEAST_PART);
+            self.fraction = (self.at(now_ms) * SHRINKAGE).max(MIN_BACKLOG_FRACTION);
         }
     }
 }
--- a/crates/dispatch/src/policy/fair_share.rs
+++ b/crates/dispatch/src/policy/fair_share.rs
@@ -10,31 +10,31 @@
 use gannetvane_wire::Name;
 
 use crate::policy::Arrival;
-use crate::policy::Flow;
 use crate::policy::OverloadPolicy;
 use crate::policy::Rank;
 use crate::policy::ServiceView;
 use crate::policy::WaitingJob;
-use crate::policy::backlog::BacklogPart;
+use crate::policy::WorkRate;
+use crate::policy::backlog::BacklogFraction;
 use crate::policy::rank;
 
 /// Work that waits in an overload, at least, in milliseconds of all room: less
 /// would leave room idle between two arrivals.
-const LEAST_BACKLOG_MS: f64 = 10.0;
+const MIN_BACKLOG_MS: f64 = 10.0;
 /// Time in which a backlog is brought to its size, in milliseconds; twice what
 /// news of it takes on its way through the agents.
 const CORRECTION_MS: f64 = 200.0;
 /// Credit of a queue at the start and at most, in jobs.
 const FIRST_CREDIT: f64 = 0.5;
-const MOST_CREDIT: f64 = 1.5;
+const MAX_CREDIT: f64 = 1.5;
 /// Time until the next try of a caller when there is no backlog, in
 /// milliseconds: a burst of sub-second tasks is worked off in that.
-const LEAST_RETRY_MS: f64 = 500.0;
+const MIN_RETRY_MS: f64 = 500.0;
 /// Longest such time, in milliseconds: when more than nine in ten are refused
 /// the load is not foreseen to fall soon.
-const LONGEST_RETRY_MS: f64 = 10_000.0;
+const MAX_RETRY_MS: f64 = 10_000.0;
 /// Least share that is reckoned with.
-const LEAST_SHARE: f64 = 0.05;
+const MIN_SHARE: f64 = 0.05;
 
 /// Takes in the same share of the jobs of each queue at all entries.
 #[derive(Debug, Default)]
@@ -47,10 +47,10 @@
 /// The load of one service at this entry.
 #[derive(Debug, Default)]
 struct Load {
-    offered: Flow,
+    offered: WorkRate,
     /// Offered work by the time that it can wait, in milliseconds.
-    patience: Flow,
-    part: BacklogPart,
+    patience: WorkRate,
+    fraction: BacklogFraction,
     /// When a job was last taken in without knowing the room.
     blind_ms: u64,
 }
@@ -65,16 +65,16 @@
     /// Size that the backlog may have, in milliseconds of all room.
     fn backlog_ms(&mut self, now_ms: u64) -> f64 {
         let patience_ms = self.patience.rate() / self.offered.rate().max(1.0);
-        LEAST_BACKLOG_MS + self.part.at(now_ms) * patience_ms
+        MIN_BACKLOG_MS + self.fraction.at(now_ms) * patience_ms
     }
 }
 
 impl OverloadPolicy for FairShare {
-    fn takes_in(&mut self, now_ms: u64, arrival: &Arrival<'_>, view: &ServiceView) -> bool {
+    fn admits(&mut self, now_ms: u64, arrival: &Arrival<'_>, view: &ServiceView) -> bool {
         let service = &arrival.queue.service;
         let load = self.services.entry(service.clone()).or_default();
         load.add(now_ms, arrival);
-        if !view.is_room_known {
+        if !view.is_capacity_known {
             load.blind_ms = now_ms;
             return true;
         }
@@ -87,15 +87,15 @@
         load.map_or(0.0, |load| load.offered.rate_at(now_ms))
     }
 
-    fn waited_in_vain(&mut self, now_ms: u64, service: &Name, received_ms: u64) {
+    fn note_shed(&mut self, now_ms: u64, service: &Name, received_ms: u64) {
         let load = self.services.entry(service.clone()).or_default();
         // What was taken in before the room was known tells nothing of the backlog.
         if received_ms > load.blind_ms {
-            load.part.shrink(now_ms);
+            load.fraction.shrink(now_ms);
         }
     }
 
-    fn has_prospect(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool {
+    fn can_meet_objective(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool {
         !rank::is_late_after(now_ms, job, wait_ms)
     }
 
@@ -104,11 +104,11 @@
     }
 
     fn retry_after_ms(&self, view: &ServiceView, spread: f64) -> u64 {
-        let share = share(view, LEAST_BACKLOG_MS).max(LEAST_SHARE);
-        let pause_ms = (LEAST_RETRY_MS + waiting_ms(view)) / share;
+        let share = share(view, MIN_BACKLOG_MS).max(MIN_SHARE);
+        let pause_ms = (MIN_RETRY_MS + waiting_ms(view)) / share;
         // Spread over its own length, so that callers do not return together.
         let spread_ms = pause_ms * (0.5 + spread);
-        spread_ms.min(LONGEST_RETRY_MS) as u64
+        spread_ms.min(MAX_RETRY_MS) as u64
     }
 }
 
@@ -116,20 +116,20 @@
 /// through, and what brings the backlog to its size.
 fn share(view: &ServiceView, backlog_ms: f64) -> f64 {
     let missing_ms = backlog_ms - waiting_ms(view);
-    let taken_milli = view.room_milli * (1.0 + missing_ms / CORRECTION_MS);
+    let taken_milli = view.capacity_milli * (1.0 + missing_ms / CORRECTION_MS);
     (taken_milli / view.offered_milli.max(1.0)).clamp(0.0, 1.0)
 }
 
 /// Work that waits at all entries, in milliseconds of all room.
 fn waiting_ms(view: &ServiceView) -> f64 {
-    view.waiting_core_ms * 1_000.0 / view.room_milli.max(1.0)
+    view.waiting_core_ms * 1_000.0 / view.capacity_milli.max(1.0)
 }
 
 /// Adds a job's share to the credit of its queue, and takes a job from it if
 /// there is one. So the share is exact over a few jobs, also of a rare queue.
 fn spend(credits: &mut BTreeMap<Name, f64>, queue: &Name, share: f64) -> bool {
     let credit = credits.entry(queue.clone()).or_insert(FIRST_CREDIT);
-    *credit = (*credit + share).min(MOST_CREDIT);
+    *credit = (*credit + share).min(MAX_CREDIT);
     let is_taken = *credit >= 1.0;
     if is_taken {
         *credit -= 1.0;
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -17,8 +17,8 @@
 
 pub use fair_share::FairShare;
 pub use rank::Rank;
-pub(crate) use work_rate::Flow;
-pub(crate) use work_rate::LEAST_RATE_MILLI;
+pub(crate) use work_rate::MIN_RATE_MILLI;
+pub(crate) use work_rate::WorkRate;
 
 use crate::Queue;
 
@@ -39,9 +39,9 @@
     /// When it should be complete.
     pub objective_ms: u64,
     /// Expected time from the next start to its end, in milliseconds.
-    pub rest_ms: f64,
+    pub remaining_ms: f64,
     /// Whether some of it was started.
-    pub has_begun: bool,
+    pub has_started: bool,
 }
 
 /// A service as an entry sees it.
@@ -49,32 +49,32 @@
 pub struct ServiceView {
     /// Room of the minions that take starts, by their speed, in thousandths of
     /// a core.
-    pub room_milli: f64,
+    pub capacity_milli: f64,
     /// Work that came of late to all entries, in thousandths of a core.
     pub offered_milli: f64,
     /// Work that waits at all entries, in cores by milliseconds.
     pub waiting_core_ms: f64,
     /// Whether the room is known: there are agents, all of them have told their
     /// room, and lately.
-    pub is_room_known: bool,
+    pub is_capacity_known: bool,
 }
 
 /// Decides what becomes of jobs under load.
 pub trait OverloadPolicy: Debug {
     /// Whether a job that has just come is taken in; otherwise it is refused
     /// at once.
-    fn takes_in(&mut self, now_ms: u64, arrival: &Arrival<'_>, view: &ServiceView) -> bool;
+    fn admits(&mut self, now_ms: u64, arrival: &Arrival<'_>, view: &ServiceView) -> bool;
 
     /// Work that came of late to this entry, in thousandths of a core.
     fn offered_milli(&self, now_ms: u64, service: &Name) -> f64;
 
     /// Notes that a job that came then and was taken in waited in vain and is
     /// refused.
-    fn waited_in_vain(&mut self, now_ms: u64, service: &Name, received_ms: u64);
+    fn note_shed(&mut self, now_ms: u64, service: &Name, received_ms: u64);
 
     /// Whether a job of which nothing has started is of use when all of its
     /// tasks start within `wait_ms`.
-    fn has_prospect(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool;
+    fn can_meet_objective(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool;
 
     /// The place of a job among those that wait; the least goes first.
     fn rank(&self, now_ms: u64, job: &WaitingJob) -> Rank;
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -5,7 +5,7 @@
 use gannetvane_wire::Name;
 
 use crate::LinkId;
-use crate::Room;
+use crate::Resources;
 use crate::Step;
 use crate::dispatcher::fleet::AgentState;
 use crate::dispatcher::fleet::Hosts;
@@ -21,10 +21,10 @@
 /// Speed from which a minion counts as sound: below that of slow kinds of hosts.
 const SOUND_SPEED: f64 = 0.55;
 /// Least speed that is reckoned with.
-const LEAST_SPEED: f64 = 0.05;
+const MIN_SPEED: f64 = 0.05;
 
 /// What a choice depends on.
-pub(crate) struct Demand<'a> {
+pub(crate) struct PlacementContext<'a> {
     pub(crate) step: &'a Step,
     pub(crate) service: &'a Name,
     pub(crate) zone: Name,
@@ -33,7 +33,7 @@
     pub(crate) left_ms: f64,
     pub(crate) avoid: Vec<Name>,
     /// Tasks of the step on each host.
-    pub(crate) beside: BTreeMap<Name, u32>,
+    pub(crate) tasks_per_host: BTreeMap<Name, u32>,
     /// Times that a task takes longer away from its data.
     pub(crate) remote_factor: f64,
     /// Whether hosts with bad ends are left out.
@@ -46,14 +46,14 @@
 pub(crate) fn choose(
     agents: &[(LinkId, &AgentState)],
     hosts: &Hosts,
-    demand: &Demand<'_>,
+    context: &PlacementContext<'_>,
     spread: &mut dyn FnMut() -> f64,
 ) -> Option<LinkId> {
     let with_room = agents.iter().filter(|(_, agent)| {
-        is_eligible(agent, hosts, demand) && agent.free().holds(&demand.step.needs)
+        is_eligible(agent, hosts, context) && agent.free().can_fit(&context.step.needs)
     });
     let costs = with_room.map(|(link, agent)| {
-        let cost = cost_ms(agent, demand) * (1.0 + SPREAD * spread());
+        let cost = cost_ms(agent, context) * (1.0 + SPREAD * spread());
         (cost, *link)
     });
     let cheapest = costs.min_by(|one, other| one.0.total_cmp(&other.0));
@@ -65,16 +65,16 @@
 pub(crate) fn choose_probed(
     agents: &[(LinkId, &AgentState)],
     hosts: &Hosts,
-    demand: &Demand<'_>,
+    context: &PlacementContext<'_>,
     spread: &mut dyn FnMut() -> f64,
     count: usize,
 ) -> Vec<LinkId> {
     let spreads = agents.iter().map(|(link, agent)| (*link, *agent, spread()));
     let suitable = spreads.filter(|(_, agent, _)| {
-        agent.hello.capacity.holds(&demand.step.needs) && is_eligible(agent, hosts, demand)
+        agent.hello.capacity.can_fit(&context.step.needs) && is_eligible(agent, hosts, context)
     });
     let costs =
-        suitable.map(|(link, agent, spread)| (cost_ms(agent, demand) * (1.0 + spread), link));
+        suitable.map(|(link, agent, spread)| (cost_ms(agent, context) * (1.0 + spread), link));
     let mut costs: Vec<(f64, LinkId)> = costs.collect();
     costs.sort_unstable_by(|one, other| one.0.total_cmp(&other.0));
     costs.truncate(count);
@@ -96,37 +96,37 @@
     service: &Name,
     step: &Step,
 ) -> bool {
-    agents.any(|agent| fits(agent, &agent.largest, service, step))
+    agents.any(|agent| fits(agent, &agent.max_capacity, service, step))
 }
 
-fn fits(agent: &AgentState, room: &Room, service: &Name, step: &Step) -> bool {
+fn fits(agent: &AgentState, room: &Resources, service: &Name, step: &Step) -> bool {
     let is_of_service = agent.hello.service == *service;
-    is_of_service && room.holds(&step.needs) && has_required_label(agent, step)
+    is_of_service && room.can_fit(&step.needs) && has_required_label(agent, step)
 }
 
-fn is_eligible(agent: &AgentState, hosts: &Hosts, demand: &Demand<'_>) -> bool {
+fn is_eligible(agent: &AgentState, hosts: &Hosts, context: &PlacementContext<'_>) -> bool {
     let host = &agent.hello.host;
-    let is_limited = demand.step.max_per_minion > 0
-        && demand.beside.get(host).copied().unwrap_or(0) >= demand.step.max_per_minion;
-    let is_trusted = !demand.is_ejecting
+    let is_limited = context.step.max_per_minion > 0
+        && context.tasks_per_host.get(host).copied().unwrap_or(0) >= context.step.max_per_minion;
+    let is_trusted = !context.is_ejecting
         || hosts.get(host).is_none_or(|record| {
-            let is_on_trial = record.strikes > 0 && !agent.outstanding.is_empty();
-            demand.now_ms >= record.ejected_until_ms && !is_on_trial
+            let is_on_trial = record.consecutive_failures > 0 && !agent.outstanding.is_empty();
+            context.now_ms >= record.ejected_until_ms && !is_on_trial
         });
-    agent.hello.service == *demand.service
-        && is_fast_enough(agent, demand)
-        && agent.takes_starts(demand.now_ms)
-        && has_required_label(agent, demand.step)
-        && !demand.avoid.contains(host)
+    agent.hello.service == *context.service
+        && is_fast_enough(agent, context)
+        && agent.takes_starts(context.now_ms)
+        && has_required_label(agent, context.step)
+        && !context.avoid.contains(host)
         && !is_limited
         && is_trusted
 }
 
 /// A minion that has become slow gets only what it can still end in time, or
 /// one task at a time to show that it has recovered.
-fn is_fast_enough(agent: &AgentState, demand: &Demand<'_>) -> bool {
+fn is_fast_enough(agent: &AgentState, context: &PlacementContext<'_>) -> bool {
     agent.speed >= SOUND_SPEED
-        || demand.expected_ms / agent.speed.max(LEAST_SPEED) <= demand.left_ms
+        || context.expected_ms / agent.speed.max(MIN_SPEED) <= context.left_ms
         || agent.is_idle()
 }
 
@@ -135,15 +135,19 @@
     label.is_none_or(|label| agent.has_label(label))
 }
 
-fn cost_ms(agent: &AgentState, demand: &Demand<'_>) -> f64 {
-    let preferred = demand.step.preferred_label.as_ref();
+fn cost_ms(agent: &AgentState, context: &PlacementContext<'_>) -> f64 {
+    let preferred = context.step.preferred_label.as_ref();
     let is_remote = preferred.is_some_and(|label| !agent.has_label(label));
-    let remote = if is_remote { demand.remote_factor } else { 1.0 };
-    let zone_ms = if agent.hello.zone == demand.zone {
+    let remote = if is_remote {
+        context.remote_factor
+    } else {
+        1.0
+    };
+    let zone_ms = if agent.hello.zone == context.zone {
         0.0
     } else {
         OTHER_ZONE_MS
     };
-    demand.expected_ms / agent.speed.max(LEAST_SPEED) * remote * (1.0 + LOAD_WEIGHT * agent.load())
+    context.expected_ms / agent.speed.max(MIN_SPEED) * remote * (1.0 + LOAD_WEIGHT * agent.load())
         + zone_ms
 }
--- a/crates/dispatch/src/policy/rank.rs
+++ b/crates/dispatch/src/policy/rank.rs
@@ -21,15 +21,15 @@
 /// The place of a job by when it must start.
 pub(super) fn by_latest_start(now_ms: u64, job: &WaitingJob) -> Rank {
     Rank {
-        is_new: !job.has_begun,
+        is_new: !job.has_started,
         is_late: is_late(now_ms, job),
-        latest_start_ms: job.objective_ms.cast_signed() - job.rest_ms as i64,
+        latest_start_ms: job.objective_ms.cast_signed() - job.remaining_ms as i64,
     }
 }
 
 /// Whether a job that starts within `wait_ms` is unlikely to be in time.
 pub(super) fn is_late_after(now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool {
-    let end_ms = now_ms as f64 + wait_ms + job.rest_ms * (1.0 + MARGIN);
+    let end_ms = now_ms as f64 + wait_ms + job.remaining_ms * (1.0 + MARGIN);
     end_ms > job.objective_ms as f64
 }
 
--- a/crates/dispatch/src/policy/work_rate.rs
+++ b/crates/dispatch/src/policy/work_rate.rs
@@ -4,16 +4,16 @@
 const MEMORY_MS: f64 = 400.0;
 /// Least rate that is reckoned with, in thousandths of a core: with one task
 /// of half a core at a time.
-pub(crate) const LEAST_RATE_MILLI: f64 = 500.0;
+pub(crate) const MIN_RATE_MILLI: f64 = 500.0;
 
 /// Work of late, fading with time.
 #[derive(Debug, Default)]
-pub(crate) struct Flow {
+pub(crate) struct WorkRate {
     work: f64,
     updated_ms: u64,
 }
 
-impl Flow {
+impl WorkRate {
     /// Notes work: expected time by thousandths of a core.
     pub(crate) fn add(&mut self, now_ms: u64, work: f64) {
         self.decay(now_ms);
--- a/crates/dispatch/src/rendezvous.rs
+++ b/crates/dispatch/src/rendezvous.rs
@@ -10,30 +10,30 @@
 /// A bound on the entries that are chosen, by rendezvous hashing: a change of
 /// the set moves few links, and any process can tell what another one chooses.
 #[derive(Clone, Debug)]
-pub(crate) struct Choice {
+pub(crate) struct RendezvousHash {
     /// Whose choice it is; others choose other entries.
     chooser: Name,
-    most: usize,
+    max: usize,
 }
 
-impl Choice {
-    pub(crate) fn new(chooser: Name, most: usize) -> Self {
-        Self { chooser, most }
+impl RendezvousHash {
+    pub(crate) fn new(chooser: Name, max: usize) -> Self {
+        Self { chooser, max }
     }
 
-    pub(crate) fn most(&self) -> usize {
-        self.most
+    pub(crate) fn max(&self) -> usize {
+        self.max
     }
 
     /// Those that rank highest for the chooser.
-    pub(crate) fn highest(&self, entries: BTreeSet<SocketAddr>) -> BTreeSet<SocketAddr> {
-        if entries.len() <= self.most {
+    pub(crate) fn select(&self, entries: BTreeSet<SocketAddr>) -> BTreeSet<SocketAddr> {
+        if entries.len() <= self.max {
             return entries;
         }
         let rank = |entry| (Reverse(self.rank(entry)), entry);
         let mut ranked: Vec<_> = entries.into_iter().map(rank).collect();
-        ranked.select_nth_unstable(self.most);
-        ranked.truncate(self.most);
+        ranked.select_nth_unstable(self.max);
+        ranked.truncate(self.max);
         ranked.into_iter().map(|(_, entry)| entry).collect()
     }
 
--- a/crates/dispatch/src/resources.rs
+++ b/crates/dispatch/src/resources.rs
@@ -1,11 +1,13 @@
 //! What a task needs of a minion, and what a minion has.
 
+use std::fmt;
+
 use serde::Deserialize;
 use serde::Serialize;
 
 /// An amount of a minion's resources.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+#[derive(Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Resources {
     /// Processor time in thousandths of a core.
     pub cpu_milli: u32,
     /// Memory in megabytes.
@@ -14,10 +16,21 @@
     pub accelerators: u32,
 }
 
-impl Room {
+// Log lines keep the name `Room`.
+impl fmt::Debug for Resources {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Room")
+            .field("cpu_milli", &self.cpu_milli)
+            .field("memory_mb", &self.memory_mb)
+            .field("accelerators", &self.accelerators)
+            .finish()
+    }
+}
+
+impl Resources {
     /// Whether `need` fits.
     #[must_use]
-    pub fn holds(&self, need: &Self) -> bool {
+    pub fn can_fit(&self, need: &Self) -> bool {
         self.cpu_milli >= need.cpu_milli
             && self.memory_mb >= need.memory_mb
             && self.accelerators >= need.accelerators
--- a/crates/dispatch/src/stored.rs
+++ b/crates/dispatch/src/stored.rs
@@ -14,12 +14,12 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::Crash;
-use crate::CrashSign;
+use crate::CrashEvidence;
 use crate::Job;
-use crate::KeptEnd;
 use crate::LinkId;
 use crate::Queue;
 use crate::Refusal;
+use crate::RetainedEnd;
 use crate::Step;
 use crate::TaskId;
 
@@ -80,8 +80,8 @@
             let begins_ms = earlier.max().copied().unwrap_or(0);
             ends_ms.push(begins_ms.saturating_add(step.declared_ms));
         }
-        let chain_ms = ends_ms.iter().max().copied().unwrap_or(0);
-        let stretched_ms = (chain_ms as f64 * self.queue.stretch) as u64;
+        let critical_path_ms = ends_ms.iter().max().copied().unwrap_or(0);
+        let stretched_ms = (critical_path_ms as f64 * self.queue.stretch) as u64;
         stretched_ms.saturating_add(self.queue.target_latency_ms)
     }
 
@@ -144,9 +144,9 @@
         partitions: u32,
     },
     /// This entry does not serve the partition now; nothing was done.
-    Elsewhere,
+    NotOwner,
     /// It cannot be told whether the call was carried out.
-    Unsure,
+    OutcomeUnknown,
 }
 
 /// How far a stored job is.
@@ -207,7 +207,7 @@
         crash: Crash,
     },
     /// An agent offers an end that waits for an owner.
-    Offered(LinkId, KeptEnd),
+    EndRetained(LinkId, RetainedEnd),
     /// All tasks are done, or one cannot be.
     JobEnded(Name, StoredEnd),
 }
@@ -276,7 +276,7 @@
 }
 
 /// Crashes of minions under the tasks of a job, by position and number.
-pub(crate) type JobCrashes = BTreeMap<u32, BTreeMap<u64, CrashSign>>;
+pub(crate) type JobCrashes = BTreeMap<u32, BTreeMap<u64, CrashEvidence>>;
 
 /// A record that cannot be read.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
@@ -290,7 +290,7 @@
 
 /// What a record says.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Entry {
+pub(crate) enum RecordContent {
     Job(Name, JobRecord),
     Progress(Name, Progress),
     Crashes(Name, JobCrashes),
@@ -370,28 +370,28 @@
     }
 
     /// Reads the record.
-    pub(crate) fn entry(&self) -> Result<Entry, RecordError> {
+    pub(crate) fn content(&self) -> Result<RecordContent, RecordError> {
         let failed = |error: postcard::Error| self.malformed(&error.to_string());
         match &*self.key {
-            OWNER_KEY => return Ok(Entry::Owner),
-            RELEASED_KEY => return Ok(Entry::Released),
+            OWNER_KEY => return Ok(RecordContent::Owner),
+            RELEASED_KEY => return Ok(RecordContent::Released),
             STARTED_KEY => {
                 let bytes = self.value.as_slice().try_into();
                 let bytes = bytes.map_err(|_| self.malformed("not four bytes"))?;
-                return Ok(Entry::Started(u32::from_be_bytes(bytes)));
+                return Ok(RecordContent::Started(u32::from_be_bytes(bytes)));
             }
             _ => {}
         }
         if let Some(id) = self.key.strip_suffix(PROGRESS_SUFFIX) {
             let progress = postcard::from_bytes(&self.value).map_err(failed)?;
-            return Ok(Entry::Progress(id.into(), progress));
+            return Ok(RecordContent::Progress(id.into(), progress));
         }
         if let Some(id) = self.key.strip_suffix(CRASHES_SUFFIX) {
             let crashes = postcard::from_bytes(&self.value).map_err(failed)?;
-            return Ok(Entry::Crashes(id.into(), crashes));
+            return Ok(RecordContent::Crashes(id.into(), crashes));
         }
         let record = postcard::from_bytes(&self.value).map_err(failed)?;
-        Ok(Entry::Job(self.key.clone(), record))
+        Ok(RecordContent::Job(self.key.clone(), record))
     }
 }
 
--- a/crates/dispatch/tests/at_most_once.rs
+++ b/crates/dispatch/tests/at_most_once.rs
@@ -4,22 +4,22 @@
 mod session;
 
 use gannetvane_dispatch::JobOutcome;
-use gannetvane_dispatch::SAFE_AFTER_MS;
+use gannetvane_dispatch::RUNS_GONE_AFTER_MS;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use session::Mood;
+use session::Behavior;
 use session::Session;
 use yare::parameterized;
 
 fn assert_clean(session: &Session) {
     let violations = &session.violations;
-    let first = violations.twice.first();
+    let first = violations.duplicates.first();
     assert!(
         violations.is_empty(),
         "{} times twice, first {first:?}; {} overloads; refused and run: {:?}",
-        violations.twice.len(),
-        violations.overloads,
+        violations.duplicates.len(),
+        violations.overcommits,
         violations.refused_and_ran
     );
 }
@@ -51,7 +51,7 @@
     let mut session = Session::new(2, 3);
     let job = session.submit(0, "a", 8, 1_900);
     session.run(200);
-    session.freeze_entry(0, 5_000);
+    session.suspend_entry(0, 5_000);
     session.break_caller(job);
     session.run_until_answered(job, 6_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -65,7 +65,7 @@
     // More tasks than fit, so that some wait at the entry.
     let job = session.submit(0, "a", 60, 300);
     session.run(100);
-    session.freeze_entry(0, 1_350);
+    session.suspend_entry(0, 1_350);
     session.break_caller(job);
     session.run(8_000);
     assert_clean(&session);
@@ -97,7 +97,7 @@
 #[test]
 fn a_frozen_agent_does_not_carry_out_old_orders() {
     let mut session = Session::new(1, 2);
-    session.freeze_agent(0, 2_000);
+    session.suspend_agent(0, 2_000);
     let job = session.submit(0, "a", 12, 600);
     session.run_until_answered(job, 6_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -110,7 +110,7 @@
     let mut session = Session::new(2, 2);
     let job = session.submit(0, "a", 12, 700);
     session.cut(0, 0);
-    session.run(SAFE_AFTER_MS + 500);
+    session.run(RUNS_GONE_AFTER_MS + 500);
     session.heal();
     session.run_until_answered(job, 6_000);
     session.run(2_000);
@@ -125,7 +125,7 @@
     session.run(100);
     session.cut(0, 0);
     session.run(100);
-    session.freeze_agent(0, 10_000);
+    session.suspend_agent(0, 10_000);
     session.run_until_answered(job, 8_000);
     assert_clean(&session);
 }
@@ -134,7 +134,7 @@
 fn a_start_without_an_answer_is_forbidden_before_it_starts_elsewhere() {
     let mut session = Session::new(1, 3);
     // Every order to the first minion is carried out seconds later.
-    session.fate =
+    session.call_delay =
         Box::new(|now_ms, agent| (agent == 0 && (1_800..2_600).contains(&now_ms)).then_some(2_500));
     let job = session.submit(0, "a", 18, 500);
     session.run_until_answered(job, 6_000);
@@ -148,11 +148,11 @@
     let mut session = Session::new(2, 1);
     let job = session.submit(0, "a", 4, 1_800);
     session.run(100);
-    session.fate = Box::new(|_, _| Some(9_000));
+    session.call_delay = Box::new(|_, _| Some(9_000));
     session.kill_entry(0, 10_000);
     session.run(1_250);
     assert_eq!(session.minions[0].running().count(), 0);
-    session.fate = Box::new(|_, _| None);
+    session.call_delay = Box::new(|_, _| None);
     session.run_until_answered(job, 6_000);
     session.run(12_000);
     assert_clean(&session);
@@ -164,7 +164,7 @@
     session.submit(0, "a", 4, 1_800);
     session.run(100);
     // Listings are answered, stops are not.
-    session.loses_stops = true;
+    session.delays_stops = true;
     session.kill_entry(0, 10_000);
     session.run(1_250);
     assert_eq!(session.minions[0].running().count(), 0);
@@ -216,7 +216,7 @@
 #[test]
 fn a_minion_that_fails_everything_costs_few_attempts() {
     let mut session = Session::new(1, 4);
-    session.minions[0].mood = Mood::Failing;
+    session.minions[0].behavior = Behavior::Failing;
     let mut completed = 0;
     for number in 0..20 {
         let job = session.submit(0, &format!("job-{number}"), 6, 60);
@@ -235,7 +235,7 @@
         session.submit(0, &format!("warm-{number}"), 4, 200);
         session.run(60);
     }
-    session.minions[0].mood = Mood::Hanging;
+    session.minions[0].behavior = Behavior::Hanging;
     let job = session.submit(0, "a", 16, 200);
     session.run_until_answered(job, 3_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -250,7 +250,7 @@
     let job = session.submit(0, "a", 8, 560);
     session.run(100);
     // For a while no call to any minion is answered or carried out in time.
-    session.fate = Box::new(|now_ms, _| (1_900..2_230).contains(&now_ms).then_some(5_000));
+    session.call_delay = Box::new(|now_ms, _| (1_900..2_230).contains(&now_ms).then_some(5_000));
     session.run_until_answered(job, 4_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     let starts: usize = session.starts.values().sum();
@@ -265,7 +265,7 @@
     session.run(2_000);
     let job = session.submit(0, "a", 12, 800);
     session.run(100);
-    session.deliver_late_report(0);
+    session.deliver_delayed_report(0);
     session.run_until_answered(job, 3_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     let starts: usize = session.starts.values().sum();
@@ -279,9 +279,9 @@
     session.crash_minion(0);
     let crashed_ms = session.now_ms;
     // The first calls to the new lifetime are lost.
-    session.fate = Box::new(move |now_ms, _| (now_ms < crashed_ms + 1_700).then_some(5_000));
+    session.call_delay = Box::new(move |now_ms, _| (now_ms < crashed_ms + 1_700).then_some(5_000));
     session.run(2_600);
-    session.fate = Box::new(|_, _| None);
+    session.call_delay = Box::new(|_, _| None);
     let job = session.submit(0, "a", 4, 100);
     session.run_until_answered(job, 400);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -293,7 +293,7 @@
     let mut session = Session::new(1, 1);
     let began_ms = session.now_ms;
     // The start is carried out at once, and its answer is lost.
-    session.fate = Box::new(move |now_ms, _| (now_ms < began_ms + 30).then_some(0));
+    session.call_delay = Box::new(move |now_ms, _| (now_ms < began_ms + 30).then_some(0));
     let job = session.submit(0, "a", 1, 40);
     session.run_until_answered(job, 1_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -308,7 +308,7 @@
     const JOBS: usize = 60;
     let mut session = Session::new(1, 4);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    session.fate = Box::new(move |_, _| {
+    session.call_delay = Box::new(move |_, _| {
         let is_lost = rng.random::<f64>() < loss;
         is_lost.then(|| rng.random_range(2_000..12_000))
     });
--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -7,20 +7,20 @@
 use gannetvane_dispatch::AgentAction;
 use gannetvane_dispatch::JobOutcome;
 use gannetvane_dispatch::Refusal;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
 use gannetvane_dispatch::StartResult;
-use session::MINION_ROOM;
+use session::MINION_CAPACITY;
 use session::Session;
-use session::TASK_ROOM;
+use session::TASK_RESOURCES;
 use yare::parameterized;
 
-const NO_ROOM: Room = Room {
+const NO_ROOM: Resources = Resources {
     cpu_milli: 0,
     memory_mb: 0,
     accelerators: 0,
 };
 /// Room for two of a driver's tasks.
-const HALF: Room = Room {
+const HALF: Resources = Resources {
     cpu_milli: 2_000,
     memory_mb: 1_024,
     accelerators: 0,
@@ -32,18 +32,18 @@
 fn nothing_is_started_that_does_not_fit_the_smaller_room() {
     let mut driver = Driver::new();
     driver.starts(&["a", "b"]);
-    driver.report_room(HALF, 2);
+    driver.report_capacity(HALF, 2);
     assert_eq!(driver.start_of(3, "c"), 0, "it is full now");
-    driver.report_room(NO_ROOM, 3);
-    driver.report_room(driver::ROOM, 4);
+    driver.report_capacity(NO_ROOM, 3);
+    driver.report_capacity(driver::CAPACITY, 4);
     assert!(driver.start_of(4, "d") > 0, "it has grown again");
 }
 
 #[test]
 fn an_older_report_does_not_bring_the_room_back() {
     let mut driver = Driver::new();
-    driver.report_room(NO_ROOM, 7);
-    driver.report_room(driver::ROOM, 6);
+    driver.report_capacity(NO_ROOM, 7);
+    driver.report_capacity(driver::CAPACITY, 6);
     assert_eq!(driver.start(), 0);
 }
 
@@ -52,7 +52,7 @@
 fn a_start_is_not_repeated_into_a_room_that_has_shrunk() {
     let mut driver = Driver::new();
     driver.start();
-    driver.report_room(NO_ROOM, 2);
+    driver.report_capacity(NO_ROOM, 2);
     driver.answer(StartResult::NoAnswer);
     driver.answer(StartResult::NoAnswer);
     let mut actions = Vec::new();
@@ -65,7 +65,7 @@
     assert!(actions.iter().any(is_stop), "it may be carried out later");
 }
 
-fn resize_all(session: &mut Session, room: Room) {
+fn resize_all(session: &mut Session, room: Resources) {
     for agent in 0..session.minions.len() {
         session.resize_minion(agent, room);
     }
@@ -86,7 +86,7 @@
         );
         assert!(is_refused, "{outcome:?}");
     }
-    resize_all(&mut session, MINION_ROOM);
+    resize_all(&mut session, MINION_CAPACITY);
     session.run(AT_ONCE_MS);
     let job = session.submit(0, "after", 27, 100);
     session.run(150);
@@ -123,9 +123,9 @@
 )]
 fn no_minion_is_brought_over_a_room_that_changes(tasks: u32) {
     let mut session = Session::new(3, 4);
-    let small = Room {
-        cpu_milli: TASK_ROOM.cpu_milli * tasks,
-        ..MINION_ROOM
+    let small = Resources {
+        cpu_milli: TASK_RESOURCES.cpu_milli * tasks,
+        ..MINION_CAPACITY
     };
     for round in 0..60 {
         for number in 0..3 {
@@ -133,11 +133,15 @@
             session.submit(number % 3, &id, 6, 90);
         }
         let agent = round % session.minions.len();
-        let room = if round % 3 == 0 { MINION_ROOM } else { small };
+        let room = if round % 3 == 0 {
+            MINION_CAPACITY
+        } else {
+            small
+        };
         session.resize_minion(agent, room);
         session.run(40);
     }
-    resize_all(&mut session, MINION_ROOM);
+    resize_all(&mut session, MINION_CAPACITY);
     session.run(3_000);
     assert!(session.violations.is_empty(), "{:?}", session.violations);
     let open = session.callers.iter().filter(|c| c.outcome.is_none());
--- a/crates/dispatch/tests/crash_evidence.rs
+++ b/crates/dispatch/tests/crash_evidence.rs
@@ -4,22 +4,22 @@
 mod driver;
 
 use gannetvane_dispatch::AgentAction;
-use gannetvane_dispatch::Busy;
-use gannetvane_dispatch::CrashSign;
-use gannetvane_dispatch::End;
-use gannetvane_dispatch::HoldResult;
+use gannetvane_dispatch::CrashEvidence;
+use gannetvane_dispatch::ListResult;
+use gannetvane_dispatch::NotStartedReason;
 use gannetvane_dispatch::Order;
 use gannetvane_dispatch::OrderId;
+use gannetvane_dispatch::RunEnd;
 use gannetvane_dispatch::StartResult;
 
 use driver::Driver;
+use driver::incarnation_at;
 use driver::key;
-use driver::life;
 use driver::listed;
 use driver::starts_in;
 
 /// How the only run ended with its minion, as the entry was told.
-fn end(driver: &mut Driver) -> End {
+fn end(driver: &mut Driver) -> RunEnd {
     let ends = driver.ends_of_refused_minion();
     assert_eq!(ends.len(), 1, "{ends:?}");
     assert_eq!(ends[0].0, OrderId(1));
@@ -27,10 +27,10 @@
 }
 
 /// What the end tells of the task.
-fn sign(end: End) -> Option<CrashSign> {
+fn evidence(end: RunEnd) -> Option<CrashEvidence> {
     match end {
-        End::Crashed(sign) => Some(sign),
-        End::Unsettled { crash } => crash,
+        RunEnd::Crashed(evidence) => Some(evidence),
+        RunEnd::Unsettled { crash } => crash,
         _ => None,
     }
 }
@@ -39,7 +39,7 @@
 fn a_start_on_its_way_to_a_crashed_minion_is_no_crash_of_its_task() {
     let mut driver = Driver::new();
     driver.start();
-    assert_eq!(sign(end(&mut driver)), None);
+    assert_eq!(evidence(end(&mut driver)), None);
 }
 
 #[test]
@@ -48,7 +48,7 @@
     driver.start();
     driver.answer(StartResult::NoAnswer);
     driver.answer(StartResult::NoAnswer);
-    assert_eq!(sign(end(&mut driver)), None);
+    assert_eq!(evidence(end(&mut driver)), None);
 }
 
 #[test]
@@ -56,7 +56,7 @@
     let mut driver = Driver::new();
     driver.start();
     driver.answer(StartResult::Broken);
-    assert_eq!(sign(end(&mut driver)), Some(CrashSign::Strong));
+    assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Strong));
 }
 
 #[test]
@@ -64,34 +64,34 @@
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     driver.list_running(&["a"], 0, 0);
-    driver.answer_with(&HoldResult::Broken);
-    assert_eq!(sign(end(&mut driver)), Some(CrashSign::Strong));
+    driver.answer_with(&ListResult::Broken);
+    assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Strong));
 }
 
 #[test]
 fn a_run_that_may_have_ended_untold_is_a_weak_sign() {
     let mut driver = Driver::new();
     driver.starts(&["a"]);
-    driver.answer_with(&HoldResult::NoAnswer);
-    assert_eq!(sign(end(&mut driver)), Some(CrashSign::Weak));
+    driver.answer_with(&ListResult::NoAnswer);
+    assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Weak));
 }
 
 #[test]
 fn a_connection_that_broke_while_the_minion_lived_on_is_no_strong_sign_later() {
     let mut driver = Driver::new();
     driver.starts(&["a"]);
-    driver.answer_with(&HoldResult::Broken);
+    driver.answer_with(&ListResult::Broken);
     driver.list_running(&["a"], 0, 0);
-    assert_eq!(sign(end(&mut driver)), Some(CrashSign::Weak));
+    assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Weak));
 }
 
 #[test]
 fn a_start_that_was_taken_after_a_connection_broke_is_a_weak_sign() {
     let mut driver = Driver::new();
     driver.start_of(1, "a");
-    driver.answer_with(&HoldResult::Broken);
+    driver.answer_with(&ListResult::Broken);
     driver.answer(StartResult::Started);
-    assert_eq!(sign(end(&mut driver)), Some(CrashSign::Weak));
+    assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Weak));
 }
 
 #[test]
@@ -101,9 +101,9 @@
     driver.order(Order::Stop(OrderId(1)));
     driver
         .agent
-        .stop_answered(driver.now_ms(), &life(1_000), &key("a"), true);
-    driver.answer_with(&HoldResult::Broken);
-    assert_eq!(sign(end(&mut driver)), None);
+        .stop_answered(driver.now_ms(), &incarnation_at(1_000), &key("a"), true);
+    driver.answer_with(&ListResult::Broken);
+    assert_eq!(evidence(end(&mut driver)), None);
 }
 
 #[test]
@@ -112,7 +112,7 @@
     driver.start();
     driver.pass(30);
     driver.answer(StartResult::Broken);
-    assert_eq!(sign(end(&mut driver)), Some(CrashSign::Weak));
+    assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Weak));
 }
 
 #[test]
@@ -121,8 +121,11 @@
     let asked = driver.order_start(1, "a", true);
     assert_eq!(starts_in(&asked), 0);
     for action in asked {
-        if let AgentAction::Hold { call, lifetime, .. } = action {
-            driver.answer_call(&lifetime, call, listed());
+        if let AgentAction::List {
+            call, incarnation, ..
+        } = action
+        {
+            driver.answer_call(&incarnation, call, listed());
         }
     }
     assert!(starts_in(&driver.pass(1)) > 0);
@@ -132,7 +135,7 @@
 fn a_suspect_task_is_not_started_at_a_minion_that_does_not_answer() {
     let mut driver = Driver::new();
     driver.order_start(1, "a", true);
-    let ended = End::NotStarted(Busy::NoAnswer);
+    let ended = RunEnd::NotStarted(NotStartedReason::NoAnswer);
     assert_eq!(driver.ends_of_refused_minion(), [(OrderId(1), ended)]);
 }
 
@@ -141,7 +144,7 @@
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     driver.list_running(&["a"], 0, 0);
-    driver.agent.minion_left(life(1_000).id());
-    driver.answer_with(&HoldResult::Broken);
-    assert_eq!(sign(end(&mut driver)), None);
+    driver.agent.minion_left(incarnation_at(1_000).id());
+    driver.answer_with(&ListResult::Broken);
+    assert_eq!(evidence(end(&mut driver)), None);
 }
--- a/crates/dispatch/tests/crashing.rs
+++ b/crates/dispatch/tests/crashing.rs
@@ -6,14 +6,14 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use session::LogFate;
+use session::LogCallOutcome;
 use session::Session;
 use yare::parameterized;
 
 /// Minions that may crash under one task of a job whose caller waits.
-const MOST_CRASHES: usize = 2;
+const MAX_CRASHES: usize = 2;
 /// The same over all entries that a job is at one after the other.
-const MOST_CRASHES_IN_ALL: usize = 3;
+const MAX_CRASHES_IN_ALL: usize = 3;
 /// Starts of a task that are too many if each of them crashes its minion: three more
 /// than the crashes that give it up at the latest.
 const STARTS_TOO_MANY: usize = 6;
@@ -22,7 +22,7 @@
 fn session(agents: usize, keeps_ids: bool) -> Session {
     let mut session = Session::new(3, agents);
     if keeps_ids {
-        session.tell_births();
+        session.report_start_times();
     }
     session
 }
@@ -44,7 +44,7 @@
     session.crashing.insert("bad".to_owned());
     let bad = session.submit(0, "bad", 1, 900);
     session.run(8_000);
-    assert!(session.crashes["bad"] <= MOST_CRASHES);
+    assert!(session.crashes["bad"] <= MAX_CRASHES);
     let outcome = session.outcome(bad);
     let is_told = matches!(outcome, Some(JobOutcome::Failed | JobOutcome::TooLate));
     assert!(is_told, "{outcome:?}");
@@ -63,7 +63,7 @@
     session.run(30);
     session.submit(1, "bad", 1, 900);
     session.run(8_000);
-    assert!(session.crashes["bad"] <= MOST_CRASHES);
+    assert!(session.crashes["bad"] <= MAX_CRASHES);
     for job in good {
         let outcome = session.outcome(job);
         assert_ne!(outcome, Some(JobOutcome::Failed), "{job}");
@@ -82,7 +82,7 @@
         }
         if round == 10 || round == 25 {
             for agent in 0..4 {
-                session.rebirth(agent + (round % 4), 1_500);
+                session.restart_with_same_id(agent + (round % 4), 1_500);
             }
         }
         session.run(50);
@@ -115,7 +115,7 @@
     session.run(4_000);
     assert!(session.violations.is_empty(), "{:?}", session.violations);
     let most = session.crashes.values().max().copied().unwrap_or(0);
-    assert!(most <= MOST_CRASHES, "{most}");
+    assert!(most <= MAX_CRASHES, "{most}");
     // The objective of these jobs, in milliseconds.
     let in_time = |job: &&usize| {
         let caller = &session.callers[**job];
@@ -166,7 +166,7 @@
         if round % 100 == 50 {
             for agent in (0..4).map(|place| (number + 3 * place) % 11) {
                 match keeps_ids {
-                    true => session.rebirth(agent, 600),
+                    true => session.restart_with_same_id(agent, 600),
                     false => session.crash_minion_for(agent, 600),
                 }
             }
@@ -186,7 +186,7 @@
 /// Loses this many of a hundred calls; they are carried out later.
 fn lose_calls(session: &mut Session, percent: u32) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    session.fate = Box::new(move |_, _| (rng.random_range(0..100) < percent).then_some(300));
+    session.call_delay = Box::new(move |_, _| (rng.random_range(0..100) < percent).then_some(300));
 }
 
 /// Minions that one of twenty crashing jobs took down at most, each some time after its
@@ -264,7 +264,7 @@
         if round % 40 == 0 {
             for place in 0..4 {
                 let agent = (round / 40 + 3 * place) % 11;
-                session.stall_and_crash(agent, 5 + 70 * place as u64);
+                session.hang_and_crash(agent, 5 + 70 * place as u64);
             }
         }
         session.run(20);
@@ -301,7 +301,7 @@
 
 fn assert_given_up(session: &Session, id: &str) {
     let crashed = crashes(session, id);
-    assert!(crashed <= MOST_CRASHES_IN_ALL, "{crashed}");
+    assert!(crashed <= MAX_CRASHES_IN_ALL, "{crashed}");
 }
 
 /// The owner of a crashing stored job is killed when two minions have crashed.
@@ -352,14 +352,14 @@
     let (mut session, job) = crashing_stored(keeps_ids);
     let id = BAD_ID;
     run_until_crashes(&mut session, id, 1);
-    session.log_fate = Box::new(|_, _| LogFate::Refused);
+    session.log_outcome = Box::new(|_, _| LogCallOutcome::Refused);
     session.run(4_000);
     assert_eq!(
         crashes(&session, id),
         1,
         "no other start before it is recorded"
     );
-    session.log_fate = Box::new(|_, _| LogFate::Served);
+    session.log_outcome = Box::new(|_, _| LogCallOutcome::Served);
     session.run_until_ended(job, 60_000);
     assert_given_up(&session, id);
 }
--- a/crates/dispatch/tests/driver/mod.rs
+++ b/crates/dispatch/tests/driver/mod.rs
@@ -5,24 +5,24 @@
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
 
+use gannetvane_dispatch::ActiveRun;
 use gannetvane_dispatch::Agent;
 use gannetvane_dispatch::AgentAction;
 use gannetvane_dispatch::AgentIdentity;
 use gannetvane_dispatch::Demand;
-use gannetvane_dispatch::End;
+use gannetvane_dispatch::EndedRun;
 use gannetvane_dispatch::EntryFrame;
-use gannetvane_dispatch::Finished;
-use gannetvane_dispatch::HoldResult;
-use gannetvane_dispatch::Lifetime;
+use gannetvane_dispatch::Incarnation;
 use gannetvane_dispatch::LinkId;
+use gannetvane_dispatch::ListResult;
 use gannetvane_dispatch::Listing;
 use gannetvane_dispatch::MinionReport;
 use gannetvane_dispatch::Order;
 use gannetvane_dispatch::OrderId;
 use gannetvane_dispatch::Report;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
+use gannetvane_dispatch::RunEnd;
 use gannetvane_dispatch::RunKey;
-use gannetvane_dispatch::Running;
 use gannetvane_dispatch::StartOrder;
 use gannetvane_dispatch::StartResult;
 use gannetvane_dispatch::TaskId;
@@ -30,16 +30,16 @@
 
 const MINION: &str = "minion-1";
 /// Steps of a test within which a listing is asked for.
-const MOST_PASSES: usize = 100;
+const MAX_PASSES: usize = 100;
 const LINK: LinkId = LinkId(1);
-pub const ROOM: Room = Room {
+pub const CAPACITY: Resources = Resources {
     cpu_milli: 4_000,
     memory_mb: 1_024,
     accelerators: 0,
 };
 
 /// Four of these fit.
-const TASK_ROOM: Room = Room {
+const TASK_RESOURCES: Resources = Resources {
     cpu_milli: 1_000,
     memory_mb: 64,
     accelerators: 0,
@@ -67,11 +67,11 @@
         };
         let entry = SocketAddr::from((Ipv4Addr::LOCALHOST, 7_720));
         driver.agent.link_up(driver.now_ms, LINK, entry);
-        let report = report(life(1_000), ROOM, 1);
+        let report = report(incarnation_at(1_000), CAPACITY, 1);
         driver.agent.minion_reported(driver.now_ms, report);
-        driver.answer_holds(&HoldResult::NoAnswer);
+        driver.answer_listings(&ListResult::NoAnswer);
         for _ in 0..10 {
-            driver.answer_holds(&listed());
+            driver.answer_listings(&listed());
         }
         assert_eq!(driver.agent.greeted_links(), 1);
         driver
@@ -82,32 +82,34 @@
     }
 
     /// A report of this life arrives; returns the calls to it.
-    pub fn report_life(&mut self, lifetime: &Lifetime) -> Vec<AgentAction> {
-        let report = report(lifetime.clone(), ROOM, 1);
+    pub fn report_incarnation(&mut self, incarnation: &Incarnation) -> Vec<AgentAction> {
+        let report = report(incarnation.clone(), CAPACITY, 1);
         self.agent.minion_reported(self.now_ms, report);
         let mut actions = self.agent.take_actions();
         actions.retain(|action| match action {
-            AgentAction::Hold { lifetime: to, .. } => to == lifetime,
+            AgentAction::List {
+                incarnation: to, ..
+            } => to == incarnation,
             _ => false,
         });
         actions
     }
 
     /// The minion reports other room.
-    pub fn report_room(&mut self, capacity: Room, sequence: u64) {
-        let report = report(life(1_000), capacity, sequence);
+    pub fn report_capacity(&mut self, capacity: Resources, sequence: u64) {
+        let report = report(incarnation_at(1_000), capacity, sequence);
         self.agent.minion_reported(self.now_ms, report);
     }
 
     /// A call that asks for a listing ends.
-    pub fn answer_call(&mut self, lifetime: &Lifetime, call: u64, result: HoldResult) {
-        self.agent.listed(self.now_ms, lifetime, call, result);
+    pub fn answer_call(&mut self, incarnation: &Incarnation, call: u64, result: ListResult) {
+        self.agent.listed(self.now_ms, incarnation, call, result);
     }
 
     /// Answers the next listings that are asked for.
-    pub fn answer_with(&mut self, result: &HoldResult) {
-        for _ in 0..MOST_PASSES {
-            if self.answer_holds(result) {
+    pub fn answer_with(&mut self, result: &ListResult) {
+        for _ in 0..MAX_PASSES {
+            if self.answer_listings(result) {
                 return;
             }
         }
@@ -116,13 +118,16 @@
 
     /// Passes some time and answers the listings that were asked for; false if
     /// there were none.
-    pub fn answer_holds(&mut self, result: &HoldResult) -> bool {
+    pub fn answer_listings(&mut self, result: &ListResult) -> bool {
         let mut is_listed = false;
         for action in self.pass(50) {
-            if let AgentAction::Hold { call, lifetime, .. } = action {
+            if let AgentAction::List {
+                call, incarnation, ..
+            } = action
+            {
                 is_listed = true;
                 self.agent
-                    .listed(self.now_ms, &lifetime, call, result.clone());
+                    .listed(self.now_ms, &incarnation, call, result.clone());
             }
         }
         is_listed
@@ -166,7 +171,7 @@
             run: 1,
             spec: "".into(),
             is_suspect,
-            needs: TASK_ROOM,
+            needs: TASK_RESOURCES,
             expected_ms: 100,
             is_stored: false,
         }))
@@ -174,22 +179,26 @@
 
     pub fn answer(&mut self, result: StartResult) {
         self.agent
-            .start_answered(self.now_ms, &life(1_000), &key("a"), result);
+            .start_answered(self.now_ms, &incarnation_at(1_000), &key("a"), result);
     }
 
     /// The minion starts the only task of a job, and lists how it ended.
-    pub fn run_to(&mut self, job: &str, end: End) {
-        self.agent
-            .start_answered(self.now_ms, &life(1_000), &key(job), StartResult::Started);
+    pub fn run_to(&mut self, job: &str, end: RunEnd) {
+        self.agent.start_answered(
+            self.now_ms,
+            &incarnation_at(1_000),
+            &key(job),
+            StartResult::Started,
+        );
         self.ends += 1;
-        let finished = Finished {
+        let ended = EndedRun {
             number: self.ends,
             key: Some(key(job)),
             end,
         };
-        let listing = HoldResult::Listed(Listing {
+        let listing = ListResult::Listed(Listing {
             clock_ms: 600,
-            finished: vec![finished],
+            ended: vec![ended],
             ..Listing::default()
         });
         self.answer_with(&listing);
@@ -199,21 +208,25 @@
     pub fn starts(&mut self, jobs: &[&str]) {
         for (order, job) in (1..).zip(jobs) {
             self.start_of(order, job);
-            self.agent
-                .start_answered(self.now_ms, &life(1_000), &key(job), StartResult::Started);
+            self.agent.start_answered(
+                self.now_ms,
+                &incarnation_at(1_000),
+                &key(job),
+                StartResult::Started,
+            );
         }
     }
 
     /// Asks for a listing, which the minion makes after some time with these runs
     /// a tenth done, and which arrives this much later; returns what the agent does.
     pub fn list_running(&mut self, jobs: &[&str], wait_ms: u64, late_ms: u64) -> Vec<AgentAction> {
-        let is_hold = |action: &AgentAction| matches!(action, AgentAction::Hold { .. });
+        let is_hold = |action: &AgentAction| matches!(action, AgentAction::List { .. });
         let mut asked = Vec::new();
         while !asked.iter().any(is_hold) {
             asked = self.pass(10);
         }
         self.pass(wait_ms);
-        let running = jobs.iter().map(|job| Running {
+        let running = jobs.iter().map(|job| ActiveRun {
             key: Some(key(job)),
             percent: 10,
         });
@@ -224,9 +237,12 @@
         };
         self.pass(late_ms);
         for action in asked {
-            if let AgentAction::Hold { call, lifetime, .. } = action {
-                let result = HoldResult::Listed(listing.clone());
-                self.agent.listed(self.now_ms, &lifetime, call, result);
+            if let AgentAction::List {
+                call, incarnation, ..
+            } = action
+            {
+                let result = ListResult::Listed(listing.clone());
+                self.agent.listed(self.now_ms, &incarnation, call, result);
             }
         }
         self.pass(1)
@@ -234,15 +250,17 @@
 
     /// How the runs ended that the entry is told of from now on, until the minion is
     /// given up: nobody takes connections at its address.
-    pub fn ends_of_refused_minion(&mut self) -> Vec<(OrderId, End)> {
+    pub fn ends_of_refused_minion(&mut self) -> Vec<(OrderId, RunEnd)> {
         let mut ends = Vec::new();
-        for _ in 0..MOST_PASSES {
+        for _ in 0..MAX_PASSES {
             let actions = self.pass(20);
             for action in actions {
                 match action {
-                    AgentAction::Hold { call, lifetime, .. } => {
-                        let result = HoldResult::Unreached;
-                        self.agent.listed(self.now_ms, &lifetime, call, result);
+                    AgentAction::List {
+                        call, incarnation, ..
+                    } => {
+                        let result = ListResult::Unreached;
+                        self.agent.listed(self.now_ms, &incarnation, call, result);
                     }
                     AgentAction::Send(_, frame) => {
                         ends.extend(frame.reports.iter().filter_map(ended));
@@ -250,7 +268,7 @@
                     _ => {}
                 }
             }
-            if self.agent.lifetime().is_none() {
+            if self.agent.incarnation().is_none() {
                 break;
             }
         }
@@ -258,12 +276,12 @@
     }
 
     /// Whether the entry was last told that starts are admitted.
-    pub fn is_open(&mut self) -> bool {
+    pub fn is_accepting_starts(&mut self) -> bool {
         let told = self
             .pass(100)
             .into_iter()
             .filter_map(|action| match action {
-                AgentAction::Send(_, frame) => Some(frame.is_open),
+                AgentAction::Send(_, frame) => Some(frame.is_accepting_starts),
                 _ => None,
             });
         told.last().expect("a frame")
@@ -277,16 +295,16 @@
 }
 
 /// The order and the end in a report of an end.
-fn ended(report: &Report) -> Option<(OrderId, End)> {
+fn ended(report: &Report) -> Option<(OrderId, RunEnd)> {
     match report {
         Report::Ended { order, end, .. } => Some((*order, *end)),
         _ => None,
     }
 }
 
-fn report(lifetime: Lifetime, capacity: Room, sequence: u64) -> MinionReport {
+fn report(incarnation: Incarnation, capacity: Resources, sequence: u64) -> MinionReport {
     MinionReport {
-        lifetime,
+        incarnation,
         service: "desk".into(),
         zone: "selfoss".into(),
         labels: Vec::new(),
@@ -298,12 +316,12 @@
 }
 
 /// The life of the minion that began at this time.
-pub fn life(born_unix_ms: u64) -> Lifetime {
-    Lifetime::new(MINION.into(), Some(born_unix_ms))
+pub fn incarnation_at(started_unix_ms: u64) -> Incarnation {
+    Incarnation::new(MINION.into(), Some(started_unix_ms))
 }
 
-pub fn listed() -> HoldResult {
-    HoldResult::Listed(Listing {
+pub fn listed() -> ListResult {
+    ListResult::Listed(Listing {
         clock_ms: 600,
         ..Listing::default()
     })
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -55,7 +55,7 @@
     load(&mut session, 400);
     assert!(session.starts_in("hella", 0) > 0);
     // The others have not heard of it yet.
-    session.tell_evacuations(0, &evacuations(7, &["hella"]));
+    session.send_evacuations(0, &evacuations(7, &["hella"]));
     let told_ms = session.now_ms;
     let callers = load(&mut session, 1_000);
     assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
@@ -70,25 +70,25 @@
     let mut session = Session::new(ENTRIES, AGENTS);
     let caller = session.submit(0, "long", 30, 800);
     session.run(200);
-    let begun = session.seen_starts.len();
-    session.tell_all_evacuations(&evacuations(7, &["hella"]));
+    let begun = session.answered_starts.len();
+    session.send_evacuations_to_all(&evacuations(7, &["hella"]));
     session.run_until_answered(caller, 2_000);
     assert_eq!(session.outcome(caller), Some(JobOutcome::Completed));
-    assert_eq!(session.seen_starts.len(), begun);
+    assert_eq!(session.answered_starts.len(), begun);
 }
 
 #[test]
 fn a_zone_that_is_taken_back_gets_work_within_a_second() {
     let mut session = Session::new(ENTRIES, AGENTS);
-    session.tell_all_evacuations(&evacuations(7, &["hella"]));
+    session.send_evacuations_to_all(&evacuations(7, &["hella"]));
     load(&mut session, 1_000);
-    session.tell_evacuations(1, &evacuations(8, &[]));
+    session.send_evacuations(1, &evacuations(8, &[]));
     session.run(10);
-    session.tell_evacuations(0, &evacuations(8, &[]));
-    session.tell_evacuations(2, &evacuations(8, &[]));
+    session.send_evacuations(0, &evacuations(8, &[]));
+    session.send_evacuations(2, &evacuations(8, &[]));
     let back_ms = session.now_ms;
     load(&mut session, 1_000);
-    let first = session.seen_starts.iter();
+    let first = session.answered_starts.iter();
     let first = first.filter(|start| start.at_ms > back_ms && start.agent % 3 == 1);
     let first_ms = first.map(|start| start.at_ms).min();
     assert!(first_ms.is_some_and(|at_ms| at_ms < back_ms + 1_000));
@@ -99,22 +99,22 @@
 #[test]
 fn a_task_goes_back_to_hosts_that_crashed_while_all_others_are_emptied() {
     let mut session = Session::new(1, AGENTS);
-    session.tell_births();
-    session.tell_all_evacuations(&evacuations(7, &["hella", "thorlak"]));
+    session.report_start_times();
+    session.send_evacuations_to_all(&evacuations(7, &["hella", "thorlak"]));
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
     let job = session.store("0000000000000002", 1, 600);
-    let at_work = |session: &Session| {
+    let running = |session: &Session| {
         let mut minions = session.minions.iter();
         minions.position(|minion| minion.running().next().is_some())
     };
     for _ in 0..2 {
         let agent = (0..5_000).find_map(|_| {
             session.run(1);
-            at_work(&session)
+            running(&session)
         });
         session.run(100);
-        session.rebirth(agent.expect("a run"), 300);
+        session.restart_with_same_id(agent.expect("a run"), 300);
     }
     session.run_until_ended(job, 5_000);
     let end = session.stored[job].end;
@@ -124,11 +124,11 @@
 #[test]
 fn an_older_picture_undoes_nothing() {
     let mut session = Session::new(ENTRIES, AGENTS);
-    session.tell_all_evacuations(&evacuations(9, &["hella"]));
+    session.send_evacuations_to_all(&evacuations(9, &["hella"]));
     session.run(10);
     let told_ms = session.now_ms;
-    session.tell_all_evacuations(&evacuations(8, &[]));
-    session.tell_evacuations(2, &evacuations(3, &["selfoss"]));
+    session.send_evacuations_to_all(&evacuations(8, &[]));
+    session.send_evacuations(2, &evacuations(3, &["selfoss"]));
     load(&mut session, 500);
     assert_eq!(session.starts_in("hella", told_ms), 0);
     assert!(session.starts_in("selfoss", told_ms) > 0);
@@ -142,7 +142,7 @@
         .map(|number| session.submit(0, &format!("early-{number}"), 6, 300))
         .collect();
     session.run(5);
-    session.tell_all_evacuations(&evacuations(7, &ZONES));
+    session.send_evacuations_to_all(&evacuations(7, &ZONES));
     let told_ms = session.now_ms;
     session.run(10);
     let is_refused = refused(Refusal::Evacuated);
@@ -157,7 +157,7 @@
         assert!(state.answered_ms <= Some(state.sent_ms + HEARD_MS));
     }
     assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
-    session.tell_all_evacuations(&evacuations(8, &["hella", "thorlak"]));
+    session.send_evacuations_to_all(&evacuations(8, &["hella", "thorlak"]));
     session.run(2_000);
     let callers = load(&mut session, 300);
     session.run(1_000);
@@ -168,18 +168,18 @@
 #[test]
 fn a_start_without_an_answer_is_not_sent_again_in_the_zone() {
     let mut session = Session::new(1, 2);
-    session.fate = Box::new(|_, _| Some(30));
+    session.call_delay = Box::new(|_, _| Some(30));
     let caller = session.submit(0, "unheard", 1, 100);
     session.run(40);
     let told = Evacuations {
-        as_of: 7,
+        log_offset: 7,
         zones: ["selfoss".into(), "hella".into()].into(),
     };
-    session.tell_all_evacuations(&told);
+    session.send_evacuations_to_all(&told);
     session.run(5);
-    session.fate = Box::new(|_, _| None);
+    session.call_delay = Box::new(|_, _| None);
     session.run(3_000);
-    assert_eq!(session.seen_starts, []);
+    assert_eq!(session.answered_starts, []);
     assert!(session.outcome(caller).is_some());
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
@@ -189,7 +189,7 @@
     let mut session = Session::new(1, 2);
     // Half of the calls stay without an answer, so starts are sent in copies.
     let mut calls = 0;
-    session.fate = Box::new(move |_, _| {
+    session.call_delay = Box::new(move |_, _| {
         calls += 1;
         (calls % 2 == 0).then_some(700)
     });
@@ -199,12 +199,12 @@
     }
     let mut copies = 0;
     for number in 0..30 {
-        session.fate = Box::new(|_, _| Some(700));
-        session.tell_all_evacuations(&evacuations(2 * number + 7, &[]));
+        session.call_delay = Box::new(|_, _| Some(700));
+        session.send_evacuations_to_all(&evacuations(2 * number + 7, &[]));
         session.submit(0, &format!("copied-{number}"), 8, 60);
         session.run(4);
         let begun = session.start_calls.len();
-        session.tell_all_evacuations(&evacuations(2 * number + 8, &["selfoss", "hella"]));
+        session.send_evacuations_to_all(&evacuations(2 * number + 8, &["selfoss", "hella"]));
         session.run(HEARD_MS);
         let told_ms = session.now_ms;
         session.run(60);
@@ -219,11 +219,11 @@
 fn an_entry_that_has_heard_orders_nothing_in_the_zone() {
     let mut session = Session::new(1, AGENTS);
     for number in 0..20 {
-        session.tell_all_evacuations(&evacuations(2 * number + 7, &["hella"]));
+        session.send_evacuations_to_all(&evacuations(2 * number + 7, &["hella"]));
         // All of the other zones' room, before agents have said anything.
         session.submit(0, &format!("wide-{number}"), 40, 20);
         session.run(60);
-        session.tell_all_evacuations(&evacuations(2 * number + 8, &[]));
+        session.send_evacuations_to_all(&evacuations(2 * number + 8, &[]));
         session.run(60);
     }
     assert_eq!(session.notes.get("start-refused-evacuated"), None);
@@ -232,7 +232,7 @@
 #[test]
 fn an_agent_that_starts_anew_hears_of_it_before_any_order() {
     let mut session = Session::new(ENTRIES, AGENTS);
-    session.tell_all_evacuations(&evacuations(7, &["hella"]));
+    session.send_evacuations_to_all(&evacuations(7, &["hella"]));
     let told_ms = session.now_ms;
     session.kill_agent(1, 300);
     session.kill_agent(4, 500);
@@ -248,7 +248,7 @@
     let mut session = Session::new(ENTRIES, AGENTS);
     session.store("00000000000000f0", 1, 20);
     session.run(4_000);
-    session.tell_all_evacuations(&evacuations(7, &["hella"]));
+    session.send_evacuations_to_all(&evacuations(7, &["hella"]));
     let told_ms = session.now_ms;
     for number in 0..30 {
         session.store(&format!("{number:016x}"), 6, 50);
@@ -265,12 +265,12 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut session = Session::new(ENTRIES, AGENTS);
     let mut history = vec![evacuations(1, &[])];
-    for as_of in 2..10 {
+    for log_offset in 2..10 {
         let zones: Vec<&str> = ZONES
             .into_iter()
             .filter(|_| rng.random::<f64>() < 0.4)
             .collect();
-        history.push(evacuations(as_of, &zones));
+        history.push(evacuations(log_offset, &zones));
     }
     // When the first entry heard of each record, and when all had.
     let mut heard = vec![(u64::MAX, [false; ENTRIES], u64::MAX); history.len()];
@@ -284,7 +284,7 @@
             };
             if rng.random::<f64>() < 0.4 {
                 let entry = rng.random_range(0..ENTRIES);
-                session.tell_evacuations(entry, &history[told]);
+                session.send_evacuations(entry, &history[told]);
                 let (first_ms, entries, all_ms) = &mut heard[told];
                 *first_ms = session.now_ms.min(*first_ms);
                 entries[entry] = true;
@@ -298,11 +298,11 @@
                     session.kill_agent(agent, rng.random_range(10..400));
                     killed_ms[agent] = session.now_ms;
                 }
-                1 => session.freeze_entry(rng.random_range(0..ENTRIES), rng.random_range(50..900)),
+                1 => session.suspend_entry(rng.random_range(0..ENTRIES), rng.random_range(50..900)),
                 2 => session.cut(rng.random_range(0..ENTRIES), agent),
                 3 | 4 => session.heal(),
-                5 => session.fate = Box::new(move |_, hit| (hit == agent).then_some(700)),
-                6 => session.fate = Box::new(|_, _| None),
+                5 => session.call_delay = Box::new(move |_, hit| (hit == agent).then_some(700)),
+                6 => session.call_delay = Box::new(|_, _| None),
                 _ => {}
             }
             let entry = rng.random_range(0..ENTRIES);
@@ -313,11 +313,11 @@
         }
     }
     session.heal();
-    session.fate = Box::new(|_, _| None);
+    session.call_delay = Box::new(|_, _| None);
     session.run(6_000);
     // From when all entries knew a record that empties a zone, nothing starts
     // there until somebody hears of a later one that does not.
-    for start in &session.seen_starts {
+    for start in &session.answered_starts {
         let zone = ZONES[start.agent % 3];
         let known =
             (0..history.len()).filter(|at| heard[*at].2.saturating_add(FROZEN_MS) < start.at_ms);
--- a/crates/dispatch/tests/frames.rs
+++ b/crates/dispatch/tests/frames.rs
@@ -36,17 +36,17 @@
 
     #[test]
     fn a_frame_with_a_flipped_byte_is_decoded_or_refused(
-        as_of: u64,
+        log_offset: u64,
         zones: Vec<String>,
         at: proptest::sample::Index,
         flip in 1_u8..,
     ) {
         let told = Evacuations {
-            as_of,
+            log_offset,
             zones: zones.iter().map(|zone| zone.as_str().into()).collect(),
         };
         let frame = EntryFrame {
-            grant_until_ms: as_of,
+            grant_until_ms: log_offset,
             demand: gannetvane_dispatch::Demand::default(),
             orders: vec![Order::Evacuations(told)],
         };
--- a/crates/dispatch/tests/gossip.rs
+++ b/crates/dispatch/tests/gossip.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 
 use gannetvane_dispatch::Crash;
-use gannetvane_dispatch::CrashSign;
+use gannetvane_dispatch::CrashEvidence;
 use gannetvane_dispatch::Dispatcher;
 use gannetvane_dispatch::DispatcherSettings;
-use gannetvane_dispatch::KnownEntry;
-use gannetvane_dispatch::PeerNews;
-use gannetvane_dispatch::PeerTeller;
+use gannetvane_dispatch::GossipSender;
+use gannetvane_dispatch::GossipState;
+use gannetvane_dispatch::SeenEntry;
 use gannetvane_dispatch::TaskId;
 
 const BEGIN_MS: u64 = 100_000;
@@ -20,55 +20,55 @@
     SocketAddr::from((Ipv4Addr::new(10, 1, 0, number), 7_720))
 }
 
-fn news(numbers: &[u8]) -> PeerNews {
-    PeerNews {
+fn gossip(numbers: &[u8]) -> GossipState {
+    GossipState {
         entries: numbers.iter().copied().map(addr).collect(),
-        ..PeerNews::default()
+        ..GossipState::default()
     }
 }
 
 /// The entries in the next frame of a process that knows `numbers`.
-fn told(teller: &mut PeerTeller, now_ms: u64, numbers: &[u8]) -> Vec<SocketAddr> {
-    let news = news(numbers);
-    let known = |addr: &SocketAddr| KnownEntry {
+fn told(sender: &mut GossipSender, now_ms: u64, numbers: &[u8]) -> Vec<SocketAddr> {
+    let gossip = gossip(numbers);
+    let known = |addr: &SocketAddr| SeenEntry {
         addr: *addr,
         age_ms: 0,
     };
-    let known = || news.entries.iter().map(known).collect();
-    let frame = teller.next_frame(now_ms, &news, known);
+    let known = || gossip.entries.iter().map(known).collect();
+    let frame = sender.next_frame(now_ms, &gossip, known);
     frame.entries.into_iter().map(|entry| entry.addr).collect()
 }
 
 #[test]
 fn the_first_frame_tells_all_and_later_ones_what_became_known() {
-    let mut teller = PeerTeller::default();
-    assert_eq!(told(&mut teller, BEGIN_MS, &[1, 3]), [addr(1), addr(3)]);
+    let mut sender = GossipSender::default();
+    assert_eq!(told(&mut sender, BEGIN_MS, &[1, 3]), [addr(1), addr(3)]);
     let now_ms = BEGIN_MS + KEEPALIVE_MS;
-    assert_eq!(told(&mut teller, now_ms, &[1, 3]), []);
-    assert_eq!(told(&mut teller, now_ms, &[1, 2, 3]), [addr(2)]);
-    assert_eq!(told(&mut teller, now_ms, &[1, 2]), []);
-    assert_eq!(told(&mut teller, now_ms, &[1, 2, 3]), [addr(3)]);
+    assert_eq!(told(&mut sender, now_ms, &[1, 3]), []);
+    assert_eq!(told(&mut sender, now_ms, &[1, 2, 3]), [addr(2)]);
+    assert_eq!(told(&mut sender, now_ms, &[1, 2]), []);
+    assert_eq!(told(&mut sender, now_ms, &[1, 2, 3]), [addr(3)]);
 }
 
 #[test]
 fn all_are_told_with_every_fifth_frame() {
-    let mut teller = PeerTeller::default();
+    let mut sender = GossipSender::default();
     let all = [addr(1), addr(2)];
     for frame in 0..20 {
         let now_ms = BEGIN_MS + frame * KEEPALIVE_MS;
         let expected = if frame % 5 == 0 { &all[..] } else { &[] };
-        assert_eq!(told(&mut teller, now_ms, &[1, 2]), expected, "{frame}");
+        assert_eq!(told(&mut sender, now_ms, &[1, 2]), expected, "{frame}");
     }
 }
 
 #[test]
 fn a_set_that_changes_all_the_time_does_not_keep_ages_back() {
-    let mut teller = PeerTeller::default();
+    let mut sender = GossipSender::default();
     let pause_ms = KEEPALIVE_MS / 10;
     let mut listed = 0;
     for frame in 0..200 {
         let extra = if frame % 2 == 0 { 8 } else { 9 };
-        let told = told(&mut teller, BEGIN_MS + frame * pause_ms, &[1, 2, extra]);
+        let told = told(&mut sender, BEGIN_MS + frame * pause_ms, &[1, 2, extra]);
         listed += usize::from(told.contains(&addr(1)));
     }
     assert!((4..=6).contains(&listed), "{listed} lists in 20 s");
@@ -91,18 +91,18 @@
             step: 0,
             index: 0,
         },
-        sign: CrashSign::Strong,
+        evidence: CrashEvidence::Strong,
         age_ms: 1_000,
     }
 }
 
 /// Numbers of the crashes in the next frame of an entry, with their ages.
-fn crashes_told(teller: &mut PeerTeller, now_ms: u64, entry: &Dispatcher) -> Vec<(u64, u64)> {
-    let news = PeerNews {
+fn crashes_told(sender: &mut GossipSender, now_ms: u64, entry: &Dispatcher) -> Vec<(u64, u64)> {
+    let gossip = GossipState {
         crashes: entry.crashes().clone(),
-        ..PeerNews::default()
+        ..GossipState::default()
     };
-    let frame = teller.next_frame(now_ms, &news, Vec::new);
+    let frame = sender.next_frame(now_ms, &gossip, Vec::new);
     let crashes = frame.crashes.into_iter();
     crashes.map(|crash| (crash.number, crash.age_ms)).collect()
 }
@@ -110,16 +110,16 @@
 #[test]
 fn a_crash_is_told_once_on_a_connection_and_with_its_age() {
     let mut entry = entry(BEGIN_MS);
-    let mut teller = PeerTeller::default();
+    let mut sender = GossipSender::default();
     entry.learn_crashes(BEGIN_MS, vec![crash(1), crash(2), crash(1)]);
-    let told = crashes_told(&mut teller, BEGIN_MS + 50, &entry);
+    let told = crashes_told(&mut sender, BEGIN_MS + 50, &entry);
     assert_eq!(told, [(1, 1_050), (2, 1_050)]);
     entry.learn_crashes(BEGIN_MS + 60, vec![crash(2), crash(3)]);
     assert_eq!(
-        crashes_told(&mut teller, BEGIN_MS + 60, &entry),
+        crashes_told(&mut sender, BEGIN_MS + 60, &entry),
         [(3, 1_000)]
     );
-    let mut next = PeerTeller::default();
+    let mut next = GossipSender::default();
     assert_eq!(crashes_told(&mut next, BEGIN_MS + 60, &entry).len(), 3);
 }
 
@@ -127,13 +127,13 @@
 fn crashes_are_forgotten_by_age_and_number() {
     let mut entry = entry(BEGIN_MS);
     entry.learn_crashes(BEGIN_MS, (0..2_000).map(crash).collect());
-    let told = crashes_told(&mut PeerTeller::default(), BEGIN_MS, &entry);
+    let told = crashes_told(&mut GossipSender::default(), BEGIN_MS, &entry);
     assert_eq!(told.first(), Some(&(976, 1_000)));
     assert_eq!(told.len(), 1_024);
     let later_ms = BEGIN_MS + 29_000;
     entry.tick(later_ms);
     assert_eq!(
-        crashes_told(&mut PeerTeller::default(), later_ms, &entry),
+        crashes_told(&mut GossipSender::default(), later_ms, &entry),
         []
     );
     let old = Crash {
@@ -142,7 +142,7 @@
     };
     entry.learn_crashes(later_ms, vec![old]);
     assert_eq!(
-        crashes_told(&mut PeerTeller::default(), later_ms, &entry),
+        crashes_told(&mut GossipSender::default(), later_ms, &entry),
         []
     );
 }
--- a/crates/dispatch/tests/grey.rs
+++ b/crates/dispatch/tests/grey.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 
 use gannetvane_dispatch::AgentAction;
-use gannetvane_dispatch::End;
 use gannetvane_dispatch::JobOutcome;
 use gannetvane_dispatch::Order;
+use gannetvane_dispatch::RunEnd;
 
 use driver::Driver;
-use session::Mood;
+use session::Behavior;
 use session::Session;
 
 const ENTRIES: usize = 12;
@@ -21,10 +21,10 @@
 
 /// Twelve entries in front of six minions, the first of which is in this mood
 /// for a second in which each entry submits ten jobs of two tasks.
-fn serve_beside(mood: Mood) -> (Session, Vec<usize>) {
+fn serve_beside(behavior: Behavior) -> (Session, Vec<usize>) {
     let mut session = Session::new(ENTRIES, 6);
     session.has_prompt_minions = true;
-    session.minions[0].mood = mood;
+    session.minions[0].behavior = behavior;
     let mut jobs = Vec::new();
     for number in 0..10 {
         for entry in 0..ENTRIES {
@@ -36,7 +36,7 @@
 }
 
 fn assert_comes_back(mut session: Session) {
-    session.minions[0].mood = Mood::Sound;
+    session.minions[0].behavior = Behavior::Sound;
     session.run(3_000);
     let before = session.starts_on(FIRST_MINION);
     for number in 0..10 {
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_minion_that_fails_everything_is_closed_for_all_entries() {
-    let (session, jobs) = serve_beside(Mood::Failing);
+    let (session, jobs) = serve_beside(Behavior::Failing);
     let starts = session.starts_on(FIRST_MINION);
     assert!(starts <= 16, "{starts} starts on the failing minion");
     let is_late = |job: &&usize| {
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_minion_that_stands_still_is_closed_for_all_entries() {
-    let (session, jobs) = serve_beside(Mood::Hanging);
+    let (session, jobs) = serve_beside(Behavior::Hanging);
     let starts = session.starts_on(FIRST_MINION);
     assert!(starts <= 16, "{starts} starts on the hanging minion");
     let took_ms = |job: &usize| {
@@ -86,13 +86,13 @@
 #[test]
 fn two_jobs_that_fail_close_a_minion() {
     let mut driver = Driver::new();
-    assert!(driver.is_open());
+    assert!(driver.is_accepting_starts());
     driver.start_of(1, "a");
-    driver.run_to("a", End::Failed);
-    assert!(driver.is_open());
+    driver.run_to("a", RunEnd::Failed);
+    assert!(driver.is_accepting_starts());
     driver.start_of(2, "b");
-    driver.run_to("b", End::Failed);
-    assert!(!driver.is_open());
+    driver.run_to("b", RunEnd::Failed);
+    assert!(!driver.is_accepting_starts());
     assert_eq!(driver.start_of(3, "c"), 0);
 }
 
@@ -111,7 +111,7 @@
     driver.starts(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
     assert_eq!(stops(&driver.list_running(&["a", "b"], 100, 0)), 2);
-    assert!(!driver.is_open());
+    assert!(!driver.is_accepting_starts());
 }
 
 #[test]
@@ -121,7 +121,7 @@
     driver.list_running(&["a", "b"], 0, 0);
     // As when the agent's host stood still.
     assert_eq!(stops(&driver.list_running(&["a", "b"], 5, 100)), 0);
-    assert!(driver.is_open());
+    assert!(driver.is_accepting_starts());
 }
 
 #[test]
@@ -130,8 +130,8 @@
     driver.starts(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
     driver.list_running(&["a", "b"], 100, 0);
-    driver.order(Order::Pardon("c".into()));
-    assert!(!driver.is_open());
+    driver.order(Order::DiscountFailures("c".into()));
+    assert!(!driver.is_accepting_starts());
 }
 
 #[test]
@@ -139,10 +139,10 @@
     let mut driver = Driver::new();
     for (order, job) in [(1, "a"), (2, "b")] {
         driver.start_of(order, job);
-        driver.run_to(job, End::Failed);
+        driver.run_to(job, RunEnd::Failed);
     }
-    driver.order(Order::Pardon("a".into()));
-    assert!(driver.is_open());
+    driver.order(Order::DiscountFailures("a".into()));
+    assert!(driver.is_accepting_starts());
 }
 
 #[test]
@@ -150,14 +150,14 @@
     let mut driver = Driver::new();
     for (order, job) in [(1, "a"), (2, "b")] {
         driver.start_of(order, job);
-        driver.run_to(job, End::Failed);
+        driver.run_to(job, RunEnd::Failed);
     }
     for _ in 0..2 {
-        assert!(!driver.is_open());
+        assert!(!driver.is_accepting_starts());
     }
-    while !driver.is_open() {}
+    while !driver.is_accepting_starts() {}
     assert!(driver.start_of(3, "c") > 0, "one start shows how it is");
     assert_eq!(driver.start_of(4, "d"), 0, "and no more before its end");
-    driver.run_to("c", End::Done);
+    driver.run_to("c", RunEnd::Done);
     assert!(driver.start_of(5, "e") > 0);
 }
--- a/crates/dispatch/tests/growth/agent.rs
+++ b/crates/dispatch/tests/growth/agent.rs
@@ -5,8 +5,8 @@
 
 use gannetvane_dispatch::AgentHello;
 use gannetvane_dispatch::Directory;
-use gannetvane_dispatch::LINKED_ENTRIES;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::MAX_LINKED_ENTRIES;
+use gannetvane_dispatch::Resources;
 use gannetvane_wire::NodeId;
 
 use crate::tally::Tally;
@@ -15,7 +15,7 @@
 pub struct Agent {
     pub directory: Directory,
     pub links: BTreeSet<usize>,
-    pub dialed_gains: u64,
+    pub dialed_discoveries: u64,
     pub tally: Tally,
 }
 
@@ -23,9 +23,9 @@
     pub fn new(agent: usize, seeds: &[SocketAddr]) -> Self {
         let directory = Directory::new(None, seeds.iter().copied());
         Self {
-            directory: directory.with_choice(host(agent).into(), LINKED_ENTRIES),
+            directory: directory.with_max_targets(host(agent).into(), MAX_LINKED_ENTRIES),
             links: BTreeSet::new(),
-            dialed_gains: 0,
+            dialed_discoveries: 0,
             tally: Tally::default(),
         }
     }
@@ -54,10 +54,10 @@
         zone: "selfoss".into(),
         service: "bretti-desk".into(),
         labels: Vec::new(),
-        capacity: Room::default(),
+        capacity: Resources::default(),
         clock_ms: 0,
-        kept: Vec::new(),
+        retained_ends: Vec::new(),
         crashes: Vec::new(),
-        life: "minion-1".into(),
+        incarnation: "minion-1".into(),
     }
 }
--- a/crates/dispatch/tests/growth/change.rs
+++ b/crates/dispatch/tests/growth/change.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use gannetvane_dispatch::Directory;
-use gannetvane_dispatch::LINKED_ENTRIES;
+use gannetvane_dispatch::MAX_LINKED_ENTRIES;
 
 use crate::agent;
 use crate::fleet::Fleet;
@@ -149,7 +149,7 @@
         Self {
             change,
             changed,
-            version: fleet.entries[0].news.table.version,
+            version: fleet.entries[0].gossip.table.version,
             entries: entries.filter(|entry| *entry != changed).collect(),
             agents: (0..fleet.agents.len()).filter(concerns).collect(),
         }
@@ -164,10 +164,10 @@
         let before = self.entries.len() + self.agents.len();
         let (change, changed, version) = (self.change, self.changed, self.version);
         self.entries.retain(|entry| {
-            let news = &fleet.entries[*entry].news;
-            let is_listed = || news.entries.binary_search(&addr(changed)).is_ok();
+            let gossip = &fleet.entries[*entry].gossip;
+            let is_listed = || gossip.entries.binary_search(&addr(changed)).is_ok();
             match change {
-                Change::Configuration => news.table.version == version,
+                Change::Configuration => gossip.table.version == version,
                 Change::LostEntry => is_listed(),
                 Change::NewEntry | Change::Calm => !is_listed(),
             }
@@ -175,7 +175,7 @@
         self.agents.retain(|agent| {
             let links = &fleet.agents[*agent].links;
             match change {
-                Change::LostEntry => links.len() < LINKED_ENTRIES,
+                Change::LostEntry => links.len() < MAX_LINKED_ENTRIES,
                 _ => !links.contains(&changed),
             }
         });
@@ -187,7 +187,7 @@
 pub fn chosen(agent: usize, entries: usize) -> BTreeSet<SocketAddr> {
     let all: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
-    let mut directory = directory.with_choice(agent::host(agent).into(), LINKED_ENTRIES);
+    let mut directory = directory.with_max_targets(agent::host(agent).into(), MAX_LINKED_ENTRIES);
     directory.learn(0, &all);
     directory.targets(0)
 }
--- a/crates/dispatch/tests/growth/entry.rs
+++ b/crates/dispatch/tests/growth/entry.rs
@@ -9,11 +9,11 @@
 use gannetvane_dispatch::Dispatcher;
 use gannetvane_dispatch::DispatcherAction;
 use gannetvane_dispatch::DispatcherSettings;
-use gannetvane_dispatch::LINKED_PEERS;
+use gannetvane_dispatch::GossipSender;
+use gannetvane_dispatch::GossipState;
 use gannetvane_dispatch::LinkId;
+use gannetvane_dispatch::MAX_LINKED_PEERS;
 use gannetvane_dispatch::PeerFrame;
-use gannetvane_dispatch::PeerNews;
-use gannetvane_dispatch::PeerTeller;
 use gannetvane_dispatch::Queue;
 use gannetvane_dispatch::RoutingTable;
 use gannetvane_dispatch::encode;
@@ -25,8 +25,8 @@
 #[derive(Debug)]
 pub struct Entry {
     pub directory: Directory,
-    pub news: PeerNews,
-    pub told_gains: u64,
+    pub gossip: GossipState,
+    pub sent_discoveries: u64,
     /// Connections to other entries, with what was told there.
     pub connections: BTreeMap<usize, Connection>,
     /// Agents with a link.
@@ -38,7 +38,7 @@
 
 #[derive(Debug, Default)]
 pub struct Connection {
-    teller: PeerTeller,
+    sender: GossipSender,
     /// Number of the last frame; a pause that began earlier is over.
     pub frames: u64,
 }
@@ -47,9 +47,9 @@
     pub fn new(own: SocketAddr, seeds: &[SocketAddr]) -> Self {
         let directory = Directory::new(Some(own), seeds.iter().copied());
         Self {
-            directory: directory.with_choice(own.to_string().into(), LINKED_PEERS),
-            news: PeerNews::default(),
-            told_gains: 0,
+            directory: directory.with_max_targets(own.to_string().into(), MAX_LINKED_PEERS),
+            gossip: GossipState::default(),
+            sent_discoveries: 0,
             connections: BTreeMap::new(),
             agents: BTreeSet::new(),
             is_up: true,
@@ -67,12 +67,12 @@
     pub fn received(&mut self, now_ms: u64, from: SocketAddr, frame: PeerFrame) -> bool {
         let directory = &mut self.directory;
         self.tally.learn.measure(|| {
-            directory.reached(now_ms, from);
-            directory.learn_reached(now_ms, &frame.entries);
+            directory.mark_seen(now_ms, from);
+            directory.merge_seen(now_ms, &frame.entries);
         });
         match frame.table {
-            Some(table) if table.version > self.news.table.version => {
-                self.news.table = Arc::new(table);
+            Some(table) if table.version > self.gossip.table.version => {
+                self.gossip.table = Arc::new(table);
                 true
             }
             _ => false,
@@ -81,10 +81,10 @@
 
     /// Whether the set of entries changed since others were told.
     pub fn has_changed(&mut self, now_ms: u64) -> bool {
-        self.told_gains = self.directory.gains();
-        let entries = self.directory.news(now_ms);
-        let has_changed = entries != self.news.entries;
-        self.news.entries = entries;
+        self.sent_discoveries = self.directory.discoveries();
+        let entries = self.directory.recent_addrs(now_ms);
+        let has_changed = entries != self.gossip.entries;
+        self.gossip.entries = entries;
         has_changed
     }
 
@@ -93,7 +93,7 @@
         let connection = self.connections.get_mut(&to)?;
         connection.frames += 1;
         let known = || self.directory.known(now_ms);
-        let frame = connection.teller.next_frame(now_ms, &self.news, known);
+        let frame = connection.sender.next_frame(now_ms, &self.gossip, known);
         let bytes = encode(&frame).expect("it has an encoding");
         self.tally.sent(&bytes);
         Some(bytes)
@@ -110,7 +110,7 @@
         for agent in agents {
             dispatcher.agent_up(now_ms, LinkId(*agent as u64), hello(*agent));
         }
-        dispatcher.tell_entries(&self.news.entries);
+        dispatcher.send_entries(&self.gossip.entries);
         dispatcher.tick(now_ms);
         let frames: Vec<(usize, Vec<u8>)> = dispatcher
             .take_actions()
--- a/crates/dispatch/tests/growth/fleet.rs
+++ b/crates/dispatch/tests/growth/fleet.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 
 use gannetvane_dispatch::EntryFrame;
-use gannetvane_dispatch::KnownEntry;
 use gannetvane_dispatch::Order;
 use gannetvane_dispatch::PeerAck;
 use gannetvane_dispatch::PeerFrame;
+use gannetvane_dispatch::SeenEntry;
 use gannetvane_dispatch::decode;
 use gannetvane_dispatch::encode;
 
@@ -28,7 +28,7 @@
 /// Pause between two frames to another entry, in milliseconds.
 const KEEPALIVE_MS: u64 = 1_000;
 /// Time between two lists of all entries, in milliseconds.
-const LIST_MS: u64 = 5_000;
+const FULL_LIST_INTERVAL_MS: u64 = 5_000;
 const SEEDS: usize = 3;
 const BEGIN_MS: u64 = 100_000;
 
@@ -94,20 +94,20 @@
             let at_ms = BEGIN_MS + agent as u64 % REFRESH_MS;
             fleet.queue.add(at_ms, Event::AgentLook(agent));
         }
-        fleet.run(LIST_MS + KEEPALIVE_MS);
+        fleet.run(FULL_LIST_INTERVAL_MS + KEEPALIVE_MS);
         fleet
     }
 
     fn introduce(&mut self) {
-        let known = |entry| KnownEntry {
+        let known = |entry| SeenEntry {
             addr: addr(entry),
             age_ms: 0,
         };
-        let known: Vec<KnownEntry> = (0..self.entries.len()).map(known).collect();
+        let known: Vec<SeenEntry> = (0..self.entries.len()).map(known).collect();
         let table = Arc::new(entry::table(1));
         for entry in &mut self.entries {
-            entry.directory.learn_reached(BEGIN_MS, &known);
-            entry.news.table = Arc::clone(&table);
+            entry.directory.merge_seen(BEGIN_MS, &known);
+            entry.gossip.table = Arc::clone(&table);
             entry.has_changed(BEGIN_MS);
         }
         let addrs: Vec<SocketAddr> = known.iter().map(|known| known.addr).collect();
@@ -120,11 +120,11 @@
     fn settle_agent(&mut self, agent: usize) {
         let state = &mut self.agents[agent];
         for target in state.targets(BEGIN_MS) {
-            state.directory.reached(BEGIN_MS, target);
+            state.directory.mark_seen(BEGIN_MS, target);
             state.links.insert(number(target));
             self.entries[number(target)].agents.insert(agent);
         }
-        state.dialed_gains = state.directory.gains();
+        state.dialed_discoveries = state.directory.discoveries();
     }
 
     fn start_entry(&mut self, entry: usize) {
@@ -156,8 +156,8 @@
 
     /// An entry reads a newer configuration.
     pub fn configure(&mut self, entry: usize) {
-        let version = self.entries[entry].news.table.version + 1;
-        self.entries[entry].news.table = Arc::new(entry::table(version));
+        let version = self.entries[entry].gossip.table.version + 1;
+        self.entries[entry].gossip.table = Arc::new(entry::table(version));
         self.tell_peers(entry);
     }
 
@@ -198,7 +198,9 @@
             }
             Event::Frame(from, to, frame) => self.frame(from, to, &frame),
             Event::Ack(from, to) => {
-                self.entries[to].directory.reached(self.now_ms, addr(from));
+                self.entries[to]
+                    .directory
+                    .mark_seen(self.now_ms, addr(from));
                 self.note_input(to);
             }
             Event::Link(agent, entry) => self.link(agent, entry),
@@ -241,7 +243,7 @@
             } else {
                 // Frames on the link come far more often than looks.
                 let directory = &mut self.agents[agent].directory;
-                directory.reached(now_ms, addr(entry));
+                directory.mark_seen(now_ms, addr(entry));
             }
         }
         // The links that are kept.
@@ -254,7 +256,7 @@
         for entry in retired {
             self.entries[entry].agents.remove(&agent);
         }
-        self.agents[agent].dialed_gains = self.agents[agent].directory.gains();
+        self.agents[agent].dialed_discoveries = self.agents[agent].directory.discoveries();
     }
 
     fn is_up(&self, entry: usize) -> bool {
@@ -264,7 +266,7 @@
     /// What came is looked at once all of this moment is there.
     fn note_input(&mut self, entry: usize) {
         let state = &mut self.entries[entry];
-        if state.directory.gains() != state.told_gains && !state.is_woken {
+        if state.directory.discoveries() != state.sent_discoveries && !state.is_woken {
             state.is_woken = true;
             self.queue.add(self.now_ms, Event::Wake(entry));
         }
@@ -358,13 +360,13 @@
         let now_ms = self.now_ms;
         let frame: EntryFrame = decode(frame).expect("it was encoded");
         let state = &mut self.agents[agent];
-        state.directory.reached(now_ms, addr(entry));
+        state.directory.mark_seen(now_ms, addr(entry));
         for order in frame.orders {
             if let Order::Entries(entries) = order {
                 state.learn(now_ms, &entries);
             }
         }
-        if state.directory.gains() != state.dialed_gains {
+        if state.directory.discoveries() != state.dialed_discoveries {
             self.agent_dials(agent);
         }
     }
--- a/crates/dispatch/tests/growth/gossip.rs
+++ b/crates/dispatch/tests/growth/gossip.rs
@@ -28,10 +28,10 @@
         dispatcher.agent_up(NOW_MS, LinkId(agent as u64), hello(agent));
     }
     let all: Vec<SocketAddr> = (0..entries + CHANGES).map(addr).collect();
-    dispatcher.tell_entries(&all[..entries]);
+    dispatcher.send_entries(&all[..entries]);
     let began = Instant::now();
     for known in entries..entries + CHANGES {
-        dispatcher.tell_entries(&all[..=known]);
+        dispatcher.send_entries(&all[..=known]);
     }
     began.elapsed().as_secs_f64() * 1e6 / CHANGES as f64
 }
--- a/crates/dispatch/tests/interleavings.rs
+++ b/crates/dispatch/tests/interleavings.rs
@@ -6,8 +6,8 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use session::LogFate;
-use session::Mood;
+use session::Behavior;
+use session::LogCallOutcome;
 use session::Session;
 use session::seeds;
 use yare::parameterized;
@@ -47,9 +47,9 @@
 
 /// Has minions keep their ids, if they do.
 fn prepare(session: &mut Session, rebirths: Rebirths) {
-    session.drops_calls_of_past_lives = rebirths == Rebirths::WithoutLateCalls;
+    session.drops_calls_of_ended_incarnations = rebirths == Rebirths::WithoutLateCalls;
     if rebirths != Rebirths::None {
-        session.tell_births();
+        session.report_start_times();
     }
 }
 
@@ -58,7 +58,7 @@
 fn rebear(session: &mut Session, rng: &mut ChaCha8Rng, rebirths: Rebirths) {
     if rebirths != Rebirths::None && rng.random_range(0..12) == 0 {
         let agent = rng.random_range(0..AGENTS);
-        session.rebirth(agent, rng.random_range(0..2_500));
+        session.restart_with_same_id(agent, rng.random_range(0..2_500));
     }
 }
 
@@ -85,7 +85,7 @@
         session.run(rng.random_range(10..120));
     }
     session.heal();
-    session.fate = Box::new(|_, _| None);
+    session.call_delay = Box::new(|_, _| None);
     session.run(14_000);
     session
 }
@@ -96,29 +96,29 @@
     match rng.random_range(0..40) {
         0 => session.kill_entry(entry, rng.random_range(10..2_000)),
         1 => session.kill_agent(agent, rng.random_range(10..2_000)),
-        2 | 3 => session.freeze_entry(entry, rng.random_range(50..3_000)),
-        4 | 5 => session.freeze_agent(agent, rng.random_range(50..3_000)),
+        2 | 3 => session.suspend_entry(entry, rng.random_range(50..3_000)),
+        4 | 5 => session.suspend_agent(agent, rng.random_range(50..3_000)),
         6 | 7 => session.cut(entry, agent),
         8..=10 => session.heal(),
         11 => session.crash_minion(agent),
         12 => {
             let share = rng.random_range(0.0..0.6);
             let mut fates = ChaCha8Rng::seed_from_u64(rng.random());
-            session.fate = Box::new(move |_, hit| {
+            session.call_delay = Box::new(move |_, hit| {
                 let is_late = hit == agent && fates.random::<f64>() < share;
                 is_late.then(|| fates.random_range(500..9_000))
             });
         }
-        13 | 14 => session.fate = Box::new(|_, _| None),
-        15 => session.minions[agent].mood = Mood::Failing,
-        16 => session.minions[agent].mood = Mood::Hanging,
-        17 => session.minions[agent].mood = Mood::Slow(5.0),
-        18..=21 => session.minions[agent].mood = Mood::Sound,
+        13 | 14 => session.call_delay = Box::new(|_, _| None),
+        15 => session.minions[agent].behavior = Behavior::Failing,
+        16 => session.minions[agent].behavior = Behavior::Hanging,
+        17 => session.minions[agent].behavior = Behavior::Slow(5.0),
+        18..=21 => session.minions[agent].behavior = Behavior::Sound,
         22 | 23 if !session.callers.is_empty() => {
             let position = rng.random_range(0..session.callers.len());
             session.break_caller(position);
         }
-        24 => session.deliver_late_report(agent),
+        24 => session.deliver_delayed_report(agent),
         _ => {}
     }
 }
@@ -155,10 +155,10 @@
         session.run(rng.random_range(10..150));
     }
     session.heal();
-    session.fate = Box::new(|_, _| None);
-    session.log_fate = Box::new(|_, _| LogFate::Served);
+    session.call_delay = Box::new(|_, _| None);
+    session.log_outcome = Box::new(|_, _| LogCallOutcome::Served);
     for minion in &mut session.minions {
-        minion.mood = Mood::Sound;
+        minion.behavior = Behavior::Sound;
     }
     session.run(30_000);
     session.check_stored();
@@ -169,16 +169,16 @@
     let hit = rng.random_range(0..STORED_ENTRIES + 1);
     match rng.random_range(0..30) {
         0 => session.log.rebalance(),
-        1..=4 => session.log_fate = Box::new(|_, _| LogFate::Served),
-        5 => session.log_fate = failing(hit, LogFate::Refused),
-        6 => session.log_fate = failing(hit, LogFate::Silent),
+        1..=4 => session.log_outcome = Box::new(|_, _| LogCallOutcome::Served),
+        5 => session.log_outcome = failing(hit, LogCallOutcome::Refused),
+        6 => session.log_outcome = failing(hit, LogCallOutcome::Dropped),
         7 | 8 => {
             let share = rng.random_range(0.0..0.6);
             let mut fates = ChaCha8Rng::seed_from_u64(rng.random());
-            session.log_fate = Box::new(move |_, _| match fates.random::<f64>() {
-                draw if draw < share / 2.0 => LogFate::Lost,
-                draw if draw < share => LogFate::Late(fates.random_range(100..4_000)),
-                _ => LogFate::Served,
+            session.log_outcome = Box::new(move |_, _| match fates.random::<f64>() {
+                draw if draw < share / 2.0 => LogCallOutcome::AnswerLost,
+                draw if draw < share => LogCallOutcome::Delayed(fates.random_range(100..4_000)),
+                _ => LogCallOutcome::Served,
             });
         }
         _ => {}
@@ -186,12 +186,12 @@
 }
 
 /// The log fails for one entry, or for all when there is none of that number.
-fn failing(hit: usize, fate: LogFate) -> Box<dyn FnMut(u64, usize) -> LogFate> {
+fn failing(hit: usize, fate: LogCallOutcome) -> Box<dyn FnMut(u64, usize) -> LogCallOutcome> {
     Box::new(move |_, entry| {
         if entry == hit || hit == STORED_ENTRIES {
             fate
         } else {
-            LogFate::Served
+            LogCallOutcome::Served
         }
     })
 }
@@ -241,8 +241,8 @@
 )]
 fn a_start_that_outlives_its_life_runs_nothing_twice(seed: u64, longest_ms: u64) {
     let session = play(seed, longest_ms, Rebirths::Some);
-    let twice = &session.violations.twice;
-    assert!(twice.is_empty(), "{twice:?}");
+    let duplicates = &session.violations.duplicates;
+    assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
 #[test]
@@ -271,8 +271,8 @@
 )]
 fn an_end_that_counts_stays_the_only_one_in_the_next_life(seed: u64) {
     let session = play_stored(seed, Rebirths::Some);
-    let twice = &session.violations.twice;
-    assert!(twice.is_empty(), "{twice:?}");
+    let duplicates = &session.violations.duplicates;
+    assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
 /// The next life of a minion carries a start out while its agent stands still, and the
@@ -284,8 +284,8 @@
 )]
 fn a_late_start_of_a_stored_task_is_never_a_second_run(seed: u64) {
     let session = play_stored(seed, Rebirths::Some);
-    let twice = &session.violations.twice;
-    assert!(twice.is_empty(), "{twice:?}");
+    let duplicates = &session.violations.duplicates;
+    assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
 /// The same for jobs whose callers wait.
@@ -295,8 +295,8 @@
 )]
 fn a_late_start_of_a_waited_task_is_never_a_second_run(seed: u64, longest_ms: u64) {
     let session = play(seed, longest_ms, Rebirths::Some);
-    let twice = &session.violations.twice;
-    assert!(twice.is_empty(), "{twice:?}");
+    let duplicates = &session.violations.duplicates;
+    assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
 /// What goes wrong in a seed; empty if nothing does.
--- a/crates/dispatch/tests/late_binding.rs
+++ b/crates/dispatch/tests/late_binding.rs
@@ -13,7 +13,7 @@
 use gannetvane_dispatch::WaitingJob;
 use gannetvane_wire::Name;
 
-use session::MINION_ROOM;
+use session::MINION_CAPACITY;
 use session::MinionKind;
 use session::Session;
 use session::table;
@@ -28,7 +28,7 @@
 }
 
 impl OverloadPolicy for Patient {
-    fn takes_in(&mut self, _: u64, _: &Arrival<'_>, _: &ServiceView) -> bool {
+    fn admits(&mut self, _: u64, _: &Arrival<'_>, _: &ServiceView) -> bool {
         true
     }
 
@@ -36,9 +36,9 @@
         self.rest.offered_milli(now_ms, service)
     }
 
-    fn waited_in_vain(&mut self, _: u64, _: &Name, _: u64) {}
+    fn note_shed(&mut self, _: u64, _: &Name, _: u64) {}
 
-    fn has_prospect(&self, _: u64, _: &WaitingJob, _: f64) -> bool {
+    fn can_meet_objective(&self, _: u64, _: &WaitingJob, _: f64) -> bool {
         true
     }
 
@@ -55,7 +55,7 @@
 fn session() -> Session {
     let policy = || -> BoxedPolicy { Box::new(Patient::default()) };
     let kind = MinionKind {
-        room: MINION_ROOM,
+        capacity: MINION_CAPACITY,
         speed: 1.0,
     };
     let mut session = Session::with_minions(2, vec![kind], table(1).queues, policy);
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -9,7 +9,7 @@
 
 use gannetvane_dispatch::Directory;
 use gannetvane_dispatch::JobOutcome;
-use gannetvane_dispatch::LINKED_ENTRIES;
+use gannetvane_dispatch::MAX_LINKED_ENTRIES;
 use session::Session;
 
 const NOW_MS: u64 = 1_000;
@@ -26,15 +26,16 @@
 fn chosen(agent: usize, entries: &[SocketAddr]) -> BTreeSet<SocketAddr> {
     let seed = SocketAddr::from((Ipv4Addr::new(10, 9, 9, 9), 7_720));
     let name = format!("side-{agent}");
-    let mut directory = Directory::new(None, [seed]).with_choice(name.into(), LINKED_ENTRIES);
+    let mut directory =
+        Directory::new(None, [seed]).with_max_targets(name.into(), MAX_LINKED_ENTRIES);
     directory.learn(NOW_MS, entries);
     directory.targets(NOW_MS)
 }
 
 #[test]
 fn while_entries_are_few_all_are_chosen_and_the_seeds_too() {
-    let few = entries(LINKED_ENTRIES - 1);
-    assert_eq!(chosen(1, &few).len(), LINKED_ENTRIES);
+    let few = entries(MAX_LINKED_ENTRIES - 1);
+    assert_eq!(chosen(1, &few).len(), MAX_LINKED_ENTRIES);
 }
 
 #[test]
@@ -44,12 +45,12 @@
     let mut counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for agent in 0..AGENTS {
         let chosen = chosen(agent, &entries);
-        assert_eq!(chosen.len(), LINKED_ENTRIES);
+        assert_eq!(chosen.len(), MAX_LINKED_ENTRIES);
         for entry in chosen {
             *counts.entry(entry).or_default() += 1;
         }
     }
-    let mean = AGENTS * LINKED_ENTRIES / entries.len();
+    let mean = AGENTS * MAX_LINKED_ENTRIES / entries.len();
     let least = entries.iter().map(|entry| counts.get(entry).copied());
     let least = least.map(Option::unwrap_or_default).min();
     let most = counts.values().max().copied();
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -5,15 +5,15 @@
 use std::net::SocketAddr;
 
 use gannetvane_dispatch::Directory;
-use gannetvane_dispatch::LINKED_PEERS;
+use gannetvane_dispatch::MAX_LINKED_PEERS;
 
 /// Entries at the target size.
 const ENTRIES: usize = 183;
 /// Pause between two lists on a connection, in milliseconds.
-const LIST_MS: u64 = 5_000;
+const FULL_LIST_INTERVAL_MS: u64 = 5_000;
 /// Time without contact after which an entry is to be forgotten, and what its
 /// age may lag behind on its way, in milliseconds.
-const FORGOTTEN_WITHIN_MS: u64 = 30_000 + 2 * LIST_MS;
+const FORGOTTEN_WITHIN_MS: u64 = 30_000 + 2 * FULL_LIST_INTERVAL_MS;
 
 struct Fleet {
     now_ms: u64,
@@ -32,7 +32,8 @@
         let seeds = [addr(0), addr(1), addr(2)];
         let directory = |number| {
             let own = addr(number);
-            Directory::new(Some(own), seeds).with_choice(own.to_string().into(), LINKED_PEERS)
+            Directory::new(Some(own), seeds)
+                .with_max_targets(own.to_string().into(), MAX_LINKED_PEERS)
         };
         Self {
             now_ms: 100_000,
@@ -43,7 +44,7 @@
 
     /// Every entry sends a list to each that it connects to.
     fn exchange(&mut self) {
-        self.now_ms += LIST_MS;
+        self.now_ms += FULL_LIST_INTERVAL_MS;
         for number in 0..ENTRIES {
             if !self.is_up[number] {
                 continue;
@@ -62,16 +63,16 @@
             return;
         }
         let list = self.directories[number].known(self.now_ms);
-        self.directories[number].reached(self.now_ms, target);
-        self.directories[other].reached(self.now_ms, addr(number));
-        self.directories[other].learn_reached(self.now_ms, &list);
+        self.directories[number].mark_seen(self.now_ms, target);
+        self.directories[other].mark_seen(self.now_ms, addr(number));
+        self.directories[other].merge_seen(self.now_ms, &list);
     }
 
     fn know(&self, number: usize) -> usize {
         let up = (0..ENTRIES).filter(|other| self.is_up[*other]);
         let know = |other: &usize| {
             self.directories[*other]
-                .news(self.now_ms)
+                .recent_addrs(self.now_ms)
                 .contains(&addr(number))
         };
         up.filter(know).count()
@@ -87,7 +88,7 @@
     for number in 0..ENTRIES {
         assert_eq!(fleet.know(number), ENTRIES, "of entry {number}");
         let targets = fleet.directories[number].targets(fleet.now_ms).len();
-        assert_eq!(targets, LINKED_PEERS);
+        assert_eq!(targets, MAX_LINKED_PEERS);
     }
 }
 
@@ -113,7 +114,7 @@
     let mut directory = Directory::new(Some(addr(1)), []);
     directory.learn(1_000, &[addr(9)]);
     assert!(directory.targets(1_000).contains(&addr(9)));
-    assert_eq!(directory.news(1_000), [addr(1)]);
-    directory.reached(1_500, addr(9));
-    assert_eq!(directory.news(1_500), [addr(1), addr(9)]);
+    assert_eq!(directory.recent_addrs(1_000), [addr(1)]);
+    directory.mark_seen(1_500, addr(9));
+    assert_eq!(directory.recent_addrs(1_500), [addr(1), addr(9)]);
 }
--- a/crates/dispatch/tests/overload.rs
+++ b/crates/dispatch/tests/overload.rs
@@ -7,7 +7,7 @@
 
 use gannetvane_dispatch::AgentFrame;
 use gannetvane_dispatch::AgentHello;
-use gannetvane_dispatch::Caller;
+use gannetvane_dispatch::CallerId;
 use gannetvane_dispatch::Demand;
 use gannetvane_dispatch::Dispatcher;
 use gannetvane_dispatch::DispatcherAction;
@@ -16,13 +16,13 @@
 use gannetvane_dispatch::JobOutcome;
 use gannetvane_dispatch::LinkId;
 use gannetvane_dispatch::Queue;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
 use gannetvane_dispatch::RoutingTable;
 use gannetvane_dispatch::Step;
 use gannetvane_wire::NodeId;
-use session::MINION_ROOM;
+use session::MINION_CAPACITY;
 use session::Session;
-use session::TASK_ROOM;
+use session::TASK_RESOURCES;
 
 /// Run time of the tasks, in milliseconds.
 const WORK_MS: u64 = 100;
@@ -127,7 +127,7 @@
         spec: "".into(),
         steps: vec![Step {
             count: 1,
-            needs: TASK_ROOM,
+            needs: TASK_RESOURCES,
             declared_ms,
             ..Step::default()
         }],
@@ -143,11 +143,11 @@
         zone: "selfoss".into(),
         service: service.into(),
         labels: Vec::new(),
-        capacity: MINION_ROOM,
+        capacity: MINION_CAPACITY,
         clock_ms: now_ms,
-        kept: Vec::new(),
+        retained_ends: Vec::new(),
         crashes: Vec::new(),
-        life: "minion-1".into(),
+        incarnation: "minion-1".into(),
     };
     dispatcher.agent_up(now_ms, link, hello);
 }
@@ -157,11 +157,11 @@
     greet(dispatcher, now_ms, link, service);
     let frame = AgentFrame {
         clock_ms: now_ms,
-        starts_seen: 0,
-        free: Room::default(),
+        starts_received: 0,
+        free: Resources::default(),
         speed_permille: 1_000,
-        is_offer: false,
-        is_open: true,
+        has_offer: false,
+        is_accepting_starts: true,
         demand: Demand::default(),
         reports: Vec::new(),
     };
@@ -172,7 +172,7 @@
 fn a_job_is_not_refused_before_the_agents_have_told_their_room() {
     let (mut dispatcher, now_ms) = dispatcher();
     greet(&mut dispatcher, now_ms, LinkId(1), "other");
-    dispatcher.submit(now_ms, Caller(1), job(1, "other", 400));
+    dispatcher.submit(now_ms, CallerId(1), job(1, "other", 400));
     dispatcher.tick(now_ms + 10);
     let answers = dispatcher.take_actions();
     let is_answer = |action: &DispatcherAction| matches!(action, DispatcherAction::Answer(..));
@@ -187,15 +187,15 @@
         full_agent_up(&mut dispatcher, now_ms, LinkId(link), "other");
     }
     for number in 0..60 {
-        dispatcher.submit(now_ms, Caller(number), job(number, "full", 60));
+        dispatcher.submit(now_ms, CallerId(number), job(number, "full", 60));
     }
     // With more time left it is looked at after all jobs of the full service.
-    dispatcher.submit(now_ms, Caller(60), job(60, "other", 400));
+    dispatcher.submit(now_ms, CallerId(60), job(60, "other", 400));
     dispatcher.tick(now_ms + 10);
     let answers = dispatcher.take_actions();
     let refused = |caller: u64| {
         answers.iter().any(|action| {
-            matches!(action, DispatcherAction::Answer(Caller(answered), JobOutcome::Refused { .. }) if *answered == caller)
+            matches!(action, DispatcherAction::Answer(CallerId(answered), JobOutcome::Refused { .. }) if *answered == caller)
         })
     };
     assert!(refused(59), "the full service refuses");
@@ -210,7 +210,7 @@
     dispatcher.take_actions();
     let later_ms = now_ms + 390;
     for number in 0..10 {
-        dispatcher.submit(later_ms, Caller(number), job(number, "other", 60));
+        dispatcher.submit(later_ms, CallerId(number), job(number, "other", 60));
     }
     let answers = dispatcher.take_actions();
     let is_answer = |action: &DispatcherAction| matches!(action, DispatcherAction::Answer(..));
--- a/crates/dispatch/tests/policy.rs
+++ b/crates/dispatch/tests/policy.rs
@@ -41,10 +41,10 @@
 /// The service while this many times its room comes and this much waits.
 fn view(load: f64, waiting_ms: f64) -> ServiceView {
     ServiceView {
-        room_milli: ROOM_MILLI,
+        capacity_milli: ROOM_MILLI,
         offered_milli: ROOM_MILLI * load,
         waiting_core_ms: ROOM_MILLI / 1_000.0 * waiting_ms,
-        is_room_known: true,
+        is_capacity_known: true,
     }
 }
 
@@ -60,7 +60,7 @@
         let arrival = arrival(queue);
         let (asked, taken) = &mut counts[usize::from(is_seldom)];
         *asked += 1;
-        *taken += usize::from(policy.takes_in(1_000 + number as u64, &arrival, view));
+        *taken += usize::from(policy.admits(1_000 + number as u64, &arrival, view));
     }
     let share = |(asked, taken): (usize, usize)| taken as f64 / asked as f64;
     (share(counts[0]), share(counts[1]))
@@ -89,7 +89,7 @@
 #[test]
 fn nothing_is_refused_before_the_room_is_known() {
     let unknown = ServiceView {
-        is_room_known: false,
+        is_capacity_known: false,
         ..view(5.0, 300.0)
     };
     assert_eq!(taken(&unknown, 20), (1.0, 1.0));
@@ -115,11 +115,11 @@
     assert!(last_ms >= 3 * first_ms - 3, "{first_ms} to {last_ms}");
 }
 
-fn waiting(objective_ms: u64, rest_ms: f64, has_begun: bool) -> WaitingJob {
+fn waiting(objective_ms: u64, remaining_ms: f64, has_started: bool) -> WaitingJob {
     WaitingJob {
         objective_ms,
-        rest_ms,
-        has_begun,
+        remaining_ms,
+        has_started,
     }
 }
 
@@ -141,8 +141,8 @@
 fn a_job_that_would_only_just_be_in_time_has_no_prospect() {
     let policy = FairShare::default();
     let job = waiting(3_200, 200.0, false);
-    assert!(policy.has_prospect(2_900, &job, 30.0));
-    assert!(!policy.has_prospect(2_900, &job, 60.0));
+    assert!(policy.can_meet_objective(2_900, &job, 30.0));
+    assert!(!policy.can_meet_objective(2_900, &job, 60.0));
 }
 
 /// The part of the jobs that is taken in while this much work waits, after as
@@ -152,13 +152,13 @@
     let queue = queue("often");
     let arrival = arrival(&queue);
     let mut now_ms = 1_000;
-    policy.takes_in(now_ms, &arrival, &view(1.2, waiting_ms));
+    policy.admits(now_ms, &arrival, &view(1.2, waiting_ms));
     for _ in 0..in_vain {
         now_ms += 50;
-        policy.waited_in_vain(now_ms, &SERVICE.into(), 1_000);
+        policy.note_shed(now_ms, &SERVICE.into(), 1_000);
     }
     now_ms += pause_ms;
-    let taken = (0..400).filter(|_| policy.takes_in(now_ms, &arrival, &view(1.2, waiting_ms)));
+    let taken = (0..400).filter(|_| policy.admits(now_ms, &arrival, &view(1.2, waiting_ms)));
     taken.count() as f64 / 400.0
 }
 
@@ -168,12 +168,12 @@
     let queue = queue("often");
     let arrival = arrival(&queue);
     let unknown = ServiceView::default();
-    assert!(policy.takes_in(1_000, &arrival, &unknown));
+    assert!(policy.admits(1_000, &arrival, &unknown));
     for now_ms in (1_050..1_700).step_by(50) {
-        policy.waited_in_vain(now_ms, &SERVICE.into(), 1_000);
+        policy.note_shed(now_ms, &SERVICE.into(), 1_000);
     }
     let view = view(1.2, 60.0);
-    let taken = (0..400).filter(|_| policy.takes_in(1_700, &arrival, &view));
+    let taken = (0..400).filter(|_| policy.admits(1_700, &arrival, &view));
     assert!(taken.count() > 380);
 }
 
--- a/crates/dispatch/tests/replay/admits_all.rs
+++ b/crates/dispatch/tests/replay/admits_all.rs
@@ -20,7 +20,7 @@
 }
 
 impl OverloadPolicy for TakesAll {
-    fn takes_in(&mut self, _: u64, _: &Arrival<'_>, _: &ServiceView) -> bool {
+    fn admits(&mut self, _: u64, _: &Arrival<'_>, _: &ServiceView) -> bool {
         true
     }
 
@@ -28,12 +28,12 @@
         self.rest.offered_milli(now_ms, service)
     }
 
-    fn waited_in_vain(&mut self, now_ms: u64, service: &Name, received_ms: u64) {
-        self.rest.waited_in_vain(now_ms, service, received_ms);
+    fn note_shed(&mut self, now_ms: u64, service: &Name, received_ms: u64) {
+        self.rest.note_shed(now_ms, service, received_ms);
     }
 
-    fn has_prospect(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool {
-        self.rest.has_prospect(now_ms, job, wait_ms)
+    fn can_meet_objective(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool {
+        self.rest.can_meet_objective(now_ms, job, wait_ms)
     }
 
     fn rank(&self, now_ms: u64, job: &WaitingJob) -> Rank {
--- a/crates/dispatch/tests/replay/central.rs
+++ b/crates/dispatch/tests/replay/central.rs
@@ -1,7 +1,7 @@
 //! A central queue that knows all minions and all work, at no cost: what the
 //! entries together could do at best with the same order of work.
 
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
 
 use crate::pattern::Arrival;
 use crate::pattern::Pattern;
@@ -24,7 +24,7 @@
     /// Tasks that no minion runs or has done.
     tasks: Vec<usize>,
     left: usize,
-    has_begun: bool,
+    has_started: bool,
 }
 
 /// How each job ends at the central queue.
@@ -52,7 +52,7 @@
                 job,
                 tasks: (0..tasks).collect(),
                 left: tasks,
-                has_begun: false,
+                has_started: false,
             });
         }
         queue.place(now_ms, pattern);
@@ -132,13 +132,13 @@
     fn place(&mut self, now_ms: u64, pattern: &Pattern) {
         let arrivals = self.arrivals;
         self.waiting
-            .retain(|one| one.has_begun || now_ms as f64 <= latest_ms(&arrivals[one.job]));
+            .retain(|one| one.has_started || now_ms as f64 <= latest_ms(&arrivals[one.job]));
         self.waiting.sort_by(|one, other| {
             let latest = |one: &Waiting| latest_ms(&arrivals[one.job]);
-            let begun = other.has_begun.cmp(&one.has_begun);
+            let begun = other.has_started.cmp(&one.has_started);
             begun.then(latest(one).total_cmp(&latest(other)))
         });
-        let mut free: Vec<Room> = self.kinds.iter().map(|kind| kind.room).collect();
+        let mut free: Vec<Resources> = self.kinds.iter().map(|kind| kind.capacity).collect();
         for run in &self.running {
             free[run.minion] = free[run.minion].minus(&arrivals[run.job].shape.needs);
         }
@@ -146,7 +146,7 @@
             let shape = &arrivals[one.job].shape;
             while let Some(task) = one.tasks.last().copied() {
                 let fits = (0..self.kinds.len())
-                    .filter(|minion| free[*minion].holds(&shape.needs))
+                    .filter(|minion| free[*minion].can_fit(&shape.needs))
                     .filter(|minion| !pattern.is_closed(*minion, now_ms));
                 let speed = |minion: &usize| self.kinds[*minion].speed;
                 let Some(minion) = fits.max_by(|a, b| speed(a).total_cmp(&speed(b))) else {
@@ -154,7 +154,7 @@
                 };
                 free[minion] = free[minion].minus(&shape.needs);
                 one.tasks.pop();
-                one.has_begun = true;
+                one.has_started = true;
                 self.running.push(Running {
                     job: one.job,
                     task,
--- a/crates/dispatch/tests/replay/main.rs
+++ b/crates/dispatch/tests/replay/main.rs
@@ -18,7 +18,7 @@
 use pattern::Pattern;
 use report::Fate;
 use report::Row;
-use session::Mood;
+use session::Behavior;
 use session::Session;
 use session::ZONES;
 use session::evacuations;
@@ -123,13 +123,13 @@
 fn change_moods(session: &mut Session, pattern: &Pattern, passed_ms: u64) {
     for grey in &pattern.grey {
         let mood = match grey.mood {
-            _ if passed_ms == grey.until_ms => Mood::Sound,
+            _ if passed_ms == grey.until_ms => Behavior::Sound,
             _ if passed_ms != grey.from_ms => continue,
-            GreyMood::Failing => Mood::Failing,
-            GreyMood::Hanging => Mood::Hanging,
+            GreyMood::Failing => Behavior::Failing,
+            GreyMood::Hanging => Behavior::Hanging,
         };
         for minion in grey.minions() {
-            session.minions[minion].mood = mood;
+            session.minions[minion].behavior = mood;
         }
     }
 }
@@ -141,7 +141,7 @@
     if zones.clone().any(is_change) {
         let present = zones.filter(|one| one.is_present(passed_ms));
         let names: Vec<&str> = present.map(|one| ZONES[one.zone]).collect();
-        session.tell_all_evacuations(&evacuations(passed_ms + 1, &names));
+        session.send_evacuations_to_all(&evacuations(passed_ms + 1, &names));
     }
 }
 
--- a/crates/dispatch/tests/replay/pattern.rs
+++ b/crates/dispatch/tests/replay/pattern.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use gannetvane_dispatch::Queue;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -210,7 +210,7 @@
     pub fn kinds(&self) -> Vec<MinionKind> {
         let kinds = self.minions.iter().flat_map(|minions| {
             let kind = MinionKind {
-                room: Room {
+                capacity: Resources {
                     cpu_milli: minions.cpu_milli,
                     memory_mb: MINION_MEMORY_MB,
                     accelerators: 0,
@@ -292,7 +292,7 @@
         let work_ms = (0..tasks).map(|_| mean_ms * spread(rng, 0.15)).collect();
         let shape = JobShape {
             queue: Arc::clone(queue),
-            needs: Room {
+            needs: Resources {
                 cpu_milli: cpu_milli as u32,
                 memory_mb: TASK_MEMORY_MB,
                 accelerators: 0,
--- a/crates/dispatch/tests/same_id_restarts.rs
+++ b/crates/dispatch/tests/same_id_restarts.rs
@@ -5,31 +5,31 @@
 mod session;
 
 use driver::Driver;
-use driver::life;
+use driver::incarnation_at;
+use gannetvane_dispatch::ActiveRun;
 use gannetvane_dispatch::AgentAction;
-use gannetvane_dispatch::HoldResult;
 use gannetvane_dispatch::JobOutcome;
+use gannetvane_dispatch::ListResult;
 use gannetvane_dispatch::Listing;
-use gannetvane_dispatch::Running;
 use session::Session;
 use yare::parameterized;
 
 /// A session whose minions tell their births.
 fn session() -> Session {
     let mut session = Session::new(2, 3);
-    session.tell_births();
+    session.report_start_times();
     session
 }
 
 /// A listing of a life that was born at this time, at this time of its clock, with
 /// one task at work.
-fn listing(born_unix_ms: Option<u64>, clock_ms: u64) -> HoldResult {
-    let running = Running {
+fn listing(started_unix_ms: Option<u64>, clock_ms: u64) -> ListResult {
+    let running = ActiveRun {
         key: Some(driver::key("a")),
         percent: 10,
     };
-    HoldResult::Listed(Listing {
-        born_unix_ms,
+    ListResult::Listed(Listing {
+        started_unix_ms,
         clock_ms,
         running: vec![running],
         ..Listing::default()
@@ -42,7 +42,11 @@
 
 fn assert_served(session: &mut Session, agent: usize) {
     session.run(SERVED_AFTER_MS);
-    assert!(session.agent(agent).is_open(), "at {} ms", session.now_ms);
+    assert!(
+        session.agent(agent).is_accepting_starts(),
+        "at {} ms",
+        session.now_ms
+    );
     assert_eq!(session.agent(agent).greeted_links(), 2);
 }
 
@@ -56,8 +60,10 @@
     let before = session.submit(0, "before", 9, 100);
     session.run_until_answered(before, 1_000);
     match unseen {
-        None => session.rebirth(1, 700),
-        Some(tells_birth) => session.rebirth_unseen(1, 700, tells_birth),
+        None => session.restart_with_same_id(1, 700),
+        Some(reports_start_time) => {
+            session.restart_with_hidden_start_time(1, 700, reports_start_time);
+        }
     }
     // Without a birth of its own, only its clock tells that it is another life.
     let busy = session.submit(0, "busy", 9, 100);
@@ -76,15 +82,15 @@
 #[test]
 fn a_report_of_the_former_life_changes_nothing() {
     let mut session = session();
-    session.rebirth(0, 400);
+    session.restart_with_same_id(0, 400);
     session.run(400);
     assert_served(&mut session, 0);
-    let served = session.agent(0).lifetime().cloned();
+    let served = session.agent(0).incarnation().cloned();
     for _ in 0..3 {
-        session.deliver_late_report(0);
+        session.deliver_delayed_report(0);
         session.run(SERVED_AFTER_MS);
-        assert_eq!(session.agent(0).lifetime().cloned(), served);
-        assert!(session.agent(0).is_open());
+        assert_eq!(session.agent(0).incarnation().cloned(), served);
+        assert!(session.agent(0).is_accepting_starts());
     }
 }
 
@@ -94,9 +100,9 @@
     let mut session = session();
     let job = session.submit(0, "job", 9, 2_000);
     session.run(100);
-    session.rebirth(0, 900);
+    session.restart_with_same_id(0, 900);
     session.run(880);
-    session.deliver_late_report(0);
+    session.deliver_delayed_report(0);
     session.run(20);
     assert_served(&mut session, 0);
     assert!(session.outcome(job).is_none());
@@ -114,13 +120,13 @@
     for seed in 0..20 {
         let mut session = session();
         let from_ms = session.now_ms;
-        session.fate = Box::new(move |now_ms, agent| {
+        session.call_delay = Box::new(move |now_ms, agent| {
             let is_lost = agent == 0 && now_ms < from_ms + 60;
             is_lost.then_some(late_ms + seed * 7)
         });
         let job = session.submit(0, "job", 24, 1_000);
         session.run(20 + seed);
-        session.rebirth(0, down_ms);
+        session.restart_with_same_id(0, down_ms);
         session.run(8_000);
         assert!(session.violations.is_empty(), "{:?}", session.violations);
         assert!(session.outcome(job).is_some());
@@ -132,7 +138,7 @@
 #[test]
 fn an_agent_that_is_fenced_raises_its_epoch() {
     let mut session = session();
-    session.rebirth(0, 300);
+    session.restart_with_same_id(0, 300);
     session.kill_agent(0, 250);
     session.run(320);
     let ahead = session.minions[0].epoch() + 10_000_000_000;
@@ -149,19 +155,19 @@
 }
 
 /// The highest epoch that an agent shows while listings are answered in this way.
-fn highest_epoch(driver: &mut Driver, answer: &HoldResult) -> u64 {
+fn highest_epoch(driver: &mut Driver, answer: &ListResult) -> u64 {
     let mut highest = 0;
     for _ in 0..20 {
         for action in driver.pass(50) {
-            if let AgentAction::Hold {
+            if let AgentAction::List {
                 call,
-                lifetime,
+                incarnation,
                 epoch,
                 ..
             } = action
             {
                 highest = highest.max(epoch);
-                driver.answer_call(&lifetime, call, answer.clone());
+                driver.answer_call(&incarnation, call, answer.clone());
             }
         }
     }
@@ -175,8 +181,8 @@
     driver.starts(&["a"]);
     let own = highest_epoch(&mut driver, &listing(Some(1_000), 5_000));
     driver.answer_with(&listing(Some(500), 100));
-    assert_eq!(driver.agent.lifetime(), None);
-    driver.report_life(&life(500));
+    assert_eq!(driver.agent.incarnation(), None);
+    driver.report_incarnation(&incarnation_at(500));
     let next = highest_epoch(&mut driver, &listing(Some(500), 600));
     assert!(next > own, "{next} after {own}");
 }
@@ -188,7 +194,7 @@
     let mut highest = 0;
     let mut step = 0;
     for _ in 0..10 {
-        driver.answer_with(&HoldResult::Fenced);
+        driver.answer_with(&ListResult::Fenced);
         let next = highest_epoch(&mut driver, &listing(None, 700));
         assert!(next > highest + step, "{next} after {highest}");
         step = (next - highest).min(1 << 30) / 2;
@@ -201,13 +207,13 @@
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     driver.answer_with(&listing(Some(1_000), 5_000));
-    assert!(driver.agent.lifetime().is_some());
+    assert!(driver.agent.incarnation().is_some());
     driver.answer_with(&listing(Some(1_000), 900));
-    assert_eq!(driver.agent.lifetime(), None);
-    driver.report_life(&life(1_000));
+    assert_eq!(driver.agent.incarnation(), None);
+    driver.report_incarnation(&incarnation_at(1_000));
     assert_eq!(
-        driver.agent.lifetime(),
-        Some(&life(1_000)),
+        driver.agent.incarnation(),
+        Some(&incarnation_at(1_000)),
         "it is the next"
     );
 }
@@ -217,10 +223,10 @@
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     driver.answer_with(&listing(Some(2_000), 900));
-    driver.report_life(&life(1_000));
-    assert_eq!(driver.agent.lifetime(), None);
-    driver.report_life(&life(2_000));
-    assert_eq!(driver.agent.lifetime(), Some(&life(2_000)));
+    driver.report_incarnation(&incarnation_at(1_000));
+    assert_eq!(driver.agent.incarnation(), None);
+    driver.report_incarnation(&incarnation_at(2_000));
+    assert_eq!(driver.agent.incarnation(), Some(&incarnation_at(2_000)));
 }
 
 /// Numbers of ends begin anew: none of the next life may be taken for told.
@@ -232,7 +238,7 @@
             session.submit(0, &format!("job-{round}-{number}"), 9, 60);
         }
         session.run(1_000);
-        session.rebirth(0, 100);
+        session.restart_with_same_id(0, 100);
         session.run(100 + SERVED_AFTER_MS);
     }
     let last = session.submit(0, "last", 27, 60);
@@ -247,9 +253,9 @@
 fn a_departure_told_for_a_minion_that_stays_is_checked() {
     let mut driver = Driver::new();
     driver.agent.minion_left("minion-1");
-    assert!(!driver.is_open(), "it may be gone");
-    driver.answer_holds(&driver::listed());
-    assert!(driver.is_open(), "it answered");
+    assert!(!driver.is_accepting_starts(), "it may be gone");
+    driver.answer_listings(&driver::listed());
+    assert!(driver.is_accepting_starts(), "it answered");
 }
 
 #[test]
@@ -257,7 +263,7 @@
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     driver.answer_with(&listing(Some(2_000), 900));
-    assert_eq!(driver.agent.lifetime(), None);
+    assert_eq!(driver.agent.incarnation(), None);
     assert_eq!(driver.agent.active_runs(), 0);
     let closed = driver.agent.greeted_links();
     assert_eq!(closed, 0, "entries are greeted anew");
@@ -268,14 +274,23 @@
     own = { Some(2_000), true },
     of_the_life_that_is_served = { Some(1_000), false },
 )]
-fn the_birth_in_a_listing_tells_who_answered(born_unix_ms: Option<u64>, takes_over: bool) {
+fn the_birth_in_a_listing_tells_who_answered(started_unix_ms: Option<u64>, takes_over: bool) {
     let mut driver = Driver::new();
-    let asked = driver.report_life(&life(2_000));
-    let [AgentAction::Hold { call, lifetime, .. }] = &asked[..] else {
+    let asked = driver.report_incarnation(&incarnation_at(2_000));
+    let [
+        AgentAction::List {
+            call, incarnation, ..
+        },
+    ] = &asked[..]
+    else {
         panic!("one call: {asked:?}");
     };
-    assert_eq!(*lifetime, life(2_000));
-    driver.answer_call(lifetime, *call, listing(born_unix_ms, 700));
-    let served = driver.agent.lifetime();
-    assert_eq!(served == Some(&life(2_000)), takes_over, "{served:?}");
+    assert_eq!(*incarnation, incarnation_at(2_000));
+    driver.answer_call(incarnation, *call, listing(started_unix_ms, 700));
+    let served = driver.agent.incarnation();
+    assert_eq!(
+        served == Some(&incarnation_at(2_000)),
+        takes_over,
+        "{served:?}"
+    );
 }
--- a/crates/dispatch/tests/sent_entries.rs
+++ b/crates/dispatch/tests/sent_entries.rs
@@ -9,10 +9,10 @@
 use gannetvane_dispatch::Dispatcher;
 use gannetvane_dispatch::DispatcherAction;
 use gannetvane_dispatch::DispatcherSettings;
-use gannetvane_dispatch::LINKED_ENTRIES;
 use gannetvane_dispatch::LinkId;
+use gannetvane_dispatch::MAX_LINKED_ENTRIES;
 use gannetvane_dispatch::Order;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
 use gannetvane_wire::NodeId;
 use proptest::prelude::ProptestConfig;
 use proptest::prop_assert_eq;
@@ -35,17 +35,17 @@
         zone: "selfoss".into(),
         service: "bretti-desk".into(),
         labels: Vec::new(),
-        capacity: Room::default(),
+        capacity: Resources::default(),
         clock_ms: 0,
-        kept: Vec::new(),
+        retained_ends: Vec::new(),
         crashes: Vec::new(),
-        life: "minion-1".into(),
+        incarnation: "minion-1".into(),
     }
 }
 
 fn chosen(host: &str, entries: &[SocketAddr]) -> Vec<SocketAddr> {
     let directory = Directory::new(None, []);
-    let mut directory = directory.with_choice(host.into(), LINKED_ENTRIES);
+    let mut directory = directory.with_max_targets(host.into(), MAX_LINKED_ENTRIES);
     directory.learn(NOW_MS, entries);
     directory.targets(NOW_MS).into_iter().collect()
 }
@@ -92,10 +92,10 @@
             if kind == 0 {
                 // One that greets before the others are told of the change.
                 dispatcher.agent_up(NOW_MS, LATE_AGENT, hello("late"));
-                dispatcher.tell_entries_to(LATE_AGENT, &list);
+                dispatcher.send_entries_to(LATE_AGENT, &list);
                 prop_assert_eq!(told(&mut dispatcher, LATE_AGENT), Some(chosen("late", &list)));
             } else {
-                dispatcher.tell_entries(&list);
+                dispatcher.send_entries(&list);
                 let link = if kind % 2 == 0 { LATE_AGENT } else { AGENT };
                 let host = if link == AGENT { "early" } else { "late" };
                 if let Some(told) = told(&mut dispatcher, link) {
--- a/crates/dispatch/tests/session/crashes.rs
+++ b/crates/dispatch/tests/session/crashes.rs
@@ -1,15 +1,15 @@
 //! Minions that crash and start again, by themselves or by a task.
 
 use gannetvane_dispatch::AgentAction;
-use gannetvane_dispatch::HoldResult;
-use gannetvane_dispatch::Lifetime;
+use gannetvane_dispatch::Incarnation;
+use gannetvane_dispatch::ListResult;
 use gannetvane_dispatch::RunKey;
 use gannetvane_dispatch::StartResult;
 
 use super::DELAY_MS;
 use super::Event;
 use super::FakeMinion;
-use super::OpenHold;
+use super::PendingListing;
 use super::Session;
 use super::Side;
 
@@ -18,13 +18,13 @@
 
 /// Crashes that are about to come, and what minions have not read.
 #[derive(Debug, Default)]
-pub(super) struct Crashes {
+pub(super) struct PendingCrashes {
     /// Lives that end at a time, with their agents.
-    due: Vec<(u64, usize, Lifetime)>,
+    due: Vec<(u64, usize, Incarnation)>,
     /// Minions that read nothing any more, and when they crash.
     stalled: Vec<(usize, u64)>,
     /// Starts that such a minion was sent.
-    unread: Vec<(usize, Lifetime, RunKey)>,
+    unread: Vec<(usize, Incarnation, RunKey)>,
 }
 
 impl Session {
@@ -37,14 +37,14 @@
     /// The same, and it is back after this time.
     pub fn crash_minion_for(&mut self, agent: usize, down_ms: u64) {
         self.crash_minion(agent);
-        self.hold_back(agent, down_ms);
+        self.delay_restart(agent, down_ms);
     }
 
     /// The minion starts again under its id, and is back after this time.
-    pub fn rebirth(&mut self, agent: usize, down_ms: u64) {
+    pub fn restart_with_same_id(&mut self, agent: usize, down_ms: u64) {
         let id = self.minions[agent].instance.clone();
         self.replace_minion(agent, &id);
-        self.hold_back(agent, down_ms);
+        self.delay_restart(agent, down_ms);
     }
 
     /// The life of a minion ends with all that runs there, and the next one begins.
@@ -53,28 +53,30 @@
         let next = self.new_minion(agent, id);
         let past = std::mem::replace(&mut self.minions[agent], next);
         self.break_holds(agent, &past);
-        self.past_minions.push(past);
+        self.ended_minions.push(past);
     }
 
     /// The listings that wait at a minion end with its life: what it had to tell is on
     /// its way already, and the connections of the others break.
     fn break_holds(&mut self, agent: usize, past: &FakeMinion) {
-        let holds = std::mem::take(&mut self.open_holds);
-        let (broken, rest) = holds.into_iter().partition(|hold| hold.agent == agent);
-        self.open_holds = rest;
-        let broken: Vec<OpenHold> = broken;
-        for hold in broken {
-            let result = match past.has_news() && !self.is_stalled(agent) {
-                true => HoldResult::Listed(past.list(self.now_ms, hold.epoch)),
-                false => HoldResult::Broken,
+        let pending_listings = std::mem::take(&mut self.pending_listings);
+        let (broken, rest) = pending_listings
+            .into_iter()
+            .partition(|pending| pending.agent == agent);
+        self.pending_listings = rest;
+        let broken: Vec<PendingListing> = broken;
+        for pending in broken {
+            let result = match past.has_ends() && !self.is_unresponsive(agent) {
+                true => ListResult::Listed(past.list(self.now_ms, pending.epoch)),
+                false => ListResult::Broken,
             };
-            let event = Event::Listed(hold.lifetime, hold.call, result);
+            let event = Event::Listed(pending.incarnation, pending.call, result);
             self.post(Side::Agent(agent), event);
         }
     }
 
     /// A minion takes no calls for this time, and then reports itself.
-    fn hold_back(&mut self, agent: usize, down_ms: u64) {
+    fn delay_restart(&mut self, agent: usize, down_ms: u64) {
         self.minions[agent].up_at_ms = self.now_ms + down_ms;
         let report = self.report(agent);
         let at_ms = self.minions[agent].up_at_ms + DELAY_MS;
@@ -83,46 +85,53 @@
 
     /// The same, and it tells no birth, or that of its last life, as after a step
     /// back of the time of day.
-    pub fn rebirth_unseen(&mut self, agent: usize, down_ms: u64, tells_birth: bool) {
-        let born_unix_ms = self.minions[agent].lifetime().born_unix_ms();
-        self.rebirth(agent, down_ms);
+    pub fn restart_with_hidden_start_time(
+        &mut self,
+        agent: usize,
+        down_ms: u64,
+        reports_start_time: bool,
+    ) {
+        let started_unix_ms = self.minions[agent].incarnation().started_unix_ms();
+        self.restart_with_same_id(agent, down_ms);
         let minion = &mut self.minions[agent];
-        minion.tells_birth = tells_birth;
-        minion.told_birth_unix_ms = born_unix_ms;
+        minion.reports_start_time = reports_start_time;
+        minion.reported_start_unix_ms = started_unix_ms;
     }
 
     /// Whether the minion stands still, with all that it runs.
-    pub(super) fn is_stalled(&self, agent: usize) -> bool {
+    pub(super) fn is_unresponsive(&self, agent: usize) -> bool {
         let mut stalled = self.due_crashes.stalled.iter();
         stalled.any(|(other, _)| *other == agent)
     }
 
     /// The minion reads no more calls for this time, and then crashes.
-    pub fn stall_and_crash(&mut self, agent: usize, for_ms: u64) {
+    pub fn hang_and_crash(&mut self, agent: usize, for_ms: u64) {
         let at_ms = self.now_ms + for_ms;
         self.due_crashes.stalled.push((agent, at_ms));
     }
 
     /// Keeps a call that a stalled minion does not read; false if it reads it.
     pub(super) fn leave_unread(&mut self, agent: usize, action: &AgentAction) -> bool {
-        if !self.is_stalled(agent) {
+        if !self.is_unresponsive(agent) {
             return false;
         }
         match action {
-            AgentAction::Start { lifetime, key, .. } => {
-                let unread = (agent, lifetime.clone(), key.clone());
+            AgentAction::Start {
+                incarnation, key, ..
+            } => {
+                let unread = (agent, incarnation.clone(), key.clone());
                 self.due_crashes.unread.push(unread);
             }
-            AgentAction::Hold {
+            AgentAction::List {
                 call,
-                lifetime,
+                incarnation,
                 epoch,
                 ..
-            } => self.open_holds.push(OpenHold {
+            } => self.pending_listings.push(PendingListing {
                 listing: None,
                 until_ms: u64::MAX,
                 agent,
-                lifetime: lifetime.clone(),
+                incarnation: incarnation.clone(),
                 call: *call,
                 epoch: *epoch,
             }),
@@ -133,41 +142,46 @@
 
     /// A task that crashes each minion was started: in the start, or some time later.
     /// Returns whether the start is answered.
-    pub(super) fn crash_by(&mut self, agent: usize, lifetime: &Lifetime, key: &RunKey) -> bool {
+    pub(super) fn crash_by(
+        &mut self,
+        agent: usize,
+        incarnation: &Incarnation,
+        key: &RunKey,
+    ) -> bool {
         *self.crashes.entry(key.task.job.to_string()).or_default() += 1;
         if let Some(after_ms) = self.crash_after_ms {
-            let life = self.minions[agent].lifetime();
-            let due = (self.now_ms + after_ms, agent, life);
+            let incarnation = self.minions[agent].incarnation();
+            let due = (self.now_ms + after_ms, agent, incarnation);
             self.due_crashes.due.push(due);
             return true;
         }
-        let broken = Event::Started(lifetime.clone(), key.clone(), StartResult::Broken);
+        let broken = Event::Started(incarnation.clone(), key.clone(), StartResult::Broken);
         self.post(Side::Agent(agent), broken);
-        self.rebirth(agent, CRASH_DOWN_MS);
+        self.restart_with_same_id(agent, CRASH_DOWN_MS);
         false
     }
 
     /// Ends the lives that are due.
     pub(super) fn crash_due(&mut self) {
         let now_ms = self.now_ms;
-        let is_due = |(at_ms, ..): &mut (u64, usize, Lifetime)| *at_ms <= now_ms;
+        let is_due = |(at_ms, ..): &mut (u64, usize, Incarnation)| *at_ms <= now_ms;
         let due: Vec<_> = self.due_crashes.due.extract_if(.., is_due).collect();
-        for (_, agent, life) in due {
-            if self.minions[agent].lifetime() == life {
-                self.rebirth(agent, CRASH_DOWN_MS);
+        for (_, agent, incarnation) in due {
+            if self.minions[agent].incarnation() == incarnation {
+                self.restart_with_same_id(agent, CRASH_DOWN_MS);
             }
         }
         let is_over = |(_, at_ms): &&(usize, u64)| *at_ms <= now_ms;
         let stalled = self.due_crashes.stalled.iter();
         let stalled: Vec<_> = stalled.filter(is_over).copied().collect();
         for (agent, at_ms) in stalled {
-            let is_its = |(other, ..): &mut (usize, Lifetime, RunKey)| *other == agent;
+            let is_its = |(other, ..): &mut (usize, Incarnation, RunKey)| *other == agent;
             let unread: Vec<_> = self.due_crashes.unread.extract_if(.., is_its).collect();
             self.crash_minion_for(agent, 600);
             let over = (agent, at_ms);
             self.due_crashes.stalled.retain(|other| *other != over);
-            for (_, lifetime, key) in unread {
-                let broken = Event::Started(lifetime, key, StartResult::Broken);
+            for (_, incarnation, key) in unread {
+                let broken = Event::Started(incarnation, key, StartResult::Broken);
                 self.post(Side::Agent(agent), broken);
             }
         }
--- a/crates/dispatch/tests/session/evacuation.rs
+++ b/crates/dispatch/tests/session/evacuation.rs
@@ -7,43 +7,43 @@
 
 /// A task that a minion began, or was told to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SeenStart {
+pub struct ObservedStart {
     pub at_ms: u64,
     pub agent: usize,
 }
 
 /// The zones that are being emptied as of a record.
-pub fn evacuations(as_of: u64, zones: &[&str]) -> Evacuations {
+pub fn evacuations(log_offset: u64, zones: &[&str]) -> Evacuations {
     Evacuations {
-        as_of,
+        log_offset,
         zones: zones.iter().map(|zone| (*zone).into()).collect(),
     }
 }
 
 impl Session {
     /// An entry learns which zones are being emptied, from wherever.
-    pub fn tell_evacuations(&mut self, entry: usize, told: &Evacuations) {
+    pub fn send_evacuations(&mut self, entry: usize, told: &Evacuations) {
         let process = &mut self.entries[entry];
         process.core.dispatcher.evacuate(self.now_ms, told);
         process.due_ms = self.now_ms;
     }
 
-    pub fn tell_all_evacuations(&mut self, told: &Evacuations) {
-        self.emptied = told.zones.iter().map(ToString::to_string).collect();
+    pub fn send_evacuations_to_all(&mut self, told: &Evacuations) {
+        self.evacuated = told.zones.iter().map(ToString::to_string).collect();
         for entry in 0..self.entries.len() {
-            self.tell_evacuations(entry, told);
+            self.send_evacuations(entry, told);
         }
     }
 
     /// Calls to start a task in a zone after a moment.
     pub fn start_calls_in(&self, name: &str, after_ms: u64) -> usize {
-        let is_there = |call: &&SeenStart| zone(call.agent) == name && call.at_ms > after_ms;
+        let is_there = |call: &&ObservedStart| zone(call.agent) == name && call.at_ms > after_ms;
         self.start_calls.iter().filter(is_there).count()
     }
 
     /// Tasks begun in a zone after a moment.
     pub fn starts_in(&self, name: &str, after_ms: u64) -> usize {
-        let is_there = |start: &&SeenStart| zone(start.agent) == name && start.at_ms > after_ms;
-        self.seen_starts.iter().filter(is_there).count()
+        let is_there = |start: &&ObservedStart| zone(start.agent) == name && start.at_ms > after_ms;
+        self.answered_starts.iter().filter(is_there).count()
     }
 }
--- a/crates/dispatch/tests/session/failures.rs
+++ b/crates/dispatch/tests/session/failures.rs
@@ -29,7 +29,7 @@
     /// Minions that crashed while a task of the job ran there, by task.
     fn crashes_under(&self, id: &str) -> BTreeMap<TaskId, u32> {
         let mut crashes = BTreeMap::new();
-        for minion in &self.past_minions {
+        for minion in &self.ended_minions {
             let of_job = minion.running().filter(|key| *key.task.job == *id);
             for key in of_job {
                 *crashes.entry(key.task.clone()).or_insert(0) += 1;
@@ -41,7 +41,7 @@
     /// Times that runs of the job failed, by task.
     fn failures_of(&self, id: &str) -> BTreeMap<TaskId, u32> {
         let mut failures = BTreeMap::new();
-        for minion in self.minions.iter().chain(&self.past_minions) {
+        for minion in self.minions.iter().chain(&self.ended_minions) {
             let of_job = minion.failures.iter().filter(|(task, _)| *task.job == *id);
             for (task, times) in of_job {
                 *failures.entry(task.clone()).or_insert(0) += times;
--- a/crates/dispatch/tests/session/log.rs
+++ b/crates/dispatch/tests/session/log.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 use gannetvane_dispatch::AppendResult;
+use gannetvane_dispatch::Assignment;
 use gannetvane_dispatch::LogRecord;
 use gannetvane_dispatch::MEMBER_TTL_MS;
-use gannetvane_dispatch::Membership;
 use gannetvane_dispatch::Partition;
 use gannetvane_standins::Group;
 use gannetvane_wire::Name;
@@ -16,18 +16,18 @@
 
 /// What becomes of a call to the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LogFate {
+pub enum LogCallOutcome {
     /// Carried out and answered.
     #[default]
     Served,
     /// Refused.
     Refused,
     /// Carried out, without an answer.
-    Lost,
+    AnswerLost,
     /// Carried out this many milliseconds later, without an answer.
-    Late(u64),
+    Delayed(u64),
     /// Neither carried out nor answered.
-    Silent,
+    Dropped,
 }
 
 /// An append under way.
@@ -59,13 +59,13 @@
 }
 
 impl FakeLog {
-    pub fn join(&mut self, now_ms: u64, member: &str, generation: u64) -> Membership {
+    pub fn join(&mut self, now_ms: u64, member: &str, generation: u64) -> Assignment {
         self.joins += 1;
         let ttl_ms = MEMBER_TTL_MS;
         let (generation, parts) = self
             .group
             .join(now_ms, member, generation, ttl_ms, PARTITIONS);
-        Membership {
+        Assignment {
             generation,
             partitions: parts.into_iter().map(Partition).collect(),
         }
@@ -106,12 +106,12 @@
             Some(next) if append.number + 1 == next => {
                 return AppendResult::Appended(partition.end);
             }
-            Some(next) if append.number != next => return AppendResult::OtherNumber(next),
+            Some(next) if append.number != next => return AppendResult::UnexpectedNumber(next),
             _ => {}
         }
         let is_elsewhere = |end: u64| end != partition.end;
         if append.expected_end.is_some_and(is_elsewhere) {
-            return AppendResult::Moved;
+            return AppendResult::UnexpectedEnd;
         }
         partition.end += append.records.len() as u64;
         partition.next_number = Some(append.number + 1);
--- a/crates/dispatch/tests/session/minion.rs
+++ b/crates/dispatch/tests/session/minion.rs
@@ -2,33 +2,33 @@
 
 use std::collections::BTreeMap;
 
-use gannetvane_dispatch::End;
-use gannetvane_dispatch::Finished;
-use gannetvane_dispatch::Lifetime;
+use gannetvane_dispatch::ActiveRun;
+use gannetvane_dispatch::EndedRun;
+use gannetvane_dispatch::Incarnation;
 use gannetvane_dispatch::Listing;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
+use gannetvane_dispatch::RunEnd;
 use gannetvane_dispatch::RunKey;
-use gannetvane_dispatch::Running;
 use gannetvane_dispatch::StartResult;
 use gannetvane_dispatch::TaskId;
 
 /// Most ends of one listing.
-const ENDS_LISTED: usize = 500;
+const MAX_LISTED_ENDS: usize = 500;
 /// First run number of stored tasks.
 const FIRST_STORED_RUN: u32 = 4_096;
 /// Time after which nothing more may be started that does not fit a room that has
 /// shrunk, in milliseconds: a report on its way, and a start that it crosses.
 const RESIZE_GRACE_MS: u64 = 5;
 /// Longest lease that a minion grants, in milliseconds.
-pub(super) const LONGEST_LEASE_MS: u64 = 1_000;
+pub(super) const MAX_LEASE_MS: u64 = 1_000;
 /// Birth of a minion that begins with the session, in milliseconds since 1970.
-const FIRST_BIRTH_UNIX_MS: u64 = 1_700_000_000_000;
+const FIRST_START_UNIX_MS: u64 = 1_700_000_000_000;
 /// Time that a stop takes, in milliseconds.
 const STOP_MS: u64 = 40;
 
 /// What a minion does with what it starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Mood {
+pub enum Behavior {
     /// Works at its speed.
     #[default]
     Sound,
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug)]
 struct Work {
-    needs: Room,
+    needs: Resources,
     left_ms: f64,
     total_ms: f64,
     stop_at_ms: Option<u64>,
@@ -52,13 +52,13 @@
 #[derive(Clone, Debug)]
 pub struct FakeMinion {
     pub instance: String,
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Times that it works faster than an ordinary one.
     pub speed: f64,
-    pub mood: Mood,
+    pub behavior: Behavior,
     /// Rate of its clock against the true time.
     pub clock_rate: f64,
-    pub overloads: usize,
+    pub overcommits: usize,
     /// Work for each job, in thousandths of a core by milliseconds.
     pub worked: BTreeMap<String, f64>,
     pub done: Vec<RunKey>,
@@ -67,74 +67,74 @@
     /// Runs whose start was carried out late.
     pub started_late: Vec<RunKey>,
     /// Done runs of stored tasks whose end counts, and when they ended.
-    pub noted: Vec<(RunKey, u64)>,
+    pub counted_ends: Vec<(RunKey, u64)>,
     /// Times that a run of each task failed here.
     pub failures: BTreeMap<TaskId, u32>,
     /// Ends without an acknowledgement, and whether the lease lapsed since.
-    unnoted: BTreeMap<u64, (RunKey, u64, bool)>,
+    uncounted_ends: BTreeMap<u64, (RunKey, u64, bool)>,
     born_ms: u64,
     /// Whether it tells when its life began.
-    pub tells_birth: bool,
+    pub reports_start_time: bool,
     /// The birth that it tells, if that is not its own.
-    pub told_birth_unix_ms: Option<u64>,
+    pub reported_start_unix_ms: Option<u64>,
     /// Whether calls get no answer until then; otherwise connections are refused.
-    pub is_dark: bool,
+    pub is_host_down: bool,
     /// The room that it had before the present one, and until when a start may go
     /// by that.
-    former: Option<(Room, u64)>,
+    former: Option<(Resources, u64)>,
     /// When it takes calls: its host starts it some time after its last life.
     pub up_at_ms: u64,
     epoch: u64,
     lease_until_ms: u64,
     works: BTreeMap<RunKey, Work>,
     highest: BTreeMap<TaskId, u32>,
-    finished: Vec<Finished>,
+    ended: Vec<EndedRun>,
     ends: u64,
-    ticked_ms: u64,
+    last_tick_ms: u64,
 }
 
 impl FakeMinion {
-    pub fn new(now_ms: u64, instance: &str, capacity: Room) -> Self {
+    pub fn new(now_ms: u64, instance: &str, capacity: Resources) -> Self {
         Self {
             instance: instance.to_owned(),
             capacity,
             speed: 1.0,
-            mood: Mood::Sound,
+            behavior: Behavior::Sound,
             clock_rate: 1.0,
-            overloads: 0,
+            overcommits: 0,
             worked: BTreeMap::new(),
             done: Vec::new(),
             started: Vec::new(),
             started_late: Vec::new(),
-            noted: Vec::new(),
+            counted_ends: Vec::new(),
             failures: BTreeMap::new(),
-            unnoted: BTreeMap::new(),
+            uncounted_ends: BTreeMap::new(),
             born_ms: now_ms,
-            tells_birth: false,
-            told_birth_unix_ms: None,
-            is_dark: false,
+            reports_start_time: false,
+            reported_start_unix_ms: None,
+            is_host_down: false,
             former: None,
             up_at_ms: now_ms,
             epoch: 0,
             lease_until_ms: 0,
             works: BTreeMap::new(),
             highest: BTreeMap::new(),
-            finished: Vec::new(),
+            ended: Vec::new(),
             ends: 0,
-            ticked_ms: now_ms,
+            last_tick_ms: now_ms,
         }
     }
 
     /// Its id, and its birth if it tells that.
-    pub fn lifetime(&self) -> Lifetime {
-        let own_ms = FIRST_BIRTH_UNIX_MS + self.born_ms;
-        let told_ms = self.told_birth_unix_ms.unwrap_or(own_ms);
-        let born_unix_ms = self.tells_birth.then_some(told_ms);
-        Lifetime::new(self.instance.as_str().into(), born_unix_ms)
+    pub fn incarnation(&self) -> Incarnation {
+        let own_ms = FIRST_START_UNIX_MS + self.born_ms;
+        let told_ms = self.reported_start_unix_ms.unwrap_or(own_ms);
+        let started_unix_ms = self.reports_start_time.then_some(told_ms);
+        Incarnation::new(self.instance.as_str().into(), started_unix_ms)
     }
 
     /// It has other room from now on.
-    pub fn resize(&mut self, now_ms: u64, capacity: Room) {
+    pub fn resize(&mut self, now_ms: u64, capacity: Resources) {
         let former = std::mem::replace(&mut self.capacity, capacity);
         self.former = Some((former, now_ms + RESIZE_GRACE_MS));
     }
@@ -151,7 +151,7 @@
 
     /// A lease until this time, cut to the longest that it grants.
     fn lease(&mut self, now_ms: u64, deadline_ms: u64) {
-        let longest_ms = self.clock_ms(now_ms) + LONGEST_LEASE_MS;
+        let longest_ms = self.clock_ms(now_ms) + MAX_LEASE_MS;
         self.lease_until_ms = self.lease_until_ms.max(deadline_ms.min(longest_ms));
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Room that no run takes.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         let works = self.works.values();
         works.fold(self.capacity, |free, work| free.minus(&work.needs))
     }
@@ -174,7 +174,7 @@
         &mut self,
         now_ms: u64,
         key: &RunKey,
-        needs: Room,
+        needs: Resources,
         work_ms: f64,
         deadline_ms: u64,
         epoch: u64,
@@ -198,16 +198,16 @@
             return StartResult::Late;
         }
         self.lease(now_ms, deadline_ms);
-        if self.mood == Mood::Failing {
-            self.end(key.clone(), End::Failed);
+        if self.behavior == Behavior::Failing {
+            self.end(key.clone(), RunEnd::Failed);
             return StartResult::Started;
         }
         let taken = self.works.values();
         let taken = taken.fold(needs, |sum, work| sum.plus(&work.needs));
         let former = self.former.filter(|(_, until_ms)| now_ms < *until_ms);
         let counted = former.map_or(self.capacity, |(room, _)| room.max(&self.capacity));
-        if !counted.holds(&taken) {
-            self.overloads += 1;
+        if !counted.can_fit(&taken) {
+            self.overcommits += 1;
         }
         if key.run >= FIRST_STORED_RUN {
             self.started.push((key.clone(), now_ms));
@@ -254,12 +254,14 @@
         if let Some(deadline_ms) = deadline_ms {
             self.lease(now_ms, deadline_ms);
         }
-        self.finished
-            .retain(|finished| finished.number > acknowledged_through);
-        let unnoted = self.unnoted.split_off(&(acknowledged_through + 1));
-        for (_, (key, ended_ms, is_lapsed)) in std::mem::replace(&mut self.unnoted, unnoted) {
+        self.ended
+            .retain(|ended| ended.number > acknowledged_through);
+        let uncounted_ends = self.uncounted_ends.split_off(&(acknowledged_through + 1));
+        for (_, (key, ended_ms, is_lapsed)) in
+            std::mem::replace(&mut self.uncounted_ends, uncounted_ends)
+        {
             if !is_lapsed {
-                self.noted.push((key, ended_ms));
+                self.counted_ends.push((key, ended_ms));
             }
         }
     }
@@ -272,34 +274,34 @@
                 ..Listing::default()
             };
         }
-        let running = self.works.iter().map(|(key, work)| Running {
+        let running = self.works.iter().map(|(key, work)| ActiveRun {
             key: Some(key.clone()),
             percent: (100.0 * (1.0 - work.left_ms / work.total_ms)) as u8,
         });
         Listing {
-            born_unix_ms: self.lifetime().born_unix_ms(),
+            started_unix_ms: self.incarnation().started_unix_ms(),
             clock_ms: self.clock_ms(now_ms),
             running: running.collect(),
-            finished: self.finished.iter().take(ENDS_LISTED).cloned().collect(),
+            ended: self.ended.iter().take(MAX_LISTED_ENDS).cloned().collect(),
         }
     }
 
     /// Whether an end waits to be told.
-    pub fn has_news(&self) -> bool {
-        !self.finished.is_empty()
+    pub fn has_ends(&self) -> bool {
+        !self.ended.is_empty()
     }
 
     pub fn tick(&mut self, now_ms: u64) {
-        let passed_ms = (now_ms - self.ticked_ms) as f64;
-        self.ticked_ms = now_ms;
-        let speed = match self.mood {
-            Mood::Hanging => 0.0,
-            Mood::Slow(factor) => self.speed / factor,
+        let passed_ms = (now_ms - self.last_tick_ms) as f64;
+        self.last_tick_ms = now_ms;
+        let speed = match self.behavior {
+            Behavior::Hanging => 0.0,
+            Behavior::Slow(factor) => self.speed / factor,
             _ => self.speed,
         };
         let is_lapsed = self.clock_ms(now_ms) > self.lease_until_ms;
         if is_lapsed {
-            for (_, _, was_lapsed) in self.unnoted.values_mut() {
+            for (_, _, was_lapsed) in self.uncounted_ends.values_mut() {
                 *was_lapsed = true;
             }
         }
@@ -311,11 +313,11 @@
                 *worked += passed_ms * f64::from(work.needs.cpu_milli);
             }
             if work.stop_at_ms.is_some_and(|at_ms| now_ms >= at_ms) {
-                ended.push((key.clone(), End::Stopped));
+                ended.push((key.clone(), RunEnd::Stopped));
             } else if is_lapsed {
-                ended.push((key.clone(), End::Lost));
+                ended.push((key.clone(), RunEnd::Lost));
             } else if work.left_ms <= 0.0 {
-                ended.push((key.clone(), End::Done));
+                ended.push((key.clone(), RunEnd::Done));
             }
         }
         for (key, end) in ended {
@@ -324,20 +326,20 @@
         }
     }
 
-    fn end(&mut self, key: RunKey, end: End) {
+    fn end(&mut self, key: RunKey, end: RunEnd) {
         let highest = self.highest.entry(key.task.clone()).or_insert(0);
         *highest = (*highest).max(key.run);
         match end {
-            End::Done => self.done.push(key.clone()),
-            End::Failed => *self.failures.entry(key.task.clone()).or_insert(0) += 1,
+            RunEnd::Done => self.done.push(key.clone()),
+            RunEnd::Failed => *self.failures.entry(key.task.clone()).or_insert(0) += 1,
             _ => {}
         }
         self.ends += 1;
-        if end == End::Done && key.run >= FIRST_STORED_RUN {
-            let unnoted = (key.clone(), self.ticked_ms, false);
-            self.unnoted.insert(self.ends, unnoted);
+        if end == RunEnd::Done && key.run >= FIRST_STORED_RUN {
+            let uncounted_ends = (key.clone(), self.last_tick_ms, false);
+            self.uncounted_ends.insert(self.ends, uncounted_ends);
         }
-        self.finished.push(Finished {
+        self.ended.push(EndedRun {
             number: self.ends,
             key: Some(key),
             end,
