--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -25,8 +25,9 @@
 use gannetvane_dispatch::AgentHello;
 use gannetvane_dispatch::AgentIdentity;
 use gannetvane_dispatch::AppendResult;
+use gannetvane_dispatch::Assignment;
 use gannetvane_dispatch::BoxedPolicy;
-use gannetvane_dispatch::Caller;
+use gannetvane_dispatch::CallerId;
 use gannetvane_dispatch::Crash;
 use gannetvane_dispatch::Directory;
 use gannetvane_dispatch::Dispatcher;
@@ -34,21 +35,20 @@
 use gannetvane_dispatch::DispatcherSettings;
 use gannetvane_dispatch::EntryFrame;
 use gannetvane_dispatch::FairShare;
-use gannetvane_dispatch::HoldResult;
+use gannetvane_dispatch::Incarnation;
 use gannetvane_dispatch::Job;
 use gannetvane_dispatch::JobOutcome;
-use gannetvane_dispatch::LINKED_ENTRIES;
 use gannetvane_dispatch::Ledger;
 use gannetvane_dispatch::LedgerSettings;
-use gannetvane_dispatch::Lifetime;
 use gannetvane_dispatch::LinkId;
+use gannetvane_dispatch::ListResult;
 use gannetvane_dispatch::Listing;
 use gannetvane_dispatch::LogRecord;
-use gannetvane_dispatch::Membership;
+use gannetvane_dispatch::MAX_LINKED_ENTRIES;
 use gannetvane_dispatch::MinionReport;
 use gannetvane_dispatch::Partition;
 use gannetvane_dispatch::Queue;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
 use gannetvane_dispatch::RoutingTable;
 use gannetvane_dispatch::RunKey;
 use gannetvane_dispatch::StartResult;
@@ -58,17 +58,17 @@
 use gannetvane_dispatch::TaskId;
 use gannetvane_wire::NodeId;
 
-use crashes::Crashes;
+use crashes::PendingCrashes;
 #[allow(unused_imports, reason = "each test file uses a part")]
-pub use evacuation::SeenStart;
+pub use evacuation::ObservedStart;
 #[allow(unused_imports, reason = "each test file uses a part")]
 pub use evacuation::evacuations;
 pub use log::FakeLog;
-pub use log::LogFate;
+pub use log::LogCallOutcome;
 pub use log::PARTITIONS;
-pub use minion::FakeMinion;
 #[allow(unused_imports, reason = "each test file uses a part")]
-pub use minion::Mood;
+pub use minion::Behavior;
+pub use minion::FakeMinion;
 #[allow(unused_imports, reason = "each test file uses a part")]
 pub use seeds::seeds;
 pub use stored::StoredView;
@@ -79,9 +79,9 @@
 /// Time after which an order without an answer is given up by its sender.
 const ORDER_TIMEOUT_MS: u64 = 50;
 /// Pause between two reports of a minion.
-const REPORT_MS: u64 = 1_500;
+const REPORT_INTERVAL_MS: u64 = 1_500;
 /// Pause before a report that found no agent is sent again.
-const REPORT_AGAIN_MS: u64 = 100;
+const REPORT_RETRY_MS: u64 = 100;
 /// Pause after which a caller whose connection broke sends its job again.
 const RESEND_MS: u64 = 1_300;
 /// Time after which a lost stop is carried out.
@@ -94,7 +94,7 @@
 /// Time that a listing is on its way which was made when its call came.
 const HELD_BACK_MS: u64 = 20;
 /// Longest time that a listing waits for an end, in milliseconds.
-const LONGEST_HOLD_MS: u64 = 2_000;
+const MAX_LIST_WAIT_MS: u64 = 2_000;
 
 /// Pause between two looks for refused jobs that ran; what ran is remembered.
 const REFUSED_CHECK_MS: u64 = 200;
@@ -103,12 +103,12 @@
 /// for.
 const OPEN_CALLERS: usize = 2_000;
 
-pub const TASK_ROOM: Room = Room {
+pub const TASK_RESOURCES: Resources = Resources {
     cpu_milli: 1_600,
     memory_mb: 64,
     accelerators: 0,
 };
-pub const MINION_ROOM: Room = Room {
+pub const MINION_CAPACITY: Resources = Resources {
     cpu_milli: 16_000,
     memory_mb: 65_536,
     accelerators: 0,
@@ -122,14 +122,14 @@
     ToAgent(LinkId, EntryFrame),
     ToEntry(LinkId, AgentFrame),
     LinkDown(LinkId),
-    Started(Lifetime, RunKey, StartResult),
-    Stopped(Lifetime, RunKey, bool),
-    Listed(Lifetime, u64, HoldResult),
+    Started(Incarnation, RunKey, StartResult),
+    Stopped(Incarnation, RunKey, bool),
+    Listed(Incarnation, u64, ListResult),
     Reported(MinionReport),
     MinionLeft(String),
-    CallerLeft(Caller),
+    CallerLeft(CallerId),
     Stored(StoredCaller, StoredCall),
-    Joined(u64, Option<Membership>),
+    Joined(u64, Option<Assignment>),
     Appended(Partition, u32, u64, AppendResult),
     Loaded(Partition, u64, Option<Vec<LogRecord>>),
     Crashes(Vec<Crash>),
@@ -143,7 +143,7 @@
 
 /// A call to a minion that is carried out at a later time.
 #[derive(Clone, Debug)]
-struct LateCall {
+struct DelayedCall {
     at_ms: u64,
     agent: usize,
     action: AgentAction,
@@ -151,12 +151,12 @@
 
 /// A listing that waits for an end.
 #[derive(Clone, Debug)]
-struct OpenHold {
+struct PendingListing {
     /// The listing, where it was made when the call came.
     listing: Option<Listing>,
     until_ms: u64,
     agent: usize,
-    lifetime: Lifetime,
+    incarnation: Incarnation,
     call: u64,
     epoch: u64,
 }
@@ -166,7 +166,7 @@
     core: C,
     inbox: VecDeque<Event>,
     due_ms: u64,
-    frozen_until_ms: u64,
+    suspended_until_ms: u64,
     down_until_ms: u64,
     runs: u64,
 }
@@ -177,7 +177,7 @@
     }
 
     fn runs_now(&self, now_ms: u64) -> bool {
-        self.is_up(now_ms) && now_ms >= self.frozen_until_ms
+        self.is_up(now_ms) && now_ms >= self.suspended_until_ms
     }
 }
 
@@ -192,7 +192,7 @@
 #[derive(Clone, Debug)]
 pub struct JobShape {
     pub queue: Arc<Queue>,
-    pub needs: Room,
+    pub needs: Resources,
     pub declared_ms: u64,
     pub work_ms: Vec<f64>,
 }
@@ -200,7 +200,7 @@
 /// A minion of a session.
 #[derive(Clone, Copy, Debug)]
 pub struct MinionKind {
-    pub room: Room,
+    pub capacity: Resources,
     /// Times that it works faster than an ordinary one.
     pub speed: f64,
 }
@@ -216,7 +216,7 @@
     pub outcome: Option<JobOutcome>,
     pub answered_ms: Option<u64>,
     entry: usize,
-    caller: Option<Caller>,
+    caller: Option<CallerId>,
     wait_ms: u64,
     resend_at_ms: Option<u64>,
     attempts: usize,
@@ -226,8 +226,8 @@
 /// What must never happen, and happened.
 #[derive(Clone, Debug, Default)]
 pub struct Violations {
-    pub twice: Vec<String>,
-    pub overloads: usize,
+    pub duplicates: Vec<String>,
+    pub overcommits: usize,
     pub refused_and_ran: Vec<String>,
     pub lost: Vec<String>,
     pub failed_without_cause: Vec<String>,
@@ -235,8 +235,8 @@
 
 impl Violations {
     pub fn is_empty(&self) -> bool {
-        self.twice.is_empty()
-            && self.overloads == 0
+        self.duplicates.is_empty()
+            && self.overcommits == 0
             && self.refused_and_ran.is_empty()
             && self.lost.is_empty()
             && self.failed_without_cause.is_empty()
@@ -254,13 +254,13 @@
     wires: Vec<(u64, u64, Side, Event)>,
     sequence: u64,
     cuts: BTreeSet<(usize, usize)>,
-    late: Vec<LateCall>,
+    delayed_calls: Vec<DelayedCall>,
     /// Decides the fate of each order: `None` in time, or after how long it is
     /// carried out without an answer.
-    pub fate: Box<dyn FnMut(u64, usize) -> Option<u64>>,
+    pub call_delay: Box<dyn FnMut(u64, usize) -> Option<u64>>,
     /// Whether stops get no answer and are carried out seconds later, while
     /// other calls are answered.
-    pub loses_stops: bool,
+    pub delays_stops: bool,
     pub callers: Vec<CallerState>,
     pub starts: BTreeMap<String, usize>,
     pub violations: Violations,
@@ -272,10 +272,10 @@
     last_reports: BTreeMap<usize, MinionReport>,
     pub log: FakeLog,
     /// Decides what becomes of each call of an entry to the job log.
-    pub log_fate: Box<dyn FnMut(u64, usize) -> LogFate>,
+    pub log_outcome: Box<dyn FnMut(u64, usize) -> LogCallOutcome>,
     pub stored: Vec<StoredView>,
     /// Lifetimes of minions that ended.
-    past_minions: Vec<FakeMinion>,
+    ended_minions: Vec<FakeMinion>,
     kinds: Vec<MinionKind>,
     /// The entries that each agent keeps a link to, as in the product.
     chosen: Vec<Vec<usize>>,
@@ -290,31 +290,31 @@
     /// is made when it is asked for, ends are told up to 20 ms late, and a
     /// report comes each 1.5 s.
     pub has_prompt_minions: bool,
-    open_holds: Vec<OpenHold>,
+    pending_listings: Vec<PendingListing>,
     /// Whether minions tell their births.
-    has_births: bool,
+    has_start_times: bool,
     /// Whether calls that a minion would carry out late end with its life.
-    pub drops_calls_of_past_lives: bool,
+    pub drops_calls_of_ended_incarnations: bool,
     /// Jobs whose first task crashes each minion that starts it.
     pub crashing: BTreeSet<String>,
     /// Minions that each of them crashed.
     pub crashes: BTreeMap<String, usize>,
     /// How long after an answered start they do; in the start itself if not set.
     pub crash_after_ms: Option<u64>,
-    due_crashes: Crashes,
+    due_crashes: PendingCrashes,
     /// The last crash that an entry told another one.
-    told_crashes: BTreeMap<(usize, usize), u64>,
+    sent_crashes: BTreeMap<(usize, usize), u64>,
     /// The run of each agent and the lifetime of its minion that were last
     /// brought together by a report.
     reported: BTreeMap<usize, (u64, String)>,
     /// Callers that were refused since they were last looked at.
     just_refused: Vec<usize>,
     /// Zones that all entries know to be emptied.
-    emptied: BTreeSet<String>,
+    evacuated: BTreeSet<String>,
     /// All starts that were answered in time.
-    pub seen_starts: Vec<SeenStart>,
+    pub answered_starts: Vec<ObservedStart>,
     /// All calls to start a task, answered or not.
-    pub start_calls: Vec<SeenStart>,
+    pub start_calls: Vec<ObservedStart>,
     /// What agents noted, by event.
     pub notes: BTreeMap<&'static str, usize>,
 }
@@ -328,7 +328,7 @@
 impl Session {
     pub fn new(entries: usize, agents: usize) -> Self {
         let kind = MinionKind {
-            room: MINION_ROOM,
+            capacity: MINION_CAPACITY,
             speed: 1.0,
         };
         Self::with_minions(entries, vec![kind; agents], table(1).queues, fair_share)
@@ -353,9 +353,9 @@
             wires: Vec::new(),
             sequence: 0,
             cuts: BTreeSet::new(),
-            late: Vec::new(),
-            fate: Box::new(|_, _| None),
-            loses_stops: false,
+            delayed_calls: Vec::new(),
+            call_delay: Box::new(|_, _| None),
+            delays_stops: false,
             callers: Vec::new(),
             starts: BTreeMap::new(),
             violations: Violations::default(),
@@ -364,9 +364,9 @@
             draining: BTreeSet::new(),
             last_reports: BTreeMap::new(),
             log: FakeLog::default(),
-            log_fate: Box::new(|_, _| LogFate::Served),
+            log_outcome: Box::new(|_, _| LogCallOutcome::Served),
             stored: Vec::new(),
-            past_minions: Vec::new(),
+            ended_minions: Vec::new(),
             chosen: (0..agents).map(|agent| chosen(agent, entries)).collect(),
             kinds,
             queues,
@@ -374,18 +374,18 @@
             shapes: BTreeMap::new(),
             started: BTreeMap::new(),
             has_prompt_minions: false,
-            open_holds: Vec::new(),
-            has_births: false,
-            drops_calls_of_past_lives: false,
+            pending_listings: Vec::new(),
+            has_start_times: false,
+            drops_calls_of_ended_incarnations: false,
             crashing: BTreeSet::new(),
             crashes: BTreeMap::new(),
             crash_after_ms: None,
-            due_crashes: Crashes::default(),
-            told_crashes: BTreeMap::new(),
+            due_crashes: PendingCrashes::default(),
+            sent_crashes: BTreeMap::new(),
             reported: BTreeMap::new(),
             just_refused: Vec::new(),
-            emptied: BTreeSet::new(),
-            seen_starts: Vec::new(),
+            evacuated: BTreeSet::new(),
+            answered_starts: Vec::new(),
             start_calls: Vec::new(),
             notes: BTreeMap::new(),
         };
@@ -425,7 +425,7 @@
             core: EntryCore { dispatcher, ledger },
             inbox: VecDeque::new(),
             due_ms: self.now_ms,
-            frozen_until_ms: 0,
+            suspended_until_ms: 0,
             down_until_ms: 0,
             runs,
         }
@@ -433,9 +433,9 @@
 
     fn new_minion(&self, agent: usize, instance: &str) -> FakeMinion {
         let kind = self.kinds[agent];
-        let mut minion = FakeMinion::new(self.now_ms, instance, kind.room);
+        let mut minion = FakeMinion::new(self.now_ms, instance, kind.capacity);
         minion.speed = kind.speed;
-        minion.tells_birth = self.has_births;
+        minion.reports_start_time = self.has_start_times;
         minion
     }
 
@@ -446,10 +446,10 @@
             zone: zone(agent).into(),
         };
         Process {
-            core: Agent::new(identity).with_longest_lease(minion::LONGEST_LEASE_MS),
+            core: Agent::new(identity).with_longest_lease(minion::MAX_LEASE_MS),
             inbox: VecDeque::new(),
             due_ms: self.now_ms,
-            frozen_until_ms: 0,
+            suspended_until_ms: 0,
             down_until_ms: 0,
             runs,
         }
@@ -507,7 +507,7 @@
             state.resend_at_ms = Some(now_ms + RESEND_MS);
             return;
         }
-        let caller = Caller(self.next_caller);
+        let caller = CallerId(self.next_caller);
         self.next_caller += 1;
         state.caller = Some(caller);
         let shape = self.shapes.get(&state.id);
@@ -517,7 +517,7 @@
             spec: format!("work_ms={}", state.work_ms).into(),
             steps: vec![Step {
                 count: state.tasks,
-                needs: shape.map_or(TASK_ROOM, |shape| shape.needs),
+                needs: shape.map_or(TASK_RESOURCES, |shape| shape.needs),
                 declared_ms: state.declared_ms,
                 ..Step::default()
             }],
@@ -556,12 +556,12 @@
         state.resend_at_ms = None;
     }
 
-    pub fn freeze_entry(&mut self, entry: usize, for_ms: u64) {
-        self.entries[entry].frozen_until_ms = self.now_ms + for_ms;
+    pub fn suspend_entry(&mut self, entry: usize, for_ms: u64) {
+        self.entries[entry].suspended_until_ms = self.now_ms + for_ms;
     }
 
-    pub fn freeze_agent(&mut self, agent: usize, for_ms: u64) {
-        self.agents[agent].frozen_until_ms = self.now_ms + for_ms;
+    pub fn suspend_agent(&mut self, agent: usize, for_ms: u64) {
+        self.agents[agent].suspended_until_ms = self.now_ms + for_ms;
     }
 
     /// Kills an entry; its callers' connections break.
@@ -569,7 +569,7 @@
         let runs = self.entries[entry].runs + 1;
         self.entries[entry] = self.new_entry(entry, runs);
         self.entries[entry].down_until_ms = self.now_ms + for_ms;
-        self.told_crashes
+        self.sent_crashes
             .retain(|(from, to), _| *from != entry && *to != entry);
         self.break_links(|link| link.entry == entry, Side::Entry(entry));
         for state in &mut self.callers {
@@ -587,23 +587,23 @@
     }
 
     /// The minion has other room from now on, and says so with its next report.
-    pub fn resize_minion(&mut self, agent: usize, capacity: Room) {
+    pub fn resize_minion(&mut self, agent: usize, capacity: Resources) {
         self.minions[agent].resize(self.now_ms, capacity);
         let report = self.report(agent);
         self.post(Side::Agent(agent), Event::Reported(report));
     }
 
     /// All minions tell their births from now on.
-    pub fn tell_births(&mut self) {
-        self.has_births = true;
+    pub fn report_start_times(&mut self) {
+        self.has_start_times = true;
         for minion in &mut self.minions {
-            minion.tells_birth = true;
+            minion.reports_start_time = true;
         }
-        self.run(2 * REPORT_MS);
+        self.run(2 * REPORT_INTERVAL_MS);
     }
 
     /// The last report of the lifetime before the present one arrives only now.
-    pub fn deliver_late_report(&mut self, agent: usize) {
+    pub fn deliver_delayed_report(&mut self, agent: usize) {
         if let Some(report) = self.last_reports.get(&agent).cloned() {
             self.post(Side::Agent(agent), Event::Reported(report));
         }
@@ -712,12 +712,12 @@
         self.log.tick(self.now_ms);
         self.run_stored_callers();
         for agent in 0..self.agents.len() {
-            if !self.is_stalled(agent) {
+            if !self.is_unresponsive(agent) {
                 self.minions[agent].tick(self.now_ms);
             }
             self.run_agent(agent);
         }
-        self.answer_holds();
+        self.answer_listings();
         for entry in 0..self.entries.len() {
             self.run_entry(entry);
         }
@@ -727,7 +727,7 @@
     fn report(&self, agent: usize) -> MinionReport {
         let minion = &self.minions[agent];
         MinionReport {
-            lifetime: minion.lifetime(),
+            incarnation: minion.incarnation(),
             service: SERVICE.into(),
             zone: zone(agent).into(),
             labels: vec!["a".into()],
@@ -749,8 +749,8 @@
     fn report_minions(&mut self) {
         for agent in 0..self.agents.len() {
             let pause_ms = match self.has_prompt_minions && !self.is_reported(agent) {
-                true => REPORT_AGAIN_MS,
-                false => REPORT_MS,
+                true => REPORT_RETRY_MS,
+                false => REPORT_INTERVAL_MS,
             };
             if (self.now_ms + agent as u64 * 37).is_multiple_of(pause_ms)
                 && self.agents[agent].is_up(self.now_ms)
@@ -854,14 +854,18 @@
                 Event::LinkUp(link, addr) => process.core.link_up(now_ms, link, addr),
                 Event::ToAgent(link, frame) => process.core.frame(now_ms, link, frame),
                 Event::LinkDown(link) => process.core.link_down(now_ms, link),
-                Event::Started(lifetime, key, result) => {
-                    process.core.start_answered(now_ms, &lifetime, &key, result);
+                Event::Started(incarnation, key, result) => {
+                    process
+                        .core
+                        .start_answered(now_ms, &incarnation, &key, result);
                 }
-                Event::Stopped(lifetime, key, is_done) => {
-                    process.core.stop_answered(now_ms, &lifetime, &key, is_done);
+                Event::Stopped(incarnation, key, is_done) => {
+                    process
+                        .core
+                        .stop_answered(now_ms, &incarnation, &key, is_done);
                 }
-                Event::Listed(lifetime, call, result) => {
-                    process.core.listed(now_ms, &lifetime, call, result);
+                Event::Listed(incarnation, call, result) => {
+                    process.core.listed(now_ms, &incarnation, call, result);
                 }
                 Event::Reported(report) => process.core.minion_reported(now_ms, report),
                 Event::MinionLeft(instance) => process.core.minion_left(&instance),
@@ -877,12 +881,12 @@
     fn agent_action(&mut self, agent: usize, action: AgentAction) {
         if matches!(action, AgentAction::Start { .. }) {
             let at_ms = self.now_ms;
-            self.start_calls.push(SeenStart { at_ms, agent });
+            self.start_calls.push(ObservedStart { at_ms, agent });
         }
         match action {
-            AgentAction::Start { .. } | AgentAction::Stop { .. } | AgentAction::Hold { .. } => {
-                let is_lost_stop = self.loses_stops && matches!(action, AgentAction::Stop { .. });
-                match (self.fate)(self.now_ms, agent) {
+            AgentAction::Start { .. } | AgentAction::Stop { .. } | AgentAction::List { .. } => {
+                let is_lost_stop = self.delays_stops && matches!(action, AgentAction::Stop { .. });
+                match (self.call_delay)(self.now_ms, agent) {
                     None if is_lost_stop => self.answer_nothing(agent, &action, LOST_STOP_MS),
                     None => self.carry_out(agent, &action, true),
                     Some(late_ms) => self.answer_nothing(agent, &action, late_ms),
@@ -900,9 +904,9 @@
                     }
                 }
             }
-            AgentAction::Note(note) => {
-                self.print(&format!("agent {agent} {note:?}"));
-                *self.notes.entry(note.event).or_default() += 1;
+            AgentAction::Event(event) => {
+                self.print(&format!("agent {agent} {event:?}"));
+                *self.notes.entry(event.event).or_default() += 1;
             }
             AgentAction::Entries(_) => {}
         }
@@ -915,22 +919,22 @@
     }
 
     fn answer_nothing(&mut self, agent: usize, action: &AgentAction, late_ms: u64) {
-        self.late.push(LateCall {
+        self.delayed_calls.push(DelayedCall {
             at_ms: self.now_ms + late_ms,
             agent,
             action: action.clone(),
         });
         let at_ms = self.now_ms + ORDER_TIMEOUT_MS;
         let answer = match action {
-            AgentAction::Start { lifetime, key, .. } => {
-                Event::Started(lifetime.clone(), key.clone(), StartResult::NoAnswer)
-            }
-            AgentAction::Stop { lifetime, key, .. } => {
-                Event::Stopped(lifetime.clone(), key.clone(), false)
-            }
-            AgentAction::Hold { lifetime, call, .. } => {
-                Event::Listed(lifetime.clone(), *call, HoldResult::NoAnswer)
-            }
+            AgentAction::Start {
+                incarnation, key, ..
+            } => Event::Started(incarnation.clone(), key.clone(), StartResult::NoAnswer),
+            AgentAction::Stop {
+                incarnation, key, ..
+            } => Event::Stopped(incarnation.clone(), key.clone(), false),
+            AgentAction::List {
+                incarnation, call, ..
+            } => Event::Listed(incarnation.clone(), *call, ListResult::NoAnswer),
             _ => return,
         };
         self.post_at(at_ms, Side::Agent(agent), answer);
@@ -938,28 +942,30 @@
 
     fn refuse_connection(&mut self, agent: usize, action: &AgentAction) {
         let answer = match action {
-            AgentAction::Start { lifetime, key, .. } => {
-                Event::Started(lifetime.clone(), key.clone(), StartResult::Unreached)
-            }
-            AgentAction::Stop { lifetime, key, .. } => {
-                Event::Stopped(lifetime.clone(), key.clone(), false)
-            }
-            AgentAction::Hold { lifetime, call, .. } => {
-                Event::Listed(lifetime.clone(), *call, HoldResult::Unreached)
-            }
+            AgentAction::Start {
+                incarnation, key, ..
+            } => Event::Started(incarnation.clone(), key.clone(), StartResult::Unreached),
+            AgentAction::Stop {
+                incarnation, key, ..
+            } => Event::Stopped(incarnation.clone(), key.clone(), false),
+            AgentAction::List {
+                incarnation, call, ..
+            } => Event::Listed(incarnation.clone(), *call, ListResult::Unreached),
             _ => return,
         };
         self.post(Side::Agent(agent), answer);
     }
 
     fn carry_out_late(&mut self) {
-        let late = std::mem::take(&mut self.late);
-        let (due, rest): (Vec<_>, Vec<_>) =
-            late.into_iter().partition(|call| call.at_ms <= self.now_ms);
-        self.late = rest;
+        let delayed_calls = std::mem::take(&mut self.delayed_calls);
+        let (due, rest): (Vec<_>, Vec<_>) = delayed_calls
+            .into_iter()
+            .partition(|call| call.at_ms <= self.now_ms);
+        self.delayed_calls = rest;
         for call in due {
-            let lifetime = self.minions[call.agent].lifetime();
-            if self.drops_calls_of_past_lives && target(&call.action) != Some(&lifetime) {
+            let incarnation = self.minions[call.agent].incarnation();
+            if self.drops_calls_of_ended_incarnations && target(&call.action) != Some(&incarnation)
+            {
                 continue;
             }
             self.carry_out(call.agent, &call.action, false);
@@ -969,14 +975,14 @@
     fn carry_out(&mut self, agent: usize, action: &AgentAction, is_answered: bool) {
         let now_ms = self.now_ms;
         let minion = &mut self.minions[agent];
-        let (AgentAction::Start { lifetime, .. }
-        | AgentAction::Stop { lifetime, .. }
-        | AgentAction::Hold { lifetime, .. }) = action
+        let (AgentAction::Start { incarnation, .. }
+        | AgentAction::Stop { incarnation, .. }
+        | AgentAction::List { incarnation, .. }) = action
         else {
             return;
         };
         if now_ms < minion.up_at_ms {
-            if is_answered && minion.is_dark {
+            if is_answered && minion.is_host_down {
                 self.answer_nothing(agent, action, NEVER_MS);
             } else if is_answered {
                 self.refuse_connection(agent, action);
@@ -987,7 +993,7 @@
             return;
         }
         let minion = &mut self.minions[agent];
-        let is_same = **lifetime.id() == *minion.instance;
+        let is_same = **incarnation.id() == *minion.instance;
         let answer = match action {
             AgentAction::Start {
                 key,
@@ -1000,7 +1006,7 @@
                 let result = if is_same {
                     let work_ms = spec.trim_start_matches("work_ms=").parse().unwrap_or(100.0);
                     let shape = self.shapes.get(&*key.task.job);
-                    let needs = shape.map_or(TASK_ROOM, |shape| shape.needs);
+                    let needs = shape.map_or(TASK_RESOURCES, |shape| shape.needs);
                     let index = key.task.index as usize;
                     let work_ms = shape.map_or(work_ms, |shape| shape.work_ms[index]);
                     was_started = minion.running().any(|running| running == key);
@@ -1017,27 +1023,27 @@
                 }
                 let is_crash = self.crashing.contains(&*key.task.job) && key.task.index == 0;
                 let is_new = result == StartResult::Started && !was_started;
-                if is_crash && is_new && !self.crash_by(agent, lifetime, key) {
+                if is_crash && is_new && !self.crash_by(agent, incarnation, key) {
                     return;
                 }
                 if result == StartResult::Started {
                     if is_answered {
-                        self.seen_starts.push(SeenStart {
+                        self.answered_starts.push(ObservedStart {
                             at_ms: now_ms,
                             agent,
                         });
                     }
                     let started = self.started.entry(key.task.job.to_string());
                     started.or_default().insert(key.task.index);
-                    *self.starts.entry(lifetime.id().to_string()).or_default() += 1;
+                    *self.starts.entry(incarnation.id().to_string()).or_default() += 1;
                 }
-                Event::Started(lifetime.clone(), key.clone(), result)
+                Event::Started(incarnation.clone(), key.clone(), result)
             }
             AgentAction::Stop { key, epoch, .. } => {
                 let is_done = is_same && minion.stop(now_ms, key, *epoch);
-                Event::Stopped(lifetime.clone(), key.clone(), is_done)
+                Event::Stopped(incarnation.clone(), key.clone(), is_done)
             }
-            AgentAction::Hold {
+            AgentAction::List {
                 call,
                 epoch,
                 acknowledged_through,
@@ -1046,16 +1052,16 @@
                 ..
             } => {
                 if !is_same {
-                    let result = HoldResult::OtherInstance;
-                    let event = Event::Listed(lifetime.clone(), *call, result);
+                    let result = ListResult::OtherInstance;
+                    let event = Event::Listed(incarnation.clone(), *call, result);
                     if is_answered {
                         self.post(Side::Agent(agent), event);
                     }
                     return;
                 }
-                let noted = minion.noted.len();
+                let noted = minion.counted_ends.len();
                 minion.extend(now_ms, *epoch, *acknowledged_through, *deadline_ms);
-                for (key, _) in &self.minions[agent].noted[noted..] {
+                for (key, _) in &self.minions[agent].counted_ends[noted..] {
                     self.print(&format!(
                         "minion {agent} end counts answered={is_answered} {key:?}"
                     ));
@@ -1065,21 +1071,21 @@
                     // Without waiting, the listing is made now and is told as
                     // late as one that waits a little.
                     let pause_ms = match self.has_prompt_minions {
-                        true => (*wait_ms).min(LONGEST_HOLD_MS),
+                        true => (*wait_ms).min(MAX_LIST_WAIT_MS),
                         false => (*wait_ms).min(HELD_BACK_MS),
                     };
                     if *epoch > 0 && *epoch < minion.epoch() {
-                        let result = HoldResult::Fenced;
-                        let event = Event::Listed(lifetime.clone(), *call, result);
+                        let result = ListResult::Fenced;
+                        let event = Event::Listed(incarnation.clone(), *call, result);
                         self.post(Side::Agent(agent), event);
                         return;
                     }
                     let listing = minion.list(now_ms, *epoch);
-                    self.open_holds.push(OpenHold {
+                    self.pending_listings.push(PendingListing {
                         listing: (!self.has_prompt_minions).then_some(listing),
                         until_ms: now_ms + pause_ms,
                         agent,
-                        lifetime: lifetime.clone(),
+                        incarnation: incarnation.clone(),
                         call: *call,
                         epoch: *epoch,
                     });
@@ -1094,30 +1100,31 @@
     }
 
     /// Answers the listings that waited for an end, or for long enough.
-    fn answer_holds(&mut self) {
+    fn answer_listings(&mut self) {
         let now_ms = self.now_ms;
-        for hold in std::mem::take(&mut self.open_holds) {
-            if self.is_stalled(hold.agent) {
-                self.open_holds.push(hold);
+        for pending in std::mem::take(&mut self.pending_listings) {
+            if self.is_unresponsive(pending.agent) {
+                self.pending_listings.push(pending);
                 continue;
             }
-            let minion = &mut self.minions[hold.agent];
-            let is_same = **hold.lifetime.id() == *minion.instance && now_ms >= minion.up_at_ms;
-            let is_news = hold.listing.is_none() && minion.has_news();
-            if now_ms < hold.until_ms && is_same && !is_news {
-                self.open_holds.push(hold);
+            let minion = &mut self.minions[pending.agent];
+            let is_same =
+                **pending.incarnation.id() == *minion.instance && now_ms >= minion.up_at_ms;
+            let is_news = pending.listing.is_none() && minion.has_ends();
+            if now_ms < pending.until_ms && is_same && !is_news {
+                self.pending_listings.push(pending);
                 continue;
             }
-            let result = match hold.listing {
-                Some(listing) => HoldResult::Listed(listing),
-                None if is_same && hold.epoch > 0 && hold.epoch < minion.epoch() => {
-                    HoldResult::Fenced
+            let result = match pending.listing {
+                Some(listing) => ListResult::Listed(listing),
+                None if is_same && pending.epoch > 0 && pending.epoch < minion.epoch() => {
+                    ListResult::Fenced
                 }
-                None if is_same => HoldResult::Listed(minion.list(now_ms, hold.epoch)),
-                None => HoldResult::OtherInstance,
+                None if is_same => ListResult::Listed(minion.list(now_ms, pending.epoch)),
+                None => ListResult::OtherInstance,
             };
-            let event = Event::Listed(hold.lifetime, hold.call, result);
-            self.post(Side::Agent(hold.agent), event);
+            let event = Event::Listed(pending.incarnation, pending.call, result);
+            self.post(Side::Agent(pending.agent), event);
         }
     }
 
@@ -1135,8 +1142,8 @@
                 Event::LinkDown(link) => dispatcher.agent_down(link, "closed"),
                 Event::CallerLeft(caller) => dispatcher.caller_left(now_ms, caller),
                 Event::Stored(caller, call) => ledger.call(now_ms, caller, call, dispatcher),
-                Event::Joined(sent_ms, membership) => {
-                    ledger.joined(now_ms, sent_ms, membership, dispatcher);
+                Event::Joined(sent_ms, assignment) => {
+                    ledger.joined(now_ms, sent_ms, assignment, dispatcher);
                 }
                 Event::Appended(partition, epoch, number, result) => {
                     ledger.appended(now_ms, partition, epoch, number, result, dispatcher);
@@ -1152,7 +1159,7 @@
         let due_ms = dispatcher.tick(now_ms);
         process.due_ms = ledger_due_ms.map_or(due_ms, |ledger_ms| ledger_ms.min(due_ms));
         let (actions, calls) = (dispatcher.take_actions(), ledger.take_actions());
-        self.tell_crashes(entry);
+        self.gossip_crashes(entry);
         for action in actions {
             self.entry_action(entry, action);
         }
@@ -1162,11 +1169,11 @@
     }
 
     /// Entries tell each other of crashes under tasks.
-    fn tell_crashes(&mut self, entry: usize) {
+    fn gossip_crashes(&mut self, entry: usize) {
         let now_ms = self.now_ms;
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
             let book = self.entries[entry].core.dispatcher.crashes();
-            let told = self.told_crashes.entry((entry, other)).or_default();
+            let told = self.sent_crashes.entry((entry, other)).or_default();
             let crashes = book.since(now_ms, *told);
             *told = book.last();
             if !crashes.is_empty() {
@@ -1220,11 +1227,11 @@
 
     /// Whether an agent runs, in a zone that is not being emptied.
     fn is_usable(&self, agent: usize) -> bool {
-        self.agents[agent].is_up(self.now_ms) && !self.emptied.contains(zone(agent))
+        self.agents[agent].is_up(self.now_ms) && !self.evacuated.contains(zone(agent))
     }
 
     /// Free room of the minions that may get tasks.
-    fn free_rooms(&self) -> Vec<Room> {
+    fn free_rooms(&self) -> Vec<Resources> {
         let agents = (0..self.agents.len()).filter(|agent| self.is_usable(*agent));
         agents.map(|agent| self.minions[agent].free()).collect()
     }
@@ -1270,7 +1277,7 @@
     /// Work that minions did for a job, in thousandths of a core by
     /// milliseconds.
     pub fn worked(&self, id: &str) -> f64 {
-        let minions = self.minions.iter().chain(&self.past_minions);
+        let minions = self.minions.iter().chain(&self.ended_minions);
         minions.filter_map(|minion| minion.worked.get(id)).sum()
     }
 
@@ -1281,11 +1288,11 @@
             for key in minion.running() {
                 if !seen.insert(key.task.clone()) {
                     let what = format!("{} ms: {:?}", self.now_ms, key);
-                    self.violations.twice.push(what);
+                    self.violations.duplicates.push(what);
                 }
             }
         }
-        self.violations.overloads = self.minions.iter().map(|minion| minion.overloads).sum();
+        self.violations.overcommits = self.minions.iter().map(|minion| minion.overcommits).sum();
         if !self.now_ms.is_multiple_of(REFUSED_CHECK_MS) {
             return;
         }
@@ -1299,20 +1306,20 @@
 }
 
 /// The life that a call to a minion was meant for.
-fn target(action: &AgentAction) -> Option<&Lifetime> {
+fn target(action: &AgentAction) -> Option<&Incarnation> {
     match action {
-        AgentAction::Start { lifetime, .. }
-        | AgentAction::Stop { lifetime, .. }
-        | AgentAction::Hold { lifetime, .. } => Some(lifetime),
+        AgentAction::Start { incarnation, .. }
+        | AgentAction::Stop { incarnation, .. }
+        | AgentAction::List { incarnation, .. } => Some(incarnation),
         _ => None,
     }
 }
 
 /// Tasks, of this many, that find room; it is taken from `rooms`.
-fn pack(rooms: &mut [Room], needs: Room, tasks: usize) -> usize {
+fn pack(rooms: &mut [Resources], needs: Resources, tasks: usize) -> usize {
     let mut packed = 0;
     for room in rooms {
-        while packed < tasks && room.holds(&needs) {
+        while packed < tasks && room.can_fit(&needs) {
             *room = room.minus(&needs);
             packed += 1;
         }
@@ -1353,7 +1360,7 @@
 fn chosen(agent: usize, entries: usize) -> Vec<usize> {
     let known: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
-    let mut directory = directory.with_choice(host(agent).into(), LINKED_ENTRIES);
+    let mut directory = directory.with_max_targets(host(agent).into(), MAX_LINKED_ENTRIES);
     directory.learn(0, &known);
     let targets = directory.targets(0);
     let chosen = (0..entries).filter(|entry| targets.contains(&known[*entry]));
--- a/crates/dispatch/tests/session/stored.rs
+++ b/crates/dispatch/tests/session/stored.rs
@@ -22,9 +22,9 @@
 use super::Event;
 use super::Session;
 use super::Side;
-use super::TASK_ROOM;
+use super::TASK_RESOURCES;
 use super::log::Append;
-use super::log::LogFate;
+use super::log::LogCallOutcome;
 use super::log::PARTITIONS;
 use super::table;
 
@@ -49,7 +49,7 @@
     pub is_accepted: bool,
     /// How often it was refused as never to run.
     pub refusals: usize,
-    is_unsure: bool,
+    is_outcome_unknown: bool,
     pub wants_cancel: bool,
     pub is_cancelled: bool,
     /// When a cancel, or the word that there is no such job, was answered.
@@ -71,7 +71,7 @@
             work_ms,
             is_accepted: false,
             refusals: 0,
-            is_unsure: false,
+            is_outcome_unknown: false,
             wants_cancel: false,
             is_cancelled: false,
             cancelled_ms: None,
@@ -135,7 +135,7 @@
                 spec: format!("work_ms={}", state.work_ms).into(),
                 steps: vec![Step {
                     count: state.tasks,
-                    needs: TASK_ROOM,
+                    needs: TASK_RESOURCES,
                     declared_ms: state.work_ms,
                     ..Step::default()
                 }],
@@ -156,7 +156,7 @@
         self.next_caller += 1;
         let caller = StoredCaller(self.next_caller);
         let state = &mut self.stored[position];
-        state.is_unsure |= matches!(call, StoredCall::Submit(_));
+        state.is_outcome_unknown |= matches!(call, StoredCall::Submit(_));
         state.waits_for = Some(caller);
         state.next_ms = self.now_ms + ASK_TIMEOUT_MS;
         self.post(Side::Entry(owner), Event::Stored(caller, call));
@@ -201,20 +201,20 @@
 
     pub(super) fn ledger_action(&mut self, entry: usize, action: LedgerAction) {
         let now_ms = self.now_ms;
-        let fate = (self.log_fate)(now_ms, entry);
+        let outcome = (self.log_outcome)(now_ms, entry);
         let member = self.member(entry);
         match action {
             LedgerAction::Join { generation } => {
-                let membership = match fate {
-                    LogFate::Served => Some(self.log.join(now_ms, &member, generation)),
-                    LogFate::Lost | LogFate::Late(_) => {
+                let assignment = match outcome {
+                    LogCallOutcome::Served => Some(self.log.join(now_ms, &member, generation)),
+                    LogCallOutcome::AnswerLost | LogCallOutcome::Delayed(_) => {
                         self.log.join(now_ms, &member, generation);
                         None
                     }
-                    LogFate::Refused | LogFate::Silent => None,
+                    LogCallOutcome::Refused | LogCallOutcome::Dropped => None,
                 };
-                let event = Event::Joined(now_ms, membership);
-                self.answer_log(entry, fate, event);
+                let event = Event::Joined(now_ms, assignment);
+                self.answer_log(entry, outcome, event);
             }
             LedgerAction::Leave => self.log.leave(&member),
             LedgerAction::Append {
@@ -231,40 +231,40 @@
                     expected_end,
                     records,
                 };
-                self.append(entry, fate, &append);
+                self.append(entry, outcome, &append);
             }
             LedgerAction::Load { partition, load } => {
-                let is_served = fate == LogFate::Served;
+                let is_served = outcome == LogCallOutcome::Served;
                 let records = is_served.then(|| self.log.newest(partition));
-                self.answer_log(entry, fate, Event::Loaded(partition, load, records));
+                self.answer_log(entry, outcome, Event::Loaded(partition, load, records));
             }
             LedgerAction::Answer(caller, answer) => self.answered(caller, answer),
             LedgerAction::Event(event) => self.print(&format!("entry {entry} {event:?}")),
         }
     }
 
-    fn append(&mut self, entry: usize, fate: LogFate, append: &Append) {
+    fn append(&mut self, entry: usize, outcome: LogCallOutcome, append: &Append) {
         use gannetvane_dispatch::AppendResult;
-        let result = match fate {
-            LogFate::Served => self.log.append(append),
-            LogFate::Refused => AppendResult::Refused,
-            LogFate::Silent => AppendResult::NoAnswer,
-            LogFate::Lost => {
+        let result = match outcome {
+            LogCallOutcome::Served => self.log.append(append),
+            LogCallOutcome::Refused => AppendResult::Refused,
+            LogCallOutcome::Dropped => AppendResult::NoAnswer,
+            LogCallOutcome::AnswerLost => {
                 self.log.append(append);
                 AppendResult::NoAnswer
             }
-            LogFate::Late(late_ms) => {
+            LogCallOutcome::Delayed(late_ms) => {
                 self.log.append_late(self.now_ms + late_ms, append.clone());
                 AppendResult::NoAnswer
             }
         };
         let event = Event::Appended(append.partition, append.epoch, append.number, result);
-        self.answer_log(entry, fate, event);
+        self.answer_log(entry, outcome, event);
     }
 
-    fn answer_log(&mut self, entry: usize, fate: LogFate, event: Event) {
-        let delay_ms = match fate {
-            LogFate::Served | LogFate::Refused => LOG_MS + DELAY_MS,
+    fn answer_log(&mut self, entry: usize, outcome: LogCallOutcome, event: Event) {
+        let delay_ms = match outcome {
+            LogCallOutcome::Served | LogCallOutcome::Refused => LOG_MS + DELAY_MS,
             _ => LOG_TIMEOUT_MS,
         };
         self.post_at(self.now_ms + delay_ms, Side::Entry(entry), event);
@@ -278,25 +278,25 @@
     /// no task started after an end that counts.
     pub fn check_stored(&mut self) {
         let mut counted: BTreeMap<TaskId, (RunKey, u64)> = BTreeMap::new();
-        for minion in self.past_minions.iter().chain(&self.minions) {
-            for (key, ended_ms) in &minion.noted {
+        for minion in self.ended_minions.iter().chain(&self.minions) {
+            for (key, ended_ms) in &minion.counted_ends {
                 if let Some((other, _)) = counted.get(&key.task) {
                     let what = format!("{key:?} and {other:?} both count");
-                    self.violations.twice.push(what);
+                    self.violations.duplicates.push(what);
                 }
                 counted.insert(key.task.clone(), (key.clone(), *ended_ms));
             }
         }
-        for minion in self.past_minions.iter().chain(&self.minions) {
+        for minion in self.ended_minions.iter().chain(&self.minions) {
             for (key, started_ms) in &minion.started {
                 let end = counted.get(&key.task);
                 if let Some((done, ended_ms)) = end.filter(|(_, ended_ms)| started_ms > ended_ms) {
                     let what = format!("{key:?} at {started_ms} after {done:?} at {ended_ms}");
-                    self.violations.twice.push(what);
+                    self.violations.duplicates.push(what);
                 }
             }
         }
-        let minions = self.past_minions.iter().chain(&self.minions);
+        let minions = self.ended_minions.iter().chain(&self.minions);
         let done = minions.clone().flat_map(|minion| &minion.done);
         let done: BTreeSet<&TaskId> = done.map(|key| &key.task).collect();
         for state in &self.stored {
@@ -314,7 +314,7 @@
             let is_late = |at_ms: u64| state.cancelled_ms.is_some_and(|ms| at_ms > ms + CANCEL_MS);
             if let Some((key, at_ms)) = of_job.find(|(_, at_ms)| is_late(*at_ms)) {
                 let what = format!("{key:?} at {at_ms}, cancelled at {:?}", state.cancelled_ms);
-                self.violations.twice.push(what);
+                self.violations.duplicates.push(what);
             }
             if state.is_accepted && state.end.is_none() {
                 self.violations
--- a/crates/dispatch/tests/stored.rs
+++ b/crates/dispatch/tests/stored.rs
@@ -7,8 +7,8 @@
 use gannetvane_dispatch::RunKey;
 use gannetvane_dispatch::StoredEnd;
 use gannetvane_dispatch::TaskId;
-use session::LogFate;
-use session::Mood;
+use session::Behavior;
+use session::LogCallOutcome;
 use session::Session;
 use yare::parameterized;
 
@@ -45,7 +45,7 @@
         session.run(17);
     }
     session.run(3_000);
-    assert!(session.minions.iter().all(|minion| !minion.has_news()));
+    assert!(session.minions.iter().all(|minion| !minion.has_ends()));
     check(&mut session);
 }
 
@@ -79,11 +79,11 @@
     session.run(100);
     let owner = session.owner_of("00000000000000b1").expect("an owner");
     // The log takes nothing of the owner any more, and then it dies.
-    session.log_fate = Box::new(move |_, entry| {
+    session.log_outcome = Box::new(move |_, entry| {
         if entry == owner {
-            LogFate::Silent
+            LogCallOutcome::Dropped
         } else {
-            LogFate::Served
+            LogCallOutcome::Served
         }
     });
     session.run(400);
@@ -107,15 +107,15 @@
             .collect();
         session.run(700);
         if is_frozen {
-            session.freeze_entry(0, for_ms);
+            session.suspend_entry(0, for_ms);
         } else {
-            session.log_fate = Box::new(|_, entry| match entry {
-                0 => LogFate::Refused,
-                _ => LogFate::Served,
+            session.log_outcome = Box::new(|_, entry| match entry {
+                0 => LogCallOutcome::Refused,
+                _ => LogCallOutcome::Served,
             });
         }
         session.run(for_ms);
-        session.log_fate = Box::new(|_, _| LogFate::Served);
+        session.log_outcome = Box::new(|_, _| LogCallOutcome::Served);
         for job in jobs {
             session.run_until_ended(job, 12_000);
             assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
@@ -163,23 +163,23 @@
 }
 
 #[parameterized(
-    lost_answers = { LogFate::Lost },
-    late_appends = { LogFate::Late(1_200) },
-    refusals = { LogFate::Refused },
-    silence = { LogFate::Silent },
+    lost_answers = { LogCallOutcome::AnswerLost },
+    late_appends = { LogCallOutcome::Delayed(1_200) },
+    refusals = { LogCallOutcome::Refused },
+    silence = { LogCallOutcome::Dropped },
 )]
-fn jobs_outlive_a_log_that_fails(fate: LogFate) {
+fn jobs_outlive_a_log_that_fails(outcome: LogCallOutcome) {
     let mut session = Session::new(2, 3);
     let early: Vec<usize> = (0..6)
         .map(|n| session.store(&format!("00000000000005{n:02x}"), 2, 500))
         .collect();
     session.run(900);
-    session.log_fate = Box::new(move |_, _| fate);
+    session.log_outcome = Box::new(move |_, _| outcome);
     let late: Vec<usize> = (0..6)
         .map(|n| session.store(&format!("00000000000006{n:02x}"), 2, 100))
         .collect();
     session.run(4_000);
-    session.log_fate = Box::new(|_, _| LogFate::Served);
+    session.log_outcome = Box::new(|_, _| LogCallOutcome::Served);
     for job in early {
         session.run_until_ended(job, 15_000);
         assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
@@ -200,12 +200,12 @@
     session.run(1_500);
     let job = session.store("00000000000000b1", 8, 200);
     session.run(150);
-    session.log_fate = Box::new(|_, _| LogFate::Silent);
+    session.log_outcome = Box::new(|_, _| LogCallOutcome::Dropped);
     session.run(80);
     session.kill_agent(0, 50);
     session.kill_agent(1, 80);
     session.run(300);
-    session.log_fate = Box::new(|_, _| LogFate::Served);
+    session.log_outcome = Box::new(|_, _| LogCallOutcome::Served);
     session.run_until_ended(job, 8_000);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
     check(&mut session);
@@ -220,13 +220,13 @@
     // Some ends stay unrecorded, and callers of other jobs come all the while.
     session.store("00000000000000b1", 4, 100);
     session.run(60);
-    session.log_fate = Box::new(|_, _| LogFate::Silent);
+    session.log_outcome = Box::new(|_, _| LogCallOutcome::Dropped);
     let mut callers = Vec::new();
     for n in 0..140 {
         callers.push(session.submit(0, &format!("job-{n}"), 8, 10));
         session.run(30);
     }
-    session.log_fate = Box::new(|_, _| LogFate::Served);
+    session.log_outcome = Box::new(|_, _| LogCallOutcome::Served);
     session.run(3_000);
     let minion = &session.minions[0];
     let runs: BTreeSet<&RunKey> = minion.done.iter().collect();
@@ -248,7 +248,7 @@
     let job = session.store("00000000000000b1", 6, 600);
     session.run(150);
     // No call to the first minion is answered any more, and none carried out.
-    session.fate = Box::new(|_, agent| (agent == 0).then_some(u64::MAX / 2));
+    session.call_delay = Box::new(|_, agent| (agent == 0).then_some(u64::MAX / 2));
     session.run_until_ended(job, 3_000);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
 }
@@ -281,7 +281,7 @@
     session.run_until_ended(warm, 5_000);
     session.run(1_500);
     for minion in &mut session.minions {
-        minion.mood = Mood::Failing;
+        minion.behavior = Behavior::Failing;
     }
     let job = session.store("00000000000000b1", 1, 100);
     session.run_until_ended(job, 2_000);
--- a/crates/dispatch/tests/targets.rs
+++ b/crates/dispatch/tests/targets.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use gannetvane_dispatch::Directory;
-use gannetvane_dispatch::KnownEntry;
-use gannetvane_dispatch::LINKED_PEERS;
+use gannetvane_dispatch::MAX_LINKED_PEERS;
+use gannetvane_dispatch::SeenEntry;
 use proptest::prelude::ProptestConfig;
 use proptest::prop_assert_eq;
 use proptest::proptest;
@@ -33,14 +33,14 @@
         let seeds = [addr(1), addr(100), addr(101)];
         let own = addr(0);
         let never_asked = Directory::new(Some(own), seeds);
-        let mut never_asked = never_asked.with_choice("chooser".into(), LINKED_PEERS);
+        let mut never_asked = never_asked.with_max_targets("chooser".into(), MAX_LINKED_PEERS);
         let mut directory = never_asked.clone();
         let mut now_ms = BEGIN_MS;
         for (number, age_ms, pause_ms) in news {
             now_ms += pause_ms;
-            let known = [KnownEntry { addr: addr(number), age_ms }];
-            directory.learn_reached(now_ms, &known);
-            never_asked.learn_reached(now_ms, &known);
+            let known = [SeenEntry { addr: addr(number), age_ms }];
+            directory.merge_seen(now_ms, &known);
+            never_asked.merge_seen(now_ms, &known);
             let chosen = never_asked.clone().targets(now_ms);
             prop_assert_eq!(directory.targets(now_ms), chosen);
         }
--- a/crates/dispatch/tests/unasked.rs
+++ b/crates/dispatch/tests/unasked.rs
@@ -73,7 +73,7 @@
             session.run(1_500);
         }
         let from_ms = session.now_ms;
-        session.fate = Box::new(move |now_ms, agent| {
+        session.call_delay = Box::new(move |now_ms, agent| {
             let is_lost = agent == 0 && (from_ms..from_ms + 40).contains(&now_ms);
             is_lost.then_some(late_ms)
         });
--- a/crates/node/src/agent_node.rs
+++ b/crates/node/src/agent_node.rs
@@ -9,15 +9,15 @@
 
 use gannetvane_dispatch::Agent;
 use gannetvane_dispatch::AgentAction;
+use gannetvane_dispatch::AgentEvent;
 use gannetvane_dispatch::AgentIdentity;
-use gannetvane_dispatch::AgentNote;
 use gannetvane_dispatch::Directory;
 use gannetvane_dispatch::EntryFrame;
 use gannetvane_dispatch::Greeting;
-use gannetvane_dispatch::HoldResult;
-use gannetvane_dispatch::LINKED_ENTRIES;
-use gannetvane_dispatch::Lifetime;
+use gannetvane_dispatch::Incarnation;
 use gannetvane_dispatch::LinkId;
+use gannetvane_dispatch::ListResult;
+use gannetvane_dispatch::MAX_LINKED_ENTRIES;
 use gannetvane_dispatch::MinionReport;
 use gannetvane_dispatch::RunKey;
 use gannetvane_dispatch::StartResult;
@@ -34,13 +34,13 @@
 
 use crate::Clock;
 use crate::Metrics;
-use crate::StoreKeeper;
+use crate::StoreClient;
 use crate::Tunables;
 use crate::dialers::Dialers;
 use crate::dialers::SharedDirectory;
 use crate::links;
 use crate::links::FrameSender;
-use crate::ports::HoldCall;
+use crate::ports::ListCall;
 use crate::ports::MinionPort;
 use crate::ports::StartCall;
 
@@ -66,10 +66,10 @@
     Frame(LinkId, EntryFrame),
     LinkDown(LinkId),
     Reported(MinionReport),
-    Left(Name),
-    Started(Lifetime, RunKey, StartResult),
-    StopDone(Lifetime, RunKey, bool),
-    Listed(Lifetime, u64, HoldResult),
+    MinionLeft(Name),
+    Started(Incarnation, RunKey, StartResult),
+    StopDone(Incarnation, RunKey, bool),
+    Listed(Incarnation, u64, ListResult),
     Entries(Vec<SocketAddr>),
     Reload(Tunables),
     Stop,
@@ -97,7 +97,7 @@
     /// The minion with this id is about to end; false when the process is, too.
     #[must_use]
     pub fn left(&self, id: Name) -> bool {
-        self.inputs.send(Input::Left(id)).is_ok()
+        self.inputs.send(Input::MinionLeft(id)).is_ok()
     }
 
     /// Takes over changed settings.
@@ -128,7 +128,7 @@
     stop_ms: Option<u64>,
     refreshed_ms: u64,
     /// Gains of the directory when it was last looked at for entries to dial.
-    dialed_gains: u64,
+    dialed_discoveries: u64,
     searched_ms: u64,
     /// Whether a search has no answer yet.
     is_searching: bool,
@@ -154,7 +154,7 @@
     ) -> Self {
         let (inputs, queue) = unbounded_channel();
         let directory = Directory::new(None, settings.tunables.seeds.iter().copied())
-            .with_choice(settings.identity.host.clone(), LINKED_ENTRIES);
+            .with_max_targets(settings.identity.host.clone(), MAX_LINKED_ENTRIES);
         Self {
             agent: Agent::new(settings.identity.clone())
                 .with_longest_lease(settings.longest_lease_ms),
@@ -169,7 +169,7 @@
             directory: Rc::new(RefCell::new(directory)),
             stop_ms: None,
             refreshed_ms: 0,
-            dialed_gains: 0,
+            dialed_discoveries: 0,
             searched_ms: 0,
             is_searching: false,
         }
@@ -184,7 +184,7 @@
     }
 
     /// Serves until a planned stop is complete.
-    pub async fn run(mut self, store: StoreKeeper) {
+    pub async fn run(mut self, store: StoreClient) {
         let mut dialers = self.dialers();
         dialers.refresh();
         self.search(&store);
@@ -206,9 +206,9 @@
             let now_ms = self.clock.now_ms();
             due_ms = self.agent.tick(now_ms);
             self.carry_out();
-            let gains = self.directory.borrow().gains();
-            if now_ms >= self.refreshed_ms + REFRESH_MS || gains != self.dialed_gains {
-                self.dialed_gains = gains;
+            let discoveries = self.directory.borrow().discoveries();
+            if now_ms >= self.refreshed_ms + REFRESH_MS || discoveries != self.dialed_discoveries {
+                self.dialed_discoveries = discoveries;
                 self.refreshed_ms = now_ms;
                 dialers.refresh();
                 let targets = self.directory.borrow_mut().targets(now_ms);
@@ -247,7 +247,7 @@
     }
 
     /// Looks for entries in the store, until it answers.
-    fn search(&mut self, store: &StoreKeeper) {
+    fn search(&mut self, store: &StoreClient) {
         self.searched_ms = self.clock.now_ms();
         self.is_searching = true;
         let store = store.clone();
@@ -272,15 +272,17 @@
                 self.agent.link_down(now_ms, link);
             }
             Input::Reported(report) => self.agent.minion_reported(now_ms, report),
-            Input::Left(id) => self.agent.minion_left(&id),
-            Input::Started(lifetime, key, result) => {
-                self.agent.start_answered(now_ms, &lifetime, &key, result);
+            Input::MinionLeft(id) => self.agent.minion_left(&id),
+            Input::Started(incarnation, key, result) => {
+                self.agent
+                    .start_answered(now_ms, &incarnation, &key, result);
             }
-            Input::StopDone(lifetime, key, is_done) => {
-                self.agent.stop_answered(now_ms, &lifetime, &key, is_done);
+            Input::StopDone(incarnation, key, is_done) => {
+                self.agent
+                    .stop_answered(now_ms, &incarnation, &key, is_done);
             }
-            Input::Listed(lifetime, call, result) => {
-                self.agent.listed(now_ms, &lifetime, call, result);
+            Input::Listed(incarnation, call, result) => {
+                self.agent.listed(now_ms, &incarnation, call, result);
             }
             Input::Entries(entries) => {
                 self.is_searching = false;
@@ -314,34 +316,34 @@
         for action in self.agent.take_actions() {
             match action {
                 AgentAction::Start {
-                    lifetime,
+                    incarnation,
                     key,
                     spec,
                     deadline_ms,
                     epoch,
                 } => self.start(StartCall {
-                    lifetime,
+                    incarnation,
                     key,
                     spec,
                     deadline_ms,
                     epoch,
                 }),
                 AgentAction::Stop {
-                    lifetime,
+                    incarnation,
                     key,
                     epoch,
-                } => self.stop(lifetime, key, epoch),
-                AgentAction::Hold {
+                } => self.stop(incarnation, key, epoch),
+                AgentAction::List {
                     call,
-                    lifetime,
+                    incarnation,
                     epoch,
                     acknowledged_through,
                     deadline_ms,
                     wait_ms,
-                } => self.hold(
+                } => self.list(
                     call,
-                    HoldCall {
-                        lifetime,
+                    ListCall {
+                        incarnation,
                         epoch,
                         acknowledged_through,
                         deadline_ms,
@@ -359,7 +361,7 @@
                         self.refreshed_ms = 0;
                     }
                 }
-                AgentAction::Note(note) => self.note(&note),
+                AgentAction::Event(event) => self.event(&event),
             }
         }
     }
@@ -368,31 +370,31 @@
         let minion = Rc::clone(&self.minion);
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
-            let (lifetime, key) = (call.lifetime.clone(), call.key.clone());
+            let (incarnation, key) = (call.incarnation.clone(), call.key.clone());
             let result = minion.start(call).await;
             // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::Started(lifetime, key, result));
+            let _ = inputs.send(Input::Started(incarnation, key, result));
         });
     }
 
-    fn stop(&self, lifetime: Lifetime, key: RunKey, epoch: u64) {
+    fn stop(&self, incarnation: Incarnation, key: RunKey, epoch: u64) {
         let minion = Rc::clone(&self.minion);
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
-            let is_done = minion.stop(&lifetime, key.clone(), epoch).await;
+            let is_done = minion.stop(&incarnation, key.clone(), epoch).await;
             // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::StopDone(lifetime, key, is_done));
+            let _ = inputs.send(Input::StopDone(incarnation, key, is_done));
         });
     }
 
-    fn hold(&self, number: u64, call: HoldCall) {
+    fn list(&self, number: u64, call: ListCall) {
         let minion = Rc::clone(&self.minion);
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
-            let lifetime = call.lifetime.clone();
-            let result = minion.hold(call).await;
+            let incarnation = call.incarnation.clone();
+            let result = minion.list(call).await;
             // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::Listed(lifetime, number, result));
+            let _ = inputs.send(Input::Listed(incarnation, number, result));
         });
     }
 
@@ -406,13 +408,13 @@
         }
     }
 
-    fn note(&self, note: &AgentNote) {
-        self.metrics.event(note.event);
-        match &note.job {
+    fn event(&self, event: &AgentEvent) {
+        self.metrics.event(event.event);
+        match &event.job {
             Some(job) => {
-                info!(self.log, "{}", note.event; "job" => &**job, "why" => &note.detail);
+                info!(self.log, "{}", event.event; "job" => &**job, "why" => &event.detail);
             }
-            None => info!(self.log, "{}", note.event; "why" => &note.detail),
+            None => info!(self.log, "{}", event.event; "why" => &event.detail),
         }
     }
 }
@@ -441,7 +443,7 @@
     let mut was_useful = false;
     let read = async {
         while let Some(frame) = links::next_frame(&mut reader).await {
-            directory.borrow_mut().reached(clock.now_ms(), entry);
+            directory.borrow_mut().mark_seen(clock.now_ms(), entry);
             was_useful = true;
             let Ok(frame) = decode(&frame) else {
                 break;
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -21,7 +21,7 @@
 
 /// Least difference of the two clocks that counts as a suspension: shorter ones do
 /// no harm, and the two do not run at quite the same rate.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(50);
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
 /// Where the time comes from that also counts suspensions.
 pub trait TimeSource {
@@ -83,7 +83,7 @@
         let counted = self.source.elapsed().saturating_sub(self.source_start);
         let steady = self.start.elapsed();
         let gained = counted.saturating_sub(steady + self.suspended.get());
-        if gained < LEAST_SUSPENSION {
+        if gained < MIN_SUSPENSION {
             return None;
         }
         self.suspended.set(self.suspended.get() + gained);
--- a/crates/node/src/dialers.rs
+++ b/crates/node/src/dialers.rs
@@ -13,7 +13,7 @@
 
 /// First and longest pause before an entry is tried again, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 25;
-const LONGEST_PAUSE_MS: u64 = 100;
+const MAX_PAUSE_MS: u64 = 100;
 
 /// The directory of a process, shared by its tasks on one thread.
 pub(crate) type SharedDirectory = Rc<RefCell<Directory>>;
@@ -76,7 +76,7 @@
         pause_ms = if was_useful {
             FIRST_PAUSE_MS
         } else {
-            (pause_ms * 2).min(LONGEST_PAUSE_MS)
+            (pause_ms * 2).min(MAX_PAUSE_MS)
         };
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
--- a/crates/node/src/entry_handle.rs
+++ b/crates/node/src/entry_handle.rs
@@ -9,7 +9,7 @@
 
 use gannetvane_dispatch::AgentFrame;
 use gannetvane_dispatch::AgentHello;
-use gannetvane_dispatch::Caller;
+use gannetvane_dispatch::CallerId;
 use gannetvane_dispatch::Job;
 use gannetvane_dispatch::JobOutcome;
 use gannetvane_dispatch::LinkId;
@@ -27,7 +27,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::OperatorNews;
+use crate::OperatorUpdate;
 use crate::Tunables;
 use crate::entry_stored::StoredInput;
 use crate::links::FrameSender;
@@ -43,11 +43,11 @@
     AgentFrame(LinkId, AgentFrame),
     LinkDown(LinkId),
     Peer(SocketAddr, PeerFrame),
-    Submit(Caller, Job, oneshot::Sender<JobOutcome>),
-    Left(Caller),
+    Submit(CallerId, Job, oneshot::Sender<JobOutcome>),
+    CallerLeft(CallerId),
     Cancel(Name, oneshot::Sender<bool>),
     Pending(Name, oneshot::Sender<usize>),
-    Operators(OperatorNews),
+    Operators(OperatorUpdate),
     Entries(Vec<SocketAddr>),
     Refresh,
     Stored(StoredInput),
@@ -80,17 +80,17 @@
 }
 
 /// Tells the entry when a caller goes away before its answer.
-struct Presence {
-    caller: Caller,
+struct CallerGuard {
+    caller: CallerId,
     inputs: UnboundedSender<Input>,
     is_answered: bool,
 }
 
-impl Drop for Presence {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.is_answered {
             // Without a receiver the process is about to end.
-            let _ = self.inputs.send(Input::Left(self.caller));
+            let _ = self.inputs.send(Input::CallerLeft(self.caller));
         }
     }
 }
@@ -143,10 +143,10 @@
     /// Submits a job and waits for its end. When the caller drops this, the
     /// job is stopped.
     pub async fn submit(&self, job: Job) -> JobOutcome {
-        let caller = Caller(self.next_caller.get());
+        let caller = CallerId(self.next_caller.get());
         self.next_caller.set(caller.0 + 1);
         let (answer, outcome) = oneshot::channel();
-        let mut presence = Presence {
+        let mut presence = CallerGuard {
             caller,
             inputs: self.inputs.clone(),
             is_answered: false,
@@ -217,7 +217,7 @@
                 None
             }
             Some(false) => Some(StoredAnswer::Unknown),
-            None => Some(StoredAnswer::Elsewhere),
+            None => Some(StoredAnswer::NotOwner),
         }
     }
 
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -8,20 +8,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gannetvane_dispatch::Caller;
+use gannetvane_dispatch::CallerId;
 use gannetvane_dispatch::Directory;
 use gannetvane_dispatch::Dispatcher;
 use gannetvane_dispatch::DispatcherAction;
 use gannetvane_dispatch::DispatcherSettings;
+use gannetvane_dispatch::EntryEvent;
 use gannetvane_dispatch::Evacuations;
-use gannetvane_dispatch::JobEvent;
+use gannetvane_dispatch::GossipState;
 use gannetvane_dispatch::JobOutcome;
-use gannetvane_dispatch::LINKED_PEERS;
 use gannetvane_dispatch::Ledger;
 use gannetvane_dispatch::LedgerSettings;
 use gannetvane_dispatch::LinkId;
+use gannetvane_dispatch::MAX_LINKED_PEERS;
 use gannetvane_dispatch::PeerFrame;
-use gannetvane_dispatch::PeerNews;
 use gannetvane_dispatch::RoutingTable;
 use gannetvane_dispatch::StoredAnswer;
 use gannetvane_dispatch::StoredCaller;
@@ -39,10 +39,10 @@
 use tokio::task::AbortHandle;
 
 use crate::Clock;
+use crate::HedgeContext;
 use crate::Metrics;
 use crate::OpenConnections;
-use crate::Standing;
-use crate::StoreKeeper;
+use crate::StoreClient;
 use crate::Tunables;
 use crate::agent_links;
 use crate::dialers::Dialers;
@@ -93,11 +93,11 @@
     pub(crate) inputs: UnboundedSender<Input>,
     queue: UnboundedReceiver<Input>,
     links: BTreeMap<LinkId, (FrameSender, AbortHandle)>,
-    callers: BTreeMap<Caller, oneshot::Sender<JobOutcome>>,
+    callers: BTreeMap<CallerId, oneshot::Sender<JobOutcome>>,
     directory: SharedDirectory,
     /// Gains of the directory that agents and entries were told of.
-    told_gains: u64,
-    pub(crate) news: watch::Sender<PeerNews>,
+    sent_discoveries: u64,
+    pub(crate) gossip: watch::Sender<GossipState>,
     pub(crate) handle: EntryHandle,
     pub(crate) ledger: Ledger,
     pub(crate) job_log: JobLogCalls,
@@ -128,7 +128,7 @@
         let (inputs, queue) = unbounded_channel();
         let own = settings.link_addr;
         let directory = Directory::new(Some(own), settings.tunables.seeds.iter().copied())
-            .with_choice(own.to_string().into(), LINKED_PEERS);
+            .with_max_targets(own.to_string().into(), MAX_LINKED_PEERS);
         let dispatcher_settings = DispatcherSettings {
             zone: settings.zone.clone(),
             remote_factor: settings.tunables.remote_factor,
@@ -158,8 +158,8 @@
             links: BTreeMap::new(),
             callers: BTreeMap::new(),
             directory: Rc::new(RefCell::new(directory)),
-            told_gains: 0,
-            news: watch::Sender::default(),
+            sent_discoveries: 0,
+            gossip: watch::Sender::default(),
             handle,
             ledger,
             job_log,
@@ -195,15 +195,15 @@
     /// # Errors
     ///
     /// The error of the listener for agents and entries.
-    pub async fn run(mut self, store: StoreKeeper) -> std::io::Result<()> {
+    pub async fn run(mut self, store: StoreClient) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.settings.link_addr).await?;
         tokio::task::spawn_local(agent_links::accept(
             listener,
             self.inputs.clone(),
             self.log.clone(),
         ));
-        let news = self.news.subscribe();
-        tokio::task::spawn_local(watch_store(store.clone(), news, self.inputs.clone()));
+        let gossip = self.gossip.subscribe();
+        tokio::task::spawn_local(watch_store(store.clone(), gossip, self.inputs.clone()));
         let own = self.settings.link_addr;
         tokio::task::spawn_local(meet(store.clone(), own, self.inputs.clone()));
         let mut dialers = self.dialers();
@@ -225,7 +225,7 @@
                 self.input(input, &store);
             }
             dialers.refresh_if_due();
-            if self.has_met_others() {
+            if self.has_new_entries() {
                 dialers.refresh();
             }
             let now_ms = self.clock.now_ms();
@@ -235,9 +235,9 @@
             self.follow_stop();
             self.carry_out();
             self.carry_out_stored();
-            self.tell_crashes();
+            self.gossip_crashes();
         }
-        info!(self.log, "stopped"; "open_jobs" => self.dispatcher.open_jobs());
+        info!(self.log, "stopped"; "open_jobs" => self.dispatcher.unfinished_jobs());
         tokio::time::sleep(Duration::from_millis(FLUSH_MS)).await;
         Ok(())
     }
@@ -253,13 +253,19 @@
 
     fn dialers(&self) -> PeerDialers {
         let own = self.settings.link_addr;
-        let news = self.news.subscribe();
+        let gossip = self.gossip.subscribe();
         let directory = Rc::clone(&self.directory);
         let clock = self.clock.clone();
         let dial: Box<BoxedDial> = Box::new(move |entry| {
             let directory = Rc::clone(&directory);
             let clock = clock.clone();
-            Box::pin(peer_links::dial(entry, own, news.clone(), directory, clock))
+            Box::pin(peer_links::dial(
+                entry,
+                own,
+                gossip.clone(),
+                directory,
+                clock,
+            ))
         });
         PeerDialers {
             dialers: Dialers::new(Rc::clone(&self.directory), self.clock.clone(), dial),
@@ -268,14 +274,14 @@
         }
     }
 
-    fn input(&mut self, input: Input, store: &StoreKeeper) {
+    fn input(&mut self, input: Input, store: &StoreClient) {
         let now_ms = self.clock.now_ms();
         match input {
             Input::AgentUp(link, hello, sender, reader) => {
                 self.links.insert(link, (sender, reader));
                 self.dispatcher.agent_up(now_ms, link, hello);
-                let entries = self.directory.borrow().news(now_ms);
-                self.dispatcher.tell_entries_to(link, &entries);
+                let entries = self.directory.borrow().recent_addrs(now_ms);
+                self.dispatcher.send_entries_to(link, &entries);
             }
             Input::AgentFrame(link, frame) => self.dispatcher.agent_frame(now_ms, link, frame),
             Input::LinkDown(link) => {
@@ -292,7 +298,7 @@
                 self.callers.insert(caller, answer);
                 self.dispatcher.submit(now_ms, caller, job);
             }
-            Input::Left(caller) => {
+            Input::CallerLeft(caller) => {
                 self.callers.remove(&caller);
                 self.dispatcher.caller_left(now_ms, caller);
             }
@@ -305,9 +311,10 @@
                 // A caller that left needs no answer.
                 let _ = answer.send(self.dispatcher.pending(&queue));
             }
-            Input::Operators(news) => {
-                self.evacuate(now_ms, &news.evacuations);
-                news.table
+            Input::Operators(update) => {
+                self.evacuate(now_ms, &update.evacuations);
+                update
+                    .table
                     .into_iter()
                     .for_each(|table| self.configure(table));
             }
@@ -330,10 +337,10 @@
     }
 
     fn peer_frame(&mut self, now_ms: u64, entry: SocketAddr, frame: PeerFrame) {
-        self.directory.borrow_mut().reached(now_ms, entry);
+        self.directory.borrow_mut().mark_seen(now_ms, entry);
         self.directory
             .borrow_mut()
-            .learn_reached(now_ms, &frame.entries);
+            .merge_seen(now_ms, &frame.entries);
         if let Some(evacuations) = frame.evacuations {
             self.evacuate(now_ms, &evacuations);
         }
@@ -344,11 +351,11 @@
     }
 
     /// Tells other entries of crashes that became known here.
-    fn tell_crashes(&mut self) {
+    fn gossip_crashes(&mut self) {
         let crashes = self.dispatcher.crashes();
-        if self.news.borrow().crashes.last() != crashes.last() {
+        if self.gossip.borrow().crashes.last() != crashes.last() {
             let crashes = crashes.clone();
-            self.news.send_modify(|news| news.crashes = crashes);
+            self.gossip.send_modify(|gossip| gossip.crashes = crashes);
         }
     }
 
@@ -357,7 +364,7 @@
     fn evacuate(&mut self, now_ms: u64, newer: &Evacuations) {
         if self.dispatcher.evacuate(now_ms, newer) {
             let newer = newer.clone();
-            self.news.send_modify(|news| news.evacuations = newer);
+            self.gossip.send_modify(|gossip| gossip.evacuations = newer);
         }
     }
 
@@ -365,16 +372,16 @@
         if self.dispatcher.configure(table) {
             let table = Arc::new(self.dispatcher.table().clone());
             self.handle.set_table(Arc::clone(&table));
-            self.news.send_modify(|news| news.table = table);
+            self.gossip.send_modify(|gossip| gossip.table = table);
         }
     }
 
     /// Tells of entries that became known since the last call; whether there
     /// are any.
-    fn has_met_others(&mut self) -> bool {
-        let gains = self.directory.borrow().gains();
-        let is_gain = gains != self.told_gains;
-        self.told_gains = gains;
+    fn has_new_entries(&mut self) -> bool {
+        let discoveries = self.directory.borrow().discoveries();
+        let is_gain = discoveries != self.sent_discoveries;
+        self.sent_discoveries = discoveries;
         if is_gain {
             self.spread_entries(self.clock.now_ms());
         }
@@ -383,17 +390,17 @@
 
     /// Tells entries and agents when the set of entries changed.
     fn spread_entries(&mut self, now_ms: u64) {
-        let entries = self.directory.borrow().news(now_ms);
-        if self.news.borrow().entries != entries {
+        let entries = self.directory.borrow().recent_addrs(now_ms);
+        if self.gossip.borrow().entries != entries {
             info!(self.log, "entries"; "count" => entries.len());
-            self.dispatcher.tell_entries(&entries);
-            self.news.send_modify(|news| news.entries = entries);
+            self.dispatcher.send_entries(&entries);
+            self.gossip.send_modify(|gossip| gossip.entries = entries);
         }
     }
 
     fn begin_stop(&mut self, now_ms: u64) {
         if self.stop_ms.is_none() {
-            info!(self.log, "stopping"; "open_jobs" => self.dispatcher.open_jobs());
+            info!(self.log, "stopping"; "open_jobs" => self.dispatcher.unfinished_jobs());
             self.stop_ms = Some(now_ms);
             self.ledger.begin_stop(now_ms, &mut self.dispatcher);
         }
@@ -448,7 +455,7 @@
         }
     }
 
-    pub(crate) fn event(&self, event: &JobEvent) {
+    pub(crate) fn event(&self, event: &EntryEvent) {
         match (&event.job, event.took_ms) {
             (Some(job), Some(took_ms)) => {
                 self.metrics.job(event.event, event.reason, took_ms);
@@ -489,26 +496,26 @@
 }
 
 async fn watch_store(
-    store: StoreKeeper,
-    news: watch::Receiver<PeerNews>,
+    store: StoreClient,
+    gossip: watch::Receiver<GossipState>,
     inputs: UnboundedSender<Input>,
 ) {
-    let standing = || {
-        let news = news.borrow();
-        Standing {
-            is_configured: news.table.version > 0,
-            entries: news.entries.len(),
+    let hedge_context = || {
+        let gossip = gossip.borrow();
+        HedgeContext {
+            is_configured: gossip.table.version > 0,
+            entries: gossip.entries.len(),
         }
     };
-    let found = |news| {
+    let found = |update| {
         // Without a receiver the process is about to end.
-        let _ = inputs.send(Input::Operators(news));
+        let _ = inputs.send(Input::Operators(update));
     };
-    store.watch(standing, found).await;
+    store.watch(hedge_context, found).await;
 }
 
 /// Makes the entry known, and finds those that are known already.
-async fn meet(store: StoreKeeper, own: SocketAddr, inputs: UnboundedSender<Input>) {
+async fn meet(store: StoreClient, own: SocketAddr, inputs: UnboundedSender<Input>) {
     let announced = store.announced().await;
     let is_known = announced.entries.contains(&own);
     // Without a receiver the process is about to end.
--- a/crates/node/src/entry_stored.rs
+++ b/crates/node/src/entry_stored.rs
@@ -2,9 +2,9 @@
 //! ledger asks for.
 
 use gannetvane_dispatch::AppendResult;
+use gannetvane_dispatch::Assignment;
 use gannetvane_dispatch::LedgerAction;
 use gannetvane_dispatch::LogRecord;
-use gannetvane_dispatch::Membership;
 use gannetvane_dispatch::Partition;
 use gannetvane_dispatch::StoredAnswer;
 use gannetvane_dispatch::StoredCall;
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 use crate::EntryNode;
-use crate::StoreKeeper;
+use crate::StoreClient;
 use crate::entry_handle::Input;
 
 /// What reaches an entry about stored jobs.
@@ -25,7 +25,7 @@
     /// There are stored jobs.
     Known,
     /// The answer to a join that was sent at this time, if there was one.
-    Joined(u64, Option<Membership>),
+    Joined(u64, Option<Assignment>),
     /// The answer to an append.
     Appended {
         partition: Partition,
@@ -38,7 +38,7 @@
 }
 
 impl EntryNode {
-    pub(crate) fn stored_input(&mut self, now_ms: u64, input: StoredInput, store: &StoreKeeper) {
+    pub(crate) fn stored_input(&mut self, now_ms: u64, input: StoredInput, store: &StoreClient) {
         let dispatcher = &mut self.dispatcher;
         match input {
             StoredInput::Call(call, answer) => {
@@ -49,8 +49,8 @@
             }
             StoredInput::First => self.announce_stored_jobs(store),
             StoredInput::Known => self.take_part(now_ms),
-            StoredInput::Joined(sent_ms, membership) => {
-                self.ledger.joined(now_ms, sent_ms, membership, dispatcher);
+            StoredInput::Joined(sent_ms, assignment) => {
+                self.ledger.joined(now_ms, sent_ms, assignment, dispatcher);
             }
             StoredInput::Appended {
                 partition,
@@ -73,13 +73,14 @@
         if self.ledger.activate(now_ms) {
             info!(self.log, "stored-jobs-known");
             self.handle.set_has_stored_jobs();
-            self.news.send_modify(|news| news.has_stored_jobs = true);
+            self.gossip
+                .send_modify(|gossip| gossip.has_stored_jobs = true);
         }
     }
 
     /// Announces the first stored job, before it is taken: otherwise nobody
     /// would look for it if all entries were restarted.
-    fn announce_stored_jobs(&mut self, store: &StoreKeeper) {
+    fn announce_stored_jobs(&mut self, store: &StoreClient) {
         if self.ledger.is_active() || self.is_announcing {
             return;
         }
--- a/crates/node/src/hedging.rs
+++ b/crates/node/src/hedging.rs
@@ -5,21 +5,21 @@
 use std::time::Duration;
 
 /// Shortest and longest pause between two repeated calls, in milliseconds.
-const SHORTEST_PAUSE_MS: u64 = 150;
-const LONGEST_PAUSE_MS: u64 = 450;
+const MIN_PAUSE_MS: u64 = 150;
+const MAX_PAUSE_MS: u64 = 450;
 /// Repeated calls of all entries together within a pause, on average.
 const CALLS_A_PAUSE: f64 = 6.0;
 
 /// What an entry knows without the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct HedgeContext {
     /// Whether a configuration is in force here.
     pub is_configured: bool,
     /// Entries that are known, this one included.
     pub entries: usize,
 }
 
-impl Standing {
+impl HedgeContext {
     /// Whether this entry is among those that repeat the call; `draw` is a random
     /// number from 0 to 1.
     #[expect(clippy::cast_precision_loss, reason = "entries are few")]
@@ -30,7 +30,7 @@
 
 /// The first answer to a repeated call. A call ends with the pause after it.
 pub(crate) async fn first_answer<T, E, R>(
-    standing: impl Fn() -> Standing,
+    hedge_context: impl Fn() -> HedgeContext,
     attempt: impl Fn() -> R,
 ) -> T
 where
@@ -39,7 +39,7 @@
     tokio::time::sleep(pause()).await;
     loop {
         let end = tokio::time::sleep(pause());
-        if !standing().repeats(rand::random()) {
+        if !hedge_context().repeats(rand::random()) {
             end.await;
             continue;
         }
@@ -51,5 +51,5 @@
 }
 
 fn pause() -> Duration {
-    Duration::from_millis(rand::random_range(SHORTEST_PAUSE_MS..=LONGEST_PAUSE_MS))
+    Duration::from_millis(rand::random_range(MIN_PAUSE_MS..=MAX_PAUSE_MS))
 }
--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -73,14 +73,14 @@
 
 /// A client of one address.
 #[derive(Clone, Debug)]
-pub struct HttpCaller {
+pub struct HttpClient {
     addr: SocketAddr,
     client: Rc<RefCell<PooledClient>>,
     /// When a call was last answered.
     answered: Rc<Cell<Option<Instant>>>,
 }
 
-impl HttpCaller {
+impl HttpClient {
     /// A client of `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
--- a/crates/node/src/http_server.rs
+++ b/crates/node/src/http_server.rs
@@ -31,7 +31,7 @@
 const ACCEPT_PAUSE_MS: u64 = 20;
 
 /// A response of the server.
-pub type Served = Response<Full<Bytes>>;
+pub type HttpResponse = Response<Full<Bytes>>;
 
 /// Counts the connections that are open.
 #[derive(Clone, Debug, Default)]
@@ -71,7 +71,7 @@
     log: Logger,
 ) where
     F: Fn(Request<Incoming>) -> R + 'static,
-    R: Future<Output = Served> + 'static,
+    R: Future<Output = HttpResponse> + 'static,
 {
     let handler = Rc::new(handler);
     loop {
@@ -104,7 +104,7 @@
     log: Logger,
 ) where
     F: Fn(Request<Incoming>) -> R + 'static,
-    R: Future<Output = Served> + 'static,
+    R: Future<Output = HttpResponse> + 'static,
 {
     if let Err(error) = stream.set_nodelay(true) {
         debug!(log, "connection-option"; "error" => %error);
--- a/crates/node/src/job_log.rs
+++ b/crates/node/src/job_log.rs
@@ -71,15 +71,15 @@
         let log = self.log.clone();
         let sent_ms = self.clock.now_ms();
         tokio::task::spawn_local(async move {
-            let membership = match job_log.join(generation).await {
-                Ok(membership) => Some(membership),
+            let assignment = match job_log.join(generation).await {
+                Ok(assignment) => Some(assignment),
                 Err(error) => {
                     warn!(log, "store-lost"; "call" => "join", "error" => %error);
                     None
                 }
             };
             // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::Stored(StoredInput::Joined(sent_ms, membership)));
+            let _ = inputs.send(Input::Stored(StoredInput::Joined(sent_ms, assignment)));
         });
     }
 
--- a/crates/node/src/peer_links.rs
+++ b/crates/node/src/peer_links.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use gannetvane_dispatch::GossipSender;
+use gannetvane_dispatch::GossipState;
 use gannetvane_dispatch::Greeting;
 use gannetvane_dispatch::PeerAck;
 use gannetvane_dispatch::PeerFrame;
-use gannetvane_dispatch::PeerNews;
-use gannetvane_dispatch::PeerTeller;
 use gannetvane_dispatch::decode;
 use gannetvane_dispatch::encode;
 use tokio::sync::watch;
@@ -33,7 +33,7 @@
 pub(crate) async fn dial(
     entry: SocketAddr,
     own: SocketAddr,
-    mut news: watch::Receiver<PeerNews>,
+    mut gossip: watch::Receiver<GossipState>,
     directory: SharedDirectory,
     clock: Clock,
 ) -> bool {
@@ -47,13 +47,13 @@
         return false;
     };
     sender.send(greeting);
-    let mut teller = PeerTeller::default();
-    let mut heard_ms = clock.now_ms();
+    let mut gossip_sender = GossipSender::default();
+    let mut last_seen_ms = clock.now_ms();
     let mut was_answered = false;
-    while clock.now_ms() < heard_ms + SILENCE_MS && is_target(entry, &directory, &clock) {
+    while clock.now_ms() < last_seen_ms + SILENCE_MS && is_target(entry, &directory, &clock) {
         let now_ms = clock.now_ms();
         let known = || directory.borrow().known(now_ms);
-        let frame = teller.next_frame(now_ms, &news.borrow_and_update(), known);
+        let frame = gossip_sender.next_frame(now_ms, &gossip.borrow_and_update(), known);
         let Ok(bytes) = encode(&frame) else {
             return was_answered;
         };
@@ -66,11 +66,11 @@
                     if ack.is_none() {
                         return was_answered;
                     }
-                    heard_ms = clock.now_ms();
+                    last_seen_ms = clock.now_ms();
                     was_answered = true;
-                    directory.borrow_mut().reached(heard_ms, entry);
+                    directory.borrow_mut().mark_seen(last_seen_ms, entry);
                 }
-                changed = news.changed() => {
+                changed = gossip.changed() => {
                     if changed.is_err() {
                         return was_answered;
                     }
--- a/crates/node/src/ports.rs
+++ b/crates/node/src/ports.rs
@@ -5,10 +5,10 @@
 
 use async_trait::async_trait;
 use gannetvane_dispatch::AppendResult;
-use gannetvane_dispatch::HoldResult;
-use gannetvane_dispatch::Lifetime;
+use gannetvane_dispatch::Assignment;
+use gannetvane_dispatch::Incarnation;
+use gannetvane_dispatch::ListResult;
 use gannetvane_dispatch::LogRecord;
-use gannetvane_dispatch::Membership;
 use gannetvane_dispatch::Partition;
 use gannetvane_dispatch::RoutingTable;
 use gannetvane_dispatch::RunKey;
@@ -23,16 +23,16 @@
     async fn start(&self, call: StartCall) -> StartResult;
     /// Stops a run, or forbids it if it is not there yet; true when the minion
     /// acknowledged it.
-    async fn stop(&self, lifetime: &Lifetime, key: RunKey, epoch: u64) -> bool;
+    async fn stop(&self, incarnation: &Incarnation, key: RunKey, epoch: u64) -> bool;
     /// Extends the lease and lists.
-    async fn hold(&self, call: HoldCall) -> HoldResult;
+    async fn list(&self, call: ListCall) -> ListResult;
 }
 
 /// The order to start a run.
 #[derive(Clone, Debug)]
 pub struct StartCall {
     /// The minion's lifetime.
-    pub lifetime: Lifetime,
+    pub incarnation: Incarnation,
     /// The run.
     pub key: RunKey,
     /// Text for the task.
@@ -45,9 +45,9 @@
 
 /// The order to extend the lease and list.
 #[derive(Clone, Debug)]
-pub struct HoldCall {
+pub struct ListCall {
     /// The minion's lifetime.
-    pub lifetime: Lifetime,
+    pub incarnation: Incarnation,
     /// The agent's epoch; 0 before it has one.
     pub epoch: u64,
     /// Ends up to this number may be forgotten.
@@ -144,7 +144,7 @@
     async fn is_in_use(&self) -> Result<bool, StoreError>;
     /// Joins the group of owners, or stays in it; `generation` is the last one
     /// that was taken over.
-    async fn join(&self, generation: u64) -> Result<Membership, StoreError>;
+    async fn join(&self, generation: u64) -> Result<Assignment, StoreError>;
     /// Leaves the group.
     async fn leave(&self) -> Result<(), StoreError>;
     /// Where the owner of each partition accepts connections.
--- a/crates/node/src/store_client.rs
+++ b/crates/node/src/store_client.rs
@@ -11,7 +11,7 @@
 use slog::info;
 use slog::warn;
 
-use crate::Standing;
+use crate::HedgeContext;
 use crate::hedging;
 use crate::ports::Announced;
 use crate::ports::StoreError;
@@ -24,20 +24,20 @@
 const READ_WAIT_MS: u64 = 1_500;
 /// First and longest pause after a failed call, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 100;
-const LONGEST_PAUSE_MS: u64 = 800;
+const MAX_PAUSE_MS: u64 = 800;
 /// Failed waits for a change after which the whole is read anew.
 const FAILURES_BEFORE_WHOLE: u32 = 2;
 
 /// What operators want, as far as the store told it.
 #[derive(Clone, Debug)]
-pub struct OperatorNews {
+pub struct OperatorUpdate {
     /// A configuration, if there is one that was not told before.
     pub table: Option<RoutingTable>,
     /// The zones that are being emptied.
     pub evacuations: Evacuations,
 }
 
-impl OperatorNews {
+impl OperatorUpdate {
     fn new(page: StorePage, evacuations: &Evacuations) -> Self {
         Self {
             table: page.table,
@@ -48,39 +48,39 @@
 
 /// Talks to the store on behalf of a process.
 #[derive(Clone)]
-pub struct StoreKeeper {
+pub struct StoreClient {
     store: Rc<dyn StorePort>,
     log: Logger,
 }
 
-impl std::fmt::Debug for StoreKeeper {
+impl std::fmt::Debug for StoreClient {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("StoreKeeper").finish_non_exhaustive()
     }
 }
 
-impl StoreKeeper {
+impl StoreClient {
     /// A keeper of `store`.
     #[must_use]
     pub fn new(store: Rc<dyn StorePort>, log: Logger) -> Self {
         Self { store, log }
     }
 
-    /// Passes on what operators write, for ever; `standing` tells what is known
+    /// Passes on what operators write, for ever; `hedge_context` tells what is known
     /// without the store.
     pub async fn watch(
         &self,
-        standing: impl Fn() -> Standing,
-        mut found: impl FnMut(OperatorNews),
+        hedge_context: impl Fn() -> HedgeContext,
+        mut found: impl FnMut(OperatorUpdate),
     ) {
         loop {
-            let page = self.newest(&standing).await;
+            let page = self.newest(&hedge_context).await;
             let mut offset = page.next_offset;
             let mut evacuations = Evacuations::default();
             follow(&mut evacuations, &page);
             // Also without a zone: an older picture, from elsewhere, may have some.
-            evacuations.as_of = offset;
-            found(OperatorNews::new(page, &evacuations));
+            evacuations.log_offset = offset;
+            found(OperatorUpdate::new(page, &evacuations));
             let mut failures = 0;
             while failures < FAILURES_BEFORE_WHOLE {
                 match self.store.next_operators(offset, READ_WAIT_MS).await {
@@ -91,7 +91,7 @@
                         failures = 0;
                         offset = page.next_offset;
                         follow(&mut evacuations, &page);
-                        found(OperatorNews::new(page, &evacuations));
+                        found(OperatorUpdate::new(page, &evacuations));
                     }
                     Err(StoreError::Gone) => break,
                     Err(error) => {
@@ -123,11 +123,11 @@
     }
 
     /// The newest records, from the first call that is answered.
-    async fn newest(&self, standing: impl Fn() -> Standing) -> StorePage {
+    async fn newest(&self, hedge_context: impl Fn() -> HedgeContext) -> StorePage {
         let newest = || self.store.newest_operators();
         tokio::select! {
             page = self.until_done("newest", newest) => page,
-            page = hedging::first_answer(standing, newest) => {
+            page = hedging::first_answer(hedge_context, newest) => {
                 info!(self.log, "store-regained"; "call" => "newest, repeated");
                 page
             }
@@ -156,7 +156,7 @@
                 }
             }
             pause(pause_ms).await;
-            pause_ms = (pause_ms * 2).min(LONGEST_PAUSE_MS);
+            pause_ms = (pause_ms * 2).min(MAX_PAUSE_MS);
         }
     }
 }
@@ -164,7 +164,7 @@
 /// Takes over the zones of a page.
 fn follow(evacuations: &mut Evacuations, page: &StorePage) {
     for record in &page.evacuations {
-        evacuations.as_of = page.next_offset;
+        evacuations.log_offset = page.next_offset;
         if record.is_evacuated {
             evacuations.zones.insert(record.zone.clone());
         } else {
--- a/crates/node/src/stored_calls.rs
+++ b/crates/node/src/stored_calls.rs
@@ -36,7 +36,7 @@
 use crate::ports::JobLogPort;
 
 /// Longest time that a call waits for its answer, in milliseconds.
-const PATIENCE_MS: u64 = 2_500;
+const CALL_TIMEOUT_MS: u64 = 2_500;
 /// Longest time for which an owner is looked for, in milliseconds: the store
 /// gives the partitions of a lost one away after 1.2 s, and a claim takes some
 /// more. A submission has less: it is refused while it can still be of use
@@ -47,7 +47,7 @@
 const ATTEMPT_MS: u64 = 700;
 /// A submission looks for an owner for one in this many parts of its objective;
 /// what is refused later counts as held back.
-const SEARCH_PART: u64 = 5;
+const SEARCH_DIVISOR: u64 = 5;
 /// Pause between two attempts, in milliseconds.
 const RETRY_MS: u64 = 20;
 /// Greatest age of the store's word that there are no stored jobs, in
@@ -115,7 +115,7 @@
         let search_ms = if is_forming {
             SEARCH_MS
         } else {
-            job.objective_ms() / SEARCH_PART
+            job.objective_ms() / SEARCH_DIVISOR
         };
         let id = job.id.clone();
         let call = StoredCall::Submit(job);
@@ -136,22 +136,24 @@
     ) -> StoredAnswer {
         let partition = Partition::of(id, self.partitions);
         let start = Instant::now();
-        let end = start + Duration::from_millis(wait_ms.min(PATIENCE_MS));
+        let end = start + Duration::from_millis(wait_ms.min(CALL_TIMEOUT_MS));
         let search_end = end.min(start + Duration::from_millis(search_ms.min(SEARCH_MS)));
-        let mut is_unsure = false;
+        let mut is_outcome_unknown = false;
         loop {
             match self.attempt(partition, &call, end).await {
-                Ok(StoredAnswer::Elsewhere) | Err(Missed::NotSent) => {}
-                Ok(StoredAnswer::Unsure) | Err(Missed::NoAnswer) => is_unsure = true,
+                Ok(StoredAnswer::NotOwner) | Err(Missed::NotSent) => {}
+                Ok(StoredAnswer::OutcomeUnknown) | Err(Missed::NoAnswer) => {
+                    is_outcome_unknown = true;
+                }
                 Ok(answer) => return answer,
             }
             let is_known = self.read_owners(search_end).await;
             let next = Instant::now() + Duration::from_millis(RETRY_MS);
             if next >= search_end || !is_known {
-                return if is_unsure {
-                    StoredAnswer::Unsure
+                return if is_outcome_unknown {
+                    StoredAnswer::OutcomeUnknown
                 } else {
-                    StoredAnswer::Elsewhere
+                    StoredAnswer::NotOwner
                 };
             }
             tokio::time::sleep_until(next).await;
@@ -353,7 +355,7 @@
         }
         let sender = sender.clone();
         tokio::task::spawn_local(async move {
-            let answered = timeout(Duration::from_millis(PATIENCE_MS), answered).await;
+            let answered = timeout(Duration::from_millis(CALL_TIMEOUT_MS), answered).await;
             let Ok(Ok(answer)) = answered else {
                 return;
             };
--- a/crates/node/tests/entry.rs
+++ b/crates/node/tests/entry.rs
@@ -22,17 +22,17 @@
 use fakes::write_frame;
 use gannetvane_dispatch::AgentHello;
 use gannetvane_dispatch::AppendResult;
+use gannetvane_dispatch::Assignment;
 use gannetvane_dispatch::EntryFrame;
 use gannetvane_dispatch::Evacuations;
 use gannetvane_dispatch::Greeting;
 use gannetvane_dispatch::LogRecord;
-use gannetvane_dispatch::Membership;
 use gannetvane_dispatch::Order;
 use gannetvane_dispatch::Partition;
 use gannetvane_dispatch::PeerAck;
 use gannetvane_dispatch::PeerFrame;
 use gannetvane_dispatch::Queue;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
 use gannetvane_dispatch::RoutingTable;
 use gannetvane_dispatch::StoredAnswer;
 use gannetvane_dispatch::decode;
@@ -41,7 +41,7 @@
 use gannetvane_node::EntryNode;
 use gannetvane_node::EntryNodeSettings;
 use gannetvane_node::Metrics;
-use gannetvane_node::StoreKeeper;
+use gannetvane_node::StoreClient;
 use gannetvane_node::Tunables;
 use gannetvane_node::ports::AppendCall;
 use gannetvane_node::ports::JobLogPort;
@@ -65,7 +65,7 @@
         Err(StoreError::Refused(503))
     }
 
-    async fn join(&self, _: u64) -> Result<Membership, StoreError> {
+    async fn join(&self, _: u64) -> Result<Assignment, StoreError> {
         Err(StoreError::Refused(503))
     }
 
@@ -125,8 +125,8 @@
 
 fn start(node: EntryNode, store: FakeStore) -> EntryHandle {
     let handle = node.handle();
-    let keeper = StoreKeeper::new(Rc::new(store), log());
-    tokio::task::spawn_local(async move { node.run(keeper).await.expect("a free address") });
+    let store_client = StoreClient::new(Rc::new(store), log());
+    tokio::task::spawn_local(async move { node.run(store_client).await.expect("a free address") });
     handle
 }
 
@@ -242,11 +242,11 @@
         zone: "selfoss".into(),
         service: "desk".into(),
         labels: Vec::new(),
-        capacity: Room::default(),
+        capacity: Resources::default(),
         clock_ms: 1,
-        kept: Vec::new(),
+        retained_ends: Vec::new(),
         crashes: Vec::new(),
-        life: "minion-1".into(),
+        incarnation: "minion-1".into(),
     }
 }
 
@@ -278,11 +278,11 @@
 }
 
 /// What an entry tells an agent of emptied zones, up to this record.
-async fn told_until(agent: &mut TcpStream, as_of: u64) -> Vec<Evacuations> {
+async fn told_until(agent: &mut TcpStream, log_offset: u64) -> Vec<Evacuations> {
     let mut all = Vec::new();
     while all
         .last()
-        .is_none_or(|told: &Evacuations| told.as_of < as_of)
+        .is_none_or(|told: &Evacuations| told.log_offset < log_offset)
     {
         let frame = decode::<EntryFrame>(&read_frame(agent).await).expect("a frame");
         let told = frame.orders.into_iter().filter_map(|order| match order {
@@ -294,9 +294,9 @@
     all
 }
 
-fn evacuations(as_of: u64, zones: &[&str]) -> Evacuations {
+fn evacuations(log_offset: u64, zones: &[&str]) -> Evacuations {
     Evacuations {
-        as_of,
+        log_offset,
         zones: zones.iter().map(|zone| (*zone).into()).collect(),
     }
 }
@@ -391,8 +391,8 @@
             Response::new(Full::new(Bytes::from_static(b"whole")))
         };
         tokio::task::spawn_local(serve_http(listener, serve, stop, open, log()));
-        let keeper = StoreKeeper::new(Rc::new(FakeStore::default()), log());
-        let running = tokio::task::spawn_local(node.run(keeper));
+        let store_client = StoreClient::new(Rc::new(FakeStore::default()), log());
+        let running = tokio::task::spawn_local(node.run(store_client));
         let mut stream = TcpStream::connect(front).await.expect("an open front");
         let request = b"GET / HTTP/1.1\r\nHost: desk.example\r\n\r\n";
         stream.write_all(request).await.expect("a writable stream");
@@ -416,9 +416,9 @@
         let entry = start(entry(free_addr(), Vec::new()), FakeStore::default());
         let id: gannetvane_wire::Name = "00000000000000e1".into();
         let state = entry.state(id.clone(), 300).await;
-        assert_eq!(state, StoredAnswer::Elsewhere);
+        assert_eq!(state, StoredAnswer::NotOwner);
         let cancelled = entry.cancel(id, 300).await;
-        assert_eq!(cancelled, StoredAnswer::Elsewhere);
+        assert_eq!(cancelled, StoredAnswer::NotOwner);
     })
     .await;
 }
--- a/crates/node/tests/hedging.rs
+++ b/crates/node/tests/hedging.rs
@@ -11,8 +11,8 @@
 use fakes::log;
 use fakes::on_one_thread;
 use gannetvane_dispatch::RoutingTable;
-use gannetvane_node::Standing;
-use gannetvane_node::StoreKeeper;
+use gannetvane_node::HedgeContext;
+use gannetvane_node::StoreClient;
 use gannetvane_node::ports::Announced;
 use gannetvane_node::ports::StoreError;
 use gannetvane_node::ports::StorePage;
@@ -80,10 +80,10 @@
             back,
             calls: Rc::clone(&calls),
         };
-        let keeper = StoreKeeper::new(Rc::new(store), log());
+        let store_client = StoreClient::new(Rc::new(store), log());
         let learned = Rc::clone(&learned);
         tokio::task::spawn_local(async move {
-            let standing = || Standing {
+            let hedge_context = || HedgeContext {
                 is_configured: learned.get().is_some(),
                 entries,
             };
@@ -92,7 +92,7 @@
                     learned.set(Some(Instant::now()));
                 }
             };
-            keeper.watch(standing, found).await;
+            store_client.watch(hedge_context, found).await;
         });
     }
     loop {
--- a/crates/node/tests/searching.rs
+++ b/crates/node/tests/searching.rs
@@ -12,19 +12,19 @@
 use fakes::log;
 use fakes::on_one_thread;
 use gannetvane_dispatch::AgentIdentity;
-use gannetvane_dispatch::HoldResult;
-use gannetvane_dispatch::Lifetime;
+use gannetvane_dispatch::Incarnation;
+use gannetvane_dispatch::ListResult;
 use gannetvane_dispatch::RunKey;
 use gannetvane_dispatch::StartResult;
 use gannetvane_node::AgentNode;
 use gannetvane_node::AgentNodeSettings;
 use gannetvane_node::Clock;
 use gannetvane_node::Metrics;
-use gannetvane_node::StoreKeeper;
+use gannetvane_node::StoreClient;
 use gannetvane_node::TimeSource;
 use gannetvane_node::Tunables;
 use gannetvane_node::ports::Announced;
-use gannetvane_node::ports::HoldCall;
+use gannetvane_node::ports::ListCall;
 use gannetvane_node::ports::MinionPort;
 use gannetvane_node::ports::StartCall;
 use gannetvane_node::ports::StoreError;
@@ -77,11 +77,11 @@
         pending().await
     }
 
-    async fn stop(&self, _: &Lifetime, _: RunKey, _: u64) -> bool {
+    async fn stop(&self, _: &Incarnation, _: RunKey, _: u64) -> bool {
         pending().await
     }
 
-    async fn hold(&self, _: HoldCall) -> HoldResult {
+    async fn list(&self, _: ListCall) -> ListResult {
         pending().await
     }
 }
@@ -115,8 +115,8 @@
     let store = RefusingStore {
         calls: Rc::clone(calls),
     };
-    let keeper = StoreKeeper::new(Rc::new(store), log());
-    tokio::task::spawn_local(node.run(keeper));
+    let store_client = StoreClient::new(Rc::new(store), log());
+    tokio::task::spawn_local(node.run(store_client));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/node/tests/suspension.rs
+++ b/crates/node/tests/suspension.rs
@@ -17,6 +17,7 @@
 use fakes::read_frame;
 use fakes::until;
 use fakes::write_frame;
+use gannetvane_dispatch::ActiveRun;
 use gannetvane_dispatch::AgentFrame;
 use gannetvane_dispatch::AgentHello;
 use gannetvane_dispatch::AgentIdentity;
@@ -24,15 +25,14 @@
 use gannetvane_dispatch::EntryFrame;
 use gannetvane_dispatch::GRANT_MS;
 use gannetvane_dispatch::Greeting;
-use gannetvane_dispatch::HoldResult;
-use gannetvane_dispatch::Lifetime;
+use gannetvane_dispatch::Incarnation;
+use gannetvane_dispatch::ListResult;
 use gannetvane_dispatch::Listing;
 use gannetvane_dispatch::MinionReport;
 use gannetvane_dispatch::Order;
 use gannetvane_dispatch::OrderId;
-use gannetvane_dispatch::Room;
+use gannetvane_dispatch::Resources;
 use gannetvane_dispatch::RunKey;
-use gannetvane_dispatch::Running;
 use gannetvane_dispatch::StartOrder;
 use gannetvane_dispatch::StartResult;
 use gannetvane_dispatch::TaskId;
@@ -43,10 +43,10 @@
 use gannetvane_node::BootTime;
 use gannetvane_node::Clock;
 use gannetvane_node::Metrics;
-use gannetvane_node::StoreKeeper;
+use gannetvane_node::StoreClient;
 use gannetvane_node::TimeSource;
 use gannetvane_node::Tunables;
-use gannetvane_node::ports::HoldCall;
+use gannetvane_node::ports::ListCall;
 use gannetvane_node::ports::MinionPort;
 use gannetvane_node::ports::StartCall;
 use gannetvane_wire::NodeId;
@@ -55,7 +55,7 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-const ROOM: Room = Room {
+const CAPACITY: Resources = Resources {
     cpu_milli: 8_000,
     memory_mb: 1_024,
     accelerators: 0,
@@ -96,7 +96,7 @@
         let stopped = self.stopped.borrow();
         let started = self.started.borrow();
         let running = started.iter().filter(|key| !stopped.contains(key));
-        let running = running.map(|key| Running {
+        let running = running.map(|key| ActiveRun {
             key: Some(key.clone()),
             percent: 10,
         });
@@ -115,17 +115,17 @@
         StartResult::Started
     }
 
-    async fn stop(&self, _: &Lifetime, key: RunKey, _: u64) -> bool {
+    async fn stop(&self, _: &Incarnation, key: RunKey, _: u64) -> bool {
         self.stopped.borrow_mut().push(key);
         true
     }
 
-    async fn hold(&self, call: HoldCall) -> HoldResult {
+    async fn list(&self, call: ListCall) -> ListResult {
         if call.deadline_ms.is_some() {
             self.extended.set(self.extended.get() + 1);
         }
         tokio::time::sleep(Duration::from_millis(call.wait_ms.min(20))).await;
-        HoldResult::Listed(self.listing())
+        ListResult::Listed(self.listing())
     }
 }
 
@@ -202,8 +202,8 @@
     let port = Rc::clone(minion) as Rc<dyn MinionPort>;
     let node = AgentNode::new(settings, port, log(), Rc::new(Metrics::new()), clock);
     let handle = node.handle();
-    let keeper = StoreKeeper::new(Rc::new(FakeStore::default()), log());
-    tokio::task::spawn_local(node.run(keeper));
+    let store_client = StoreClient::new(Rc::new(FakeStore::default()), log());
+    tokio::task::spawn_local(node.run(store_client));
     tokio::task::spawn_local(report_for_ever(handle));
 }
 
@@ -218,11 +218,11 @@
 
 fn report(sequence: u64) -> MinionReport {
     MinionReport {
-        lifetime: Lifetime::new("minion-1".into(), Some(1_700_000_000_000)),
+        incarnation: Incarnation::new("minion-1".into(), Some(1_700_000_000_000)),
         service: "desk".into(),
         zone: "selfoss".into(),
         labels: Vec::new(),
-        capacity: ROOM,
+        capacity: CAPACITY,
         is_draining: false,
         clock_ms: 1,
         sequence,
@@ -247,7 +247,7 @@
         run: 1,
         spec: "".into(),
         is_suspect: false,
-        needs: Room {
+        needs: Resources {
             cpu_milli: 1_000,
             memory_mb: 16,
             accelerators: 0,
