--- a/crates/dispatch/src/agent/call_loss.rs
+++ b/crates/dispatch/src/agent/call_loss.rs
@@ -8,36 +8,36 @@
 const LAST_CALL_WEIGHT: f64 = 1.0 / 16.0;
 /// Share of calls without an answer up to which one copy is enough; a single
 /// one is above it and counts for 18 calls.
-const NEGLIGIBLE_SHARE: f64 = 0.02;
+const NEGLIGIBLE_FRACTION: f64 = 0.02;
 /// Share of calls all of whose copies may stay without an answer.
-const ACCEPTED_SHARE: f64 = 0.03;
+const ACCEPTED_FRACTION: f64 = 0.03;
 /// Most copies of a call: an agent has a small part of a core.
 const MAX_HEDGED_CALLS: u32 = 4;
 
 /// A running share of calls without an answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CallLoss {
-    share: f64,
+    unanswered_fraction: f64,
 }
 
 impl CallLoss {
     /// Notes whether a call was answered.
-    pub(crate) fn note(&mut self, is_answered: bool) {
-        let last = if is_answered { 0.0 } else { 1.0 };
-        self.share += (last - self.share) * LAST_CALL_WEIGHT;
+    pub(crate) fn record(&mut self, is_answered: bool) {
+        let last_call = if is_answered { 0.0 } else { 1.0 };
+        self.unanswered_fraction += (last_call - self.unanswered_fraction) * LAST_CALL_WEIGHT;
     }
 
     /// Copies of a call to send at once, so that one of them is answered.
-    pub(crate) fn copies(&self) -> u32 {
-        if self.share <= NEGLIGIBLE_SHARE {
+    pub(crate) fn hedged_calls(&self) -> u32 {
+        if self.unanswered_fraction <= NEGLIGIBLE_FRACTION {
             return 1;
         }
-        let mut copies = 1;
-        let mut lost = self.share;
-        while lost > ACCEPTED_SHARE && copies < MAX_HEDGED_CALLS {
-            lost *= self.share;
-            copies += 1;
+        let mut calls = 1;
+        let mut all_unanswered = self.unanswered_fraction;
+        while all_unanswered > ACCEPTED_FRACTION && calls < MAX_HEDGED_CALLS {
+            all_unanswered *= self.unanswered_fraction;
+            calls += 1;
         }
-        copies.max(2)
+        calls.max(2)
     }
 }
--- a/crates/dispatch/src/agent/capacity.rs
+++ b/crates/dispatch/src/agent/capacity.rs
@@ -20,6 +20,6 @@
     /// then brings it over its room in no case.
     pub(crate) fn runs_fit(&self) -> bool {
         let capacity = self.minion.as_ref().map(Minion::capacity);
-        capacity.is_some_and(|capacity| capacity.can_fit(&self.runs.taken()))
+        capacity.is_some_and(|capacity| capacity.can_fit(&self.runs.taken_resources()))
     }
 }
--- a/crates/dispatch/src/agent/delayed_calls.rs
+++ b/crates/dispatch/src/agent/delayed_calls.rs
@@ -23,7 +23,7 @@
     /// Until when starts of an earlier agent may be.
     inherited_until_ms: u64,
     /// Whether they are taken to be: calls were lost since.
-    has_inherited: bool,
+    has_unanswered_calls: bool,
 }
 
 impl DelayedCalls {
@@ -35,7 +35,7 @@
     }
 
     /// A start is sent.
-    pub(crate) fn sent(&mut self, incarnation: &Incarnation, key: &RunKey) {
+    pub(crate) fn start_sent(&mut self, incarnation: &Incarnation, key: &RunKey) {
         let may_keep_id = incarnation.started_unix_ms().is_some();
         if may_keep_id && key.run >= RUNS_PER_EPOCH {
             *self.pending.entry(key.clone()).or_default() += 1;
@@ -43,7 +43,7 @@
     }
 
     /// A start was answered, or was not.
-    pub(crate) fn ended(&mut self, now_ms: u64, key: &RunKey, is_answered: bool) {
+    pub(crate) fn start_ended(&mut self, now_ms: u64, key: &RunKey, is_answered: bool) {
         let Some(pending) = self.pending.get_mut(key) else {
             return;
         };
@@ -59,12 +59,12 @@
 
     /// Some call had no answer: those of an earlier agent may not have had either.
     pub(crate) fn call_unanswered(&mut self) {
-        self.has_inherited = true;
+        self.has_unanswered_calls = true;
     }
 
     /// Until when starts may be carried out late, if any may be.
-    pub(crate) fn until_ms(&self, now_ms: u64) -> Option<u64> {
-        let inherited = self.has_inherited.then_some(self.inherited_until_ms);
+    pub(crate) fn possible_until_ms(&self, now_ms: u64) -> Option<u64> {
+        let inherited = self.has_unanswered_calls.then_some(self.inherited_until_ms);
         let pending = (!self.pending.is_empty()).then_some(now_ms + 1);
         let unanswered = self.unanswered.values().copied();
         let until_ms = unanswered.chain(inherited).chain(pending).max();
--- a/crates/dispatch/src/agent/epochs.rs
+++ b/crates/dispatch/src/agent/epochs.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Epochs {
     highest: u64,
-    fences: u32,
+    consecutive_refusals: u32,
 }
 
 impl Epochs {
@@ -27,21 +27,21 @@
     /// Its birth and its clock together rise within a life, and from one life to
     /// the next unless the time of day was set back between them.
     pub(crate) fn next(&mut self, incarnation: &Incarnation, clock_ms: u64) -> u64 {
-        let born_ms = incarnation.started_unix_ms().unwrap_or(0);
-        let present = born_ms.saturating_add(clock_ms);
-        self.highest = present.max(self.highest + 1);
+        let started_unix_ms = incarnation.started_unix_ms().unwrap_or(0);
+        let current = started_unix_ms.saturating_add(clock_ms);
+        self.highest = current.max(self.highest + 1);
         self.highest
     }
 
     /// An epoch was refused for a higher one.
     pub(crate) fn fenced(&mut self) {
-        let step_ms = FIRST_FENCE_STEP_MS << self.fences.min(MAX_DOUBLINGS);
+        let step_ms = FIRST_FENCE_STEP_MS << self.consecutive_refusals.min(MAX_DOUBLINGS);
         self.highest = self.highest.saturating_add(step_ms);
-        self.fences += 1;
+        self.consecutive_refusals += 1;
     }
 
     /// An epoch was accepted.
     pub(crate) fn accepted(&mut self) {
-        self.fences = 0;
+        self.consecutive_refusals = 0;
     }
 }
--- a/crates/dispatch/src/agent/evacuation.rs
+++ b/crates/dispatch/src/agent/evacuation.rs
@@ -14,7 +14,7 @@
 
     /// Counts a start that is refused since the zone is being emptied: its entry
     /// had not heard of it.
-    pub(crate) fn note_evacuated_start(&mut self, start: &StartOrder) {
+    pub(crate) fn log_evacuated_start(&mut self, start: &StartOrder) {
         if self.is_evacuated() {
             let detail = format!("as_of={}", self.evacuations.log_offset);
             let job = start.task.job.clone();
--- a/crates/dispatch/src/agent/incarnations.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -29,10 +29,10 @@
 
 /// Pause before a candidate that gave no answer is asked again, in
 /// milliseconds: the time that a call to the minion on this host is given.
-const ASK_CANDIDATE_MS: u64 = 50;
+const CANDIDATE_RETRY_MS: u64 = 50;
 /// Calls without an answer after which a candidate is forgotten until its next
 /// report.
-const CANDIDATE_TRIES: u32 = 20;
+const MAX_CANDIDATE_TRIES: u32 = 20;
 
 /// A lifetime that was reported while another one is served.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     report: MinionReport,
     /// Number of the last call that names it.
     call: u64,
-    asked_ms: u64,
+    called_ms: u64,
     tries: u32,
 }
 
@@ -56,7 +56,7 @@
 impl Loss {
     /// How a life ended; one whose departure was told, if only perhaps, did not crash.
     pub(crate) fn of(minion: &Minion) -> Self {
-        match minion.is_leaving() || minion.is_doubted {
+        match minion.is_leaving() || minion.may_have_left {
             true => Self::Gone,
             false => Self::Crashed,
         }
@@ -66,21 +66,21 @@
 impl Candidate {
     /// When it is asked again at the latest.
     pub(crate) fn due_ms(&self) -> u64 {
-        self.asked_ms + ASK_CANDIDATE_MS
+        self.called_ms + CANDIDATE_RETRY_MS
     }
 }
 
 impl Agent {
     /// A report of a minion arrived.
     pub fn minion_reported(&mut self, now_ms: u64, report: MinionReport) {
-        if self.ended.as_ref() == Some(&report.incarnation) {
-            self.note_late_report(&report.incarnation, "it has ended");
+        if self.last_ended.as_ref() == Some(&report.incarnation) {
+            self.log_delayed_report(&report.incarnation, "it has ended");
         } else if self.minion.is_none() {
             self.adopt(now_ms, report);
         } else if self.serves(&report.incarnation) {
             self.update_report(now_ms, report);
         } else {
-            self.consider(now_ms, report);
+            self.consider_candidate(now_ms, report);
         }
     }
 
@@ -94,7 +94,7 @@
             return;
         }
         minion.has_left = minion.report.is_draining;
-        minion.is_doubted = !minion.has_left;
+        minion.may_have_left = !minion.has_left;
         let event = match minion.has_left {
             true => "minion-left",
             false => "departure-doubted",
@@ -143,7 +143,7 @@
         self.list_if_due(now_ms);
     }
 
-    fn consider(&mut self, now_ms: u64, report: MinionReport) {
+    fn consider_candidate(&mut self, now_ms: u64, report: MinionReport) {
         if let Some(candidate) = &mut self.candidate
             && candidate.report.incarnation == report.incarnation
         {
@@ -158,10 +158,10 @@
         self.candidate = Some(Candidate {
             report,
             call: 0,
-            asked_ms: now_ms,
+            called_ms: now_ms,
             tries: 0,
         });
-        self.ask_candidate(now_ms);
+        self.call_candidate(now_ms);
     }
 
     /// Asks the candidate again when its last call got no answer.
@@ -177,14 +177,14 @@
             if let Some(candidate) = self.candidate.take() {
                 self.adopt(now_ms, candidate.report);
             }
-        } else if candidate.tries >= CANDIDATE_TRIES {
+        } else if candidate.tries >= MAX_CANDIDATE_TRIES {
             self.drop_candidate("no answer");
         } else {
-            self.ask_candidate(now_ms);
+            self.call_candidate(now_ms);
         }
     }
 
-    fn ask_candidate(&mut self, now_ms: u64) {
+    fn call_candidate(&mut self, now_ms: u64) {
         let call = self.next_call;
         let Some(candidate) = &mut self.candidate else {
             return;
@@ -197,7 +197,7 @@
         let epoch = served.map_or(0, |minion| minion.epoch);
         self.next_call += 1;
         candidate.call = call;
-        candidate.asked_ms = now_ms;
+        candidate.called_ms = now_ms;
         candidate.tries += 1;
         self.actions.push(AgentAction::List {
             call,
@@ -236,11 +236,11 @@
 
     fn drop_candidate(&mut self, cause: &'static str) {
         if let Some(candidate) = self.candidate.take() {
-            self.note_late_report(&candidate.report.incarnation, cause);
+            self.log_delayed_report(&candidate.report.incarnation, cause);
         }
     }
 
-    fn note_late_report(&mut self, incarnation: &Incarnation, cause: &'static str) {
+    fn log_delayed_report(&mut self, incarnation: &Incarnation, cause: &'static str) {
         let detail = format!("life={incarnation} cause={cause}");
         self.event("late-report-ignored", None, detail);
     }
@@ -254,7 +254,7 @@
         let served = self.minion.as_ref();
         let is_same_id = served.is_some_and(|minion| minion.report.incarnation.id() == asked.id());
         match (asked.started_unix_ms(), listing.started_unix_ms) {
-            (Some(asked_ms), Some(told_ms)) => asked_ms == told_ms,
+            (Some(asked_ms), Some(listed_ms)) => asked_ms == listed_ms,
             // Where no birth is told, the clock of the life that is served shows
             // whether it has answered: that clock never runs back.
             _ => !is_same_id || served.is_some_and(|minion| listing.clock_ms < minion.clock_ms),
@@ -262,7 +262,7 @@
     }
 
     /// The minion started again under the id of the life that was served.
-    pub(crate) fn minion_reborn(&mut self, now_ms: u64, started_unix_ms: Option<u64>) {
+    pub(crate) fn minion_restarted(&mut self, now_ms: u64, started_unix_ms: Option<u64>) {
         self.event(
             "minion-reborn",
             None,
@@ -270,13 +270,13 @@
         );
         self.minion_ended(now_ms, "listing of another life");
         // The time of day may have been set back, so that both have one birth.
-        self.ended
+        self.last_ended
             .take_if(|ended| ended.started_unix_ms() == started_unix_ms);
-        let is_known = |candidate: &mut Candidate| {
+        let is_same_start = |candidate: &mut Candidate| {
             candidate.report.incarnation.started_unix_ms() == started_unix_ms
                 && started_unix_ms.is_some()
         };
-        if let Some(candidate) = self.candidate.take_if(is_known) {
+        if let Some(candidate) = self.candidate.take_if(is_same_start) {
             self.adopt(now_ms, candidate.report);
         }
     }
@@ -292,7 +292,7 @@
         self.event("minion-replaced", None, detail);
         self.lose_minion(now_ms, loss);
         // Without a birth, the next life may not differ from it.
-        self.ended =
+        self.last_ended =
             Some(incarnation).filter(|incarnation| incarnation.started_unix_ms().is_some());
     }
 
@@ -304,7 +304,7 @@
         {
             self.epochs.fenced();
             minion.epoch = 0;
-            minion.is_clean = false;
+            minion.has_no_leftovers = false;
             self.event("epoch-refused", None, String::new());
         }
     }
@@ -314,7 +314,7 @@
         let Some(minion) = &mut self.minion else {
             return;
         };
-        minion.judge(now_ms, CallOutcome::Answered);
+        minion.record_call_outcome(now_ms, CallOutcome::Answered);
         let calls = minion.pending_listings.len();
         minion
             .pending_listings
@@ -326,7 +326,7 @@
     }
 
     /// How a run ends with its minion.
-    fn end_with_minion(&self, run: &Run, loss: Loss) -> RunEnd {
+    fn end_of_lost_run(&self, run: &Run, loss: Loss) -> RunEnd {
         let incarnation = self.incarnation();
         let may_keep_id =
             incarnation.is_some_and(|incarnation| incarnation.started_unix_ms().is_some());
@@ -334,7 +334,7 @@
             Loss::Crashed => run.crash_evidence(),
             Loss::Gone => None,
         };
-        if may_keep_id && run.may_be_of_next_life() {
+        if may_keep_id && run.may_run_in_next_incarnation() {
             return RunEnd::Unsettled { crash };
         }
         crash.map_or(RunEnd::Lost, RunEnd::Crashed)
@@ -342,7 +342,7 @@
 
     /// Keeps a crash for the entries that are greeted next: the one that ordered the run
     /// may be gone.
-    fn keep_crash(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
+    fn record_crash(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
         if let RunEnd::Crashed(evidence)
         | RunEnd::Unsettled {
             crash: Some(evidence),
@@ -354,7 +354,7 @@
     }
 
     /// Tells what is known of a run that ended with its minion.
-    fn note_lost_run(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
+    fn log_lost_run(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
         let detail = format!(
             "task={}.{} run={} end={end:?} phase={:?} seen={} listed={} cut_off={} pending={} refusal={:?} unanswered={} ran_ms={}",
             run.key.task.step,
@@ -363,7 +363,7 @@
             run.phase,
             run.was_seen_running,
             run.was_listed,
-            run.cut_off_ms.is_some(),
+            run.connection_broke_ms.is_some(),
             run.pending,
             run.refusal,
             run.unanswered,
@@ -378,13 +378,13 @@
             return;
         }
         self.give_up_checks();
-        let places: Vec<(LinkId, OrderId)> =
+        let active_runs: Vec<(LinkId, OrderId)> =
             self.runs.iter().map(|run| (run.link, run.order)).collect();
-        for (link, order) in places {
+        for (link, order) in active_runs {
             if let Some(run) = self.runs.remove(link, order) {
-                let end = self.end_with_minion(&run, loss);
-                self.keep_crash(now_ms, &run, end);
-                self.note_lost_run(now_ms, &run, end);
+                let end = self.end_of_lost_run(&run, loss);
+                self.record_crash(now_ms, &run, end);
+                self.log_lost_run(now_ms, &run, end);
                 self.report_end(link, order, end, run.ran_ms(now_ms));
             }
         }
--- a/crates/dispatch/src/agent/links.rs
+++ b/crates/dispatch/src/agent/links.rs
@@ -18,14 +18,14 @@
 
 /// Shortest pause between frames that only tell of changed room, in
 /// milliseconds. Room changes about a hundred times a second at full load.
-const ROOM_NEWS_MS: u64 = 20;
+const FREE_UPDATE_INTERVAL_MS: u64 = 20;
 /// Entries for which [`ROOM_NEWS_MS`] is meant; with more of them the pause
 /// grows, so that news cost an agent and its entries no more in a larger fleet.
 const ENTRIES_AT_FULL_RATE: u64 = 3;
 
 /// Time for which a link that takes no more starts stays open without use, in
 /// milliseconds: two keepalives, so that the entry has heard of both.
-const RETIRED_QUIET_MS: u64 = 200;
+const RETIRING_LINGER_MS: u64 = 200;
 
 /// One connection to an entry.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     pub(crate) is_retiring: bool,
     pub(crate) starts_received: u64,
     /// When it was last wanted, ran something or had something to tell.
-    used_ms: u64,
+    last_used_ms: u64,
     reports: Vec<Report>,
     pub(crate) last_sent_ms: u64,
     last_free: Resources,
@@ -64,7 +64,7 @@
             is_greeted: false,
             is_retiring: false,
             starts_received: 0,
-            used_ms: now_ms,
+            last_used_ms: now_ms,
             reports: Vec::new(),
             last_sent_ms: now_ms,
             last_free: Resources::default(),
@@ -79,7 +79,7 @@
     /// A connection to an entry broke: what the entry ordered is stopped.
     pub fn link_down(&mut self, now_ms: u64, link: LinkId) {
         if self.links.remove(&link).is_some() {
-            self.abandon(now_ms, link, "link-broken");
+            self.abandon_runs(now_ms, link, "link-broken");
         }
     }
 
@@ -99,9 +99,9 @@
     }
 
     /// Stops all that came over a link that is gone.
-    fn abandon(&mut self, now_ms: u64, link: LinkId, cause: &'static str) {
+    fn abandon_runs(&mut self, now_ms: u64, link: LinkId, cause: &'static str) {
         self.offers.forget(link);
-        self.keep_ends(now_ms, link);
+        self.reclaim_ends_of_link(now_ms, link);
         let orders = self.runs.orders_of(link);
         if !orders.is_empty() {
             self.event(
@@ -131,15 +131,17 @@
     /// Closes links that are not wanted any more, once nothing of theirs runs and
     /// the entry has had time to hear of it: a link that closed with its last run
     /// took the word of that run's end with it, and the job was late.
-    pub(crate) fn close_retired(&mut self, now_ms: u64) {
+    pub(crate) fn close_retired_links(&mut self, now_ms: u64) {
         let minion = self.minion.as_ref();
-        let awaits = |link: LinkId| minion.is_some_and(|minion| minion.retained_ends.awaits(link));
-        let has_runs = |link: LinkId| !self.runs.orders_of(link).is_empty() || awaits(link);
+        let has_reported_ends =
+            |link: LinkId| minion.is_some_and(|minion| minion.retained_ends.has_reported_to(link));
+        let has_runs =
+            |link: LinkId| !self.runs.orders_of(link).is_empty() || has_reported_ends(link);
         let mut done = Vec::new();
         for (id, link) in &mut self.links {
             if !link.is_retiring || has_runs(*id) || !link.reports.is_empty() {
-                link.used_ms = now_ms;
-            } else if now_ms >= link.used_ms + RETIRED_QUIET_MS {
+                link.last_used_ms = now_ms;
+            } else if now_ms >= link.last_used_ms + RETIRING_LINGER_MS {
                 done.push(*id);
             }
         }
@@ -151,14 +153,14 @@
 
     pub(crate) fn expire_link(&mut self, now_ms: u64, link: LinkId) {
         if let Some(state) = self.links.remove(&link) {
-            let silent_ms = now_ms.saturating_sub(state.grant_until_ms);
+            let overdue_ms = now_ms.saturating_sub(state.grant_until_ms);
             self.event(
                 "grant-expired",
                 None,
-                format!("entry={} late_ms={silent_ms}", state.addr),
+                format!("entry={} late_ms={overdue_ms}", state.addr),
             );
             self.actions.push(AgentAction::Close(link));
-            self.abandon(now_ms, link, "grant-expired");
+            self.abandon_runs(now_ms, link, "grant-expired");
         }
     }
 
@@ -168,22 +170,26 @@
         for link in links {
             self.links.remove(&link);
             self.actions.push(AgentAction::Close(link));
-            self.abandon(now_ms, link, "minion-gone");
+            self.abandon_runs(now_ms, link, "minion-gone");
         }
     }
 
     /// Greets the entries of which nothing earlier is left here.
     pub(crate) fn greet_links(&mut self, now_ms: u64) {
-        let Some(minion) = self.minion.as_ref().filter(|minion| minion.is_clean()) else {
+        let Some(minion) = self
+            .minion
+            .as_ref()
+            .filter(|minion| minion.has_no_leftovers())
+        else {
             return;
         };
         let crashes = self.crashes.since(now_ms, 0);
         let hello = minion.hello(&self.identity, now_ms, crashes);
-        let closed = self
+        let leftover_runs = self
             .runs
             .iter()
             .filter(|run| !self.links.contains_key(&run.link));
-        let has_leftovers = closed.count() > 0;
+        let has_leftovers = leftover_runs.count() > 0;
         if has_leftovers {
             return;
         }
@@ -200,19 +206,20 @@
         if self.minion.is_none() {
             return;
         }
-        let all_free = self.free();
+        let all_free = self.free_resources();
         let is_accepting_starts = self.admits(now_ms);
         let trial = self.trial_link(now_ms);
         let entries = self.links.len() as u64;
-        let news_ms = ROOM_NEWS_MS * entries.div_ceil(ENTRIES_AT_FULL_RATE).max(1);
+        let update_interval_ms =
+            FREE_UPDATE_INTERVAL_MS * entries.div_ceil(ENTRIES_AT_FULL_RATE).max(1);
         let speed_permille = self.pace.permille(now_ms);
         let demands = self.links.values().map(|link| link.demand);
         let demand = demands.fold(Demand::default(), Demand::plus);
         for (id, link) in &mut self.links {
-            let free = all_free.minus(&self.offers.kept_from(*id));
+            let free = all_free.minus(&self.offers.reserved_for_others(*id));
             let pause_ms = now_ms.saturating_sub(link.last_sent_ms);
             let is_keepalive = pause_ms >= KEEPALIVE_MS;
-            let has_free_change = free != link.last_free && pause_ms >= news_ms;
+            let has_free_change = free != link.last_free && pause_ms >= update_interval_ms;
             let is_accepting_starts =
                 is_accepting_starts && !link.is_retiring && trial.is_none_or(|trial| trial == *id);
             let is_due = !link.reports.is_empty()
@@ -257,7 +264,7 @@
     }
 
     /// Tells the entry of the end of a stored run, which the minion keeps.
-    pub(crate) fn report_kept_end(
+    pub(crate) fn report_retained_end(
         &mut self,
         link: LinkId,
         order: OrderId,
--- a/crates/dispatch/src/agent/listing_calls.rs
+++ b/crates/dispatch/src/agent/listing_calls.rs
@@ -10,77 +10,89 @@
 /// extended at least that often.
 const LIST_WAIT_MS: u64 = 120;
 /// Most listings under way at one time: the next one comes soon anyway.
-const LIST_COPIES: u32 = 4;
+const MAX_PENDING_LISTINGS: u32 = 4;
 /// The same while a stopped run is still to be seen gone.
-const LIST_WAIT_STOPPING_MS: u64 = 15;
+const STOPPING_LIST_WAIT_MS: u64 = 15;
 /// Time past its wait after which a listing counts as unanswered, in
 /// milliseconds; a minion on the same host answers within a few.
 pub(crate) const LIST_TIMEOUT_MS: u64 = 40;
 /// Time without an answer after which the lease is not extended any more, in
 /// milliseconds: longer than a listing may wait and calls of a third of a second
 /// be lost. The minion is given up when the lease is over.
-const LEASED_SILENCE_MS: u64 = 600;
+const LEASE_EXTENSION_TIMEOUT_MS: u64 = 600;
 
 /// A listing under way.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingListing {
     pub(crate) call: u64,
     pub(crate) sent_ms: u64,
-    pub(crate) overdue_ms: u64,
+    pub(crate) overdue_at_ms: u64,
     /// Whether the answer waits for an end.
-    pub(crate) waits: bool,
+    pub(crate) waits_for_end: bool,
     pub(crate) acknowledged_through: u64,
 }
 
 impl Agent {
     /// Lists when there is something to learn and no listing is under way.
     pub(crate) fn list_if_due(&mut self, now_ms: u64) {
-        let may_extend = self.can_extend_lease(now_ms);
-        let acknowledgeable = self.acknowledgeable(now_ms);
+        let can_extend = self.can_extend_lease(now_ms);
+        let acknowledgeable_through = self.acknowledgeable_through(now_ms);
         let has_runs = self.runs.has_sent_starts();
-        let is_resolving = self
+        let is_stopping_run = self
             .runs
             .iter()
             .any(|run| matches!(run.phase, Phase::Stopping { .. }));
         let Some(minion) = &mut self.minion else {
             return;
         };
-        let has_ends = acknowledgeable.is_some();
-        let is_uncertain = !minion.is_clean || minion.is_doubted || !minion.is_answering();
+        let has_ends = acknowledgeable_through.is_some();
+        let is_uncertain =
+            !minion.has_no_leftovers || minion.may_have_left || !minion.is_answering();
         let is_wanted = has_runs || has_ends || is_uncertain;
-        let copies = minion.loss.copies().min(LIST_COPIES) as usize;
-        let is_in_time = |pending: &&PendingListing| now_ms < pending.overdue_ms;
-        let waiting = minion.pending_listings.iter().filter(is_in_time).count();
-        if !is_wanted || waiting >= copies || minion.has_left || now_ms < minion.ask_ms {
+        let hedged_calls = minion.loss.hedged_calls().min(MAX_PENDING_LISTINGS) as usize;
+        let is_in_time = |pending: &&PendingListing| now_ms < pending.overdue_at_ms;
+        let pending_in_time = minion.pending_listings.iter().filter(is_in_time).count();
+        if !is_wanted
+            || pending_in_time >= hedged_calls
+            || minion.has_left
+            || now_ms < minion.next_listing_at_ms
+        {
             return;
         }
-        let are_in_time = waiting == minion.pending_listings.len();
-        let wait_ms = match (has_runs, is_resolving, are_in_time) {
+        let are_in_time = pending_in_time == minion.pending_listings.len();
+        let wait_ms = match (has_runs, is_stopping_run, are_in_time) {
             (true, false, true) => LIST_WAIT_MS,
-            (true, true, true) => LIST_WAIT_STOPPING_MS,
+            (true, true, true) => STOPPING_LIST_WAIT_MS,
             _ => 0,
         };
         // A minion that is gone would keep its runs for ever with its lease.
-        let is_unanswered = now_ms > minion.answered_ms + LEASED_SILENCE_MS;
-        let is_leased = has_runs && may_extend && minion.epoch > 0 && !is_unanswered;
+        let is_unanswered = now_ms > minion.answered_ms + LEASE_EXTENSION_TIMEOUT_MS;
+        let is_leased = has_runs && can_extend && minion.epoch > 0 && !is_unanswered;
         let deadline_ms = is_leased.then(|| minion.extend_lease(now_ms));
-        for _ in waiting..copies {
-            self.ask_listing(now_ms, deadline_ms, wait_ms);
+        for _ in pending_in_time..hedged_calls {
+            self.send_listing_call(now_ms, deadline_ms, wait_ms);
         }
     }
 
     /// The last end that may be acknowledged now, if there is one.
-    fn acknowledgeable(&self, now_ms: u64) -> Option<u64> {
-        if self.delayed_calls.until_ms(now_ms).is_some() {
+    fn acknowledgeable_through(&self, now_ms: u64) -> Option<u64> {
+        if self.delayed_calls.possible_until_ms(now_ms).is_some() {
             return None;
         }
-        self.minion.as_ref().and_then(Minion::acknowledgeable)
+        self.minion
+            .as_ref()
+            .and_then(Minion::acknowledgeable_through)
     }
 
     /// Asks the minion for a listing.
-    pub(crate) fn ask_listing(&mut self, now_ms: u64, deadline_ms: Option<u64>, wait_ms: u64) {
+    pub(crate) fn send_listing_call(
+        &mut self,
+        now_ms: u64,
+        deadline_ms: Option<u64>,
+        wait_ms: u64,
+    ) {
         // A call that is carried out late must not acknowledge more than it has to.
-        let acknowledged_through = self.acknowledgeable(now_ms).unwrap_or(0);
+        let acknowledged_through = self.acknowledgeable_through(now_ms).unwrap_or(0);
         let Some(minion) = &mut self.minion else {
             return;
         };
@@ -89,8 +101,8 @@
         minion.pending_listings.push(PendingListing {
             call,
             sent_ms: now_ms,
-            overdue_ms: now_ms + wait_ms + LIST_TIMEOUT_MS,
-            waits: wait_ms > 0,
+            overdue_at_ms: now_ms + wait_ms + LIST_TIMEOUT_MS,
+            waits_for_end: wait_ms > 0,
             acknowledged_through,
         });
         self.actions.push(AgentAction::List {
--- a/crates/dispatch/src/agent/listings.rs
+++ b/crates/dispatch/src/agent/listings.rs
@@ -18,24 +18,24 @@
 
 /// First and longest pause before the minion is asked again after a call
 /// without an answer, in milliseconds.
-const ASK_AGAIN_MS: u64 = 15;
-const ASK_AGAIN_LONGEST_MS: u64 = 240;
+const RETRY_BASE_MS: u64 = 15;
+const MAX_RETRY_MS: u64 = 240;
 /// The longest while runs depend on the lease: a tenth of it.
-const ASK_AGAIN_LEASED_MS: u64 = 45;
+const MAX_LEASED_RETRY_MS: u64 = 45;
 /// Pause after a listing while calls are sent in copies, in milliseconds:
 /// several ends are told by one listing.
-const PAUSE_MS: u64 = 25;
+const HEDGED_LIST_PAUSE_MS: u64 = 25;
 /// The same while the minion keeps ends: the store takes a record within 10.
-const KEPT_PAUSE_MS: u64 = 8;
+const RETAINED_LIST_PAUSE_MS: u64 = 8;
 /// Most ends that a minion lists; of later ones nothing is known until some are
 /// acknowledged.
 pub(crate) const MAX_LISTED_ENDS: usize = 500;
 /// Time that a listing may have been on its way to tell of runs that stand still,
 /// in milliseconds: when the agent's host stood still for a while, it takes an old
 /// listing for a present one.
-const FRESH_MS: u64 = 20;
+const MAX_FRESH_TRANSIT_MS: u64 = 20;
 /// Percentage of a run that is done.
-const ALL_DONE: u8 = 100;
+const DONE_PERCENT: u8 = 100;
 
 impl Agent {
     /// A call that lists the minion's runs ended.
@@ -73,7 +73,7 @@
         let Some(minion) = &mut self.minion else {
             return;
         };
-        minion.judge(now_ms, call_outcome);
+        minion.record_call_outcome(now_ms, call_outcome);
         let position = minion
             .pending_listings
             .iter()
@@ -82,39 +82,40 @@
         else {
             return;
         };
-        if is_broken && pending.waits {
-            self.runs.cut_off(now_ms);
+        if is_broken && pending.waits_for_end {
+            self.runs.listing_connection_broke(now_ms);
         }
         let Some(listing) = listing else {
-            let longest_ms = if self.runs.is_empty() {
-                ASK_AGAIN_LONGEST_MS
+            let max_pause_ms = if self.runs.is_empty() {
+                MAX_RETRY_MS
             } else {
-                ASK_AGAIN_LEASED_MS
+                MAX_LEASED_RETRY_MS
             };
-            let doubled_ms = ASK_AGAIN_MS << minion.unanswered.min(5);
-            minion.ask_ms = now_ms + doubled_ms.min(longest_ms);
+            let doubled_ms = RETRY_BASE_MS << minion.consecutive_unanswered.min(5);
+            minion.next_listing_at_ms = now_ms + doubled_ms.min(max_pause_ms);
             return;
         };
-        let pause_ms = if minion.loss.copies() > 1 {
-            PAUSE_MS
+        let pause_ms = if minion.loss.hedged_calls() > 1 {
+            HEDGED_LIST_PAUSE_MS
         } else if minion.retained_ends.is_empty() {
             0
         } else {
             // The minion lists what it keeps at once, whatever the wait.
-            KEPT_PAUSE_MS
+            RETAINED_LIST_PAUSE_MS
         };
-        if minion.is_of_another_life(pending.sent_ms, &listing) {
-            self.minion_reborn(now_ms, listing.started_unix_ms);
+        if minion.is_of_other_incarnation(pending.sent_ms, &listing) {
+            self.minion_restarted(now_ms, listing.started_unix_ms);
             return;
         }
-        let made_ms = now_ms.saturating_sub(minion.lag_ms(now_ms, listing.clock_ms));
-        self.runs.answered(made_ms.max(pending.sent_ms));
-        minion.ask_ms = now_ms + pause_ms;
-        minion.is_doubted = false;
+        let listing_made_ms = now_ms.saturating_sub(minion.transit_ms(now_ms, listing.clock_ms));
+        self.runs
+            .minion_answered(listing_made_ms.max(pending.sent_ms));
+        minion.next_listing_at_ms = now_ms + pause_ms;
+        minion.may_have_left = false;
         minion
             .pending_listings
             .retain(|other| other.sent_ms > pending.sent_ms);
-        let is_fresh = minion.lag_ms(now_ms, listing.clock_ms) <= FRESH_MS;
+        let is_fresh = minion.transit_ms(now_ms, listing.clock_ms) <= MAX_FRESH_TRANSIT_MS;
         minion.read_clock(now_ms, listing.clock_ms);
         if minion.epoch == 0 {
             let epoch = self
@@ -126,63 +127,63 @@
             return;
         }
         self.epochs.accepted();
-        if !minion.is_clean && incarnation.started_unix_ms().is_some() {
-            let longest_ms = self.longest_lease_ms;
-            minion.retained_ends.inherit_lease(now_ms, longest_ms);
+        if !minion.has_no_leftovers && incarnation.started_unix_ms().is_some() {
+            let longest_lease_ms = self.longest_lease_ms;
+            minion.retained_ends.inherit_lease(now_ms, longest_lease_ms);
         }
         minion.acknowledged_through = minion
             .acknowledged_through
             .max(pending.acknowledged_through);
-        self.take_ends(now_ms, &listing);
-        self.take_running(now_ms, pending.sent_ms, &listing);
-        self.minion_checked(now_ms, pending.sent_ms);
+        self.apply_ends(now_ms, &listing);
+        self.apply_running(now_ms, pending.sent_ms, &listing);
+        self.start_checked_suspects(now_ms, pending.sent_ms);
         if is_fresh {
-            self.watch_stalls(now_ms);
+            self.detect_stalls(now_ms);
         }
     }
 
-    pub(crate) fn take_ends(&mut self, now_ms: u64, listing: &Listing) {
-        let mut offered = Vec::new();
+    pub(crate) fn apply_ends(&mut self, now_ms: u64, listing: &Listing) {
+        let mut unowned = Vec::new();
         for ended in &listing.ended {
             let Some(minion) = &mut self.minion else {
                 break;
             };
-            if ended.number <= minion.finished_through {
+            if ended.number <= minion.listed_through {
                 continue;
             }
-            minion.finished_through = ended.number;
-            let place = ended.key.as_ref().and_then(|key| self.runs.find(key));
-            let kept = stored_end(ended);
-            let linked = place.filter(|(link, _)| self.links.contains_key(link));
-            match (&kept, linked) {
-                (Some(end), Some((link, _))) => minion.retained_ends.tell(link, end.clone()),
+            minion.listed_through = ended.number;
+            let found = ended.key.as_ref().and_then(|key| self.runs.find(key));
+            let retained = stored_end(ended);
+            let linked = found.filter(|(link, _)| self.links.contains_key(link));
+            match (&retained, linked) {
+                (Some(end), Some((link, _))) => minion.retained_ends.report_sent(link, end.clone()),
                 (Some(end), None) => {
                     // It was started for an entry that is gone, or by an agent.
-                    minion.retained_ends.keep(now_ms, end.clone());
-                    offered.push(end.clone());
+                    minion.retained_ends.mark_unowned(now_ms, end.clone());
+                    unowned.push(end.clone());
                 }
                 (None, _) => {}
             }
-            let Some((link, order)) = place else {
+            let Some((link, order)) = found else {
                 continue;
             };
             if let Some(mut run) = self.runs.remove(link, order) {
-                self.judge_minion(now_ms, &run, ended.end);
+                self.record_end_for_breaker(now_ms, &run, ended.end);
                 if ended.end == RunEnd::Done {
-                    let (done_ms, spent_ms) = run.advance(now_ms, ALL_DONE);
+                    let (done_ms, spent_ms) = run.advance(now_ms, DONE_PERCENT);
                     self.pace.add(now_ms, done_ms, spent_ms);
                 }
-                match kept {
-                    Some(end) => self.report_kept_end(link, order, &end, run.ran_ms(now_ms)),
+                match retained {
+                    Some(end) => self.report_retained_end(link, order, &end, run.ran_ms(now_ms)),
                     None => self.report_end(link, order, ended.end, run.ran_ms(now_ms)),
                 }
             }
         }
-        self.offer(offered);
+        self.report_unowned_ends(unowned);
     }
 
     /// Notes whether an end speaks for or against the minion.
-    fn judge_minion(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
+    fn record_end_for_breaker(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
         match end {
             RunEnd::Done => self.breaker.succeeded(run.started_ms),
             RunEnd::Failed => {
@@ -197,9 +198,9 @@
 
     /// Compares the listing with what should run. A listing tells of a run
     /// only if it was asked for after the run's last answer.
-    pub(crate) fn take_running(&mut self, now_ms: u64, asked_ms: u64, listing: &Listing) {
+    pub(crate) fn apply_running(&mut self, now_ms: u64, asked_ms: u64, listing: &Listing) {
         let mut gone = Vec::new();
-        let is_whole = listing.ended.len() < MAX_LISTED_ENDS;
+        let is_complete = listing.ended.len() < MAX_LISTED_ENDS;
         for run in self.runs.iter_mut() {
             let listed = listing
                 .running
@@ -214,17 +215,17 @@
                     run.phase = Phase::Running;
                     run.confirmed_ms = now_ms;
                 }
-            } else if is_whole && is_surely_gone(run.phase, run.confirmed_ms, asked_ms) {
+            } else if is_complete && is_gone_for_good(run.phase, run.confirmed_ms, asked_ms) {
                 gone.push((run.link, run.order));
             }
         }
         for (link, order) in gone {
-            self.run_vanished(now_ms, link, order);
+            self.end_unlisted_run(now_ms, link, order);
         }
-        self.stop_strangers(now_ms, &listing.running);
+        self.stop_leftovers(now_ms, &listing.running);
     }
 
-    pub(crate) fn run_vanished(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
+    pub(crate) fn end_unlisted_run(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
         let Some(run) = self.runs.remove(link, order) else {
             return;
         };
@@ -239,27 +240,27 @@
 
     /// Stops what an earlier agent left on the minion, and begins to serve
     /// when nothing of it is listed any more.
-    pub(crate) fn stop_strangers(&mut self, now_ms: u64, running: &[ActiveRun]) {
+    pub(crate) fn stop_leftovers(&mut self, now_ms: u64, running: &[ActiveRun]) {
         let is_known = |key: &RunKey| self.runs.find(key).is_some();
         let keys = running.iter().filter_map(|row| row.key.clone());
-        let strangers: Vec<RunKey> = keys.filter(|key| !is_known(key)).collect();
+        let unknown_runs: Vec<RunKey> = keys.filter(|key| !is_known(key)).collect();
         let Some(minion) = &mut self.minion else {
             return;
         };
-        if strangers.is_empty() && !minion.is_clean {
-            minion.is_clean = true;
+        if unknown_runs.is_empty() && !minion.has_no_leftovers {
+            minion.has_no_leftovers = true;
             self.event("minion-served", None, String::new());
             self.greet_links(now_ms);
             return;
         }
         let is_due = |key: &RunKey| {
-            let tried = minion.leftovers.iter().find(|(tried, _)| tried == key);
+            let tried = minion.leftover_stops.iter().find(|(tried, _)| tried == key);
             tried.is_none_or(|(_, tried_ms)| now_ms >= tried_ms + STOP_RETRY_MS)
         };
-        let due: Vec<RunKey> = strangers.into_iter().filter(is_due).collect();
-        minion.leftovers.retain(|(key, _)| !due.contains(key));
+        let due: Vec<RunKey> = unknown_runs.into_iter().filter(is_due).collect();
+        minion.leftover_stops.retain(|(key, _)| !due.contains(key));
         minion
-            .leftovers
+            .leftover_stops
             .extend(due.iter().map(|key| (key.clone(), now_ms)));
         for key in due {
             self.event(
@@ -273,7 +274,7 @@
 }
 
 /// Whether a run that is not listed is gone for good.
-fn is_surely_gone(phase: Phase, confirmed_ms: u64, asked_ms: u64) -> bool {
+fn is_gone_for_good(phase: Phase, confirmed_ms: u64, asked_ms: u64) -> bool {
     match phase {
         Phase::Checking | Phase::Starting => false,
         Phase::Running => asked_ms > confirmed_ms,
--- a/crates/dispatch/src/agent/minion.rs
+++ b/crates/dispatch/src/agent/minion.rs
@@ -27,23 +27,23 @@
 pub(crate) const STOP_RETRY_MS: u64 = 60;
 /// Time without an answer after which a minion without a lease is given up, in
 /// milliseconds.
-const SILENCE_MS: u64 = 250;
+const UNLEASED_TIMEOUT_MS: u64 = 250;
 /// Time without a report of the minion after which it gets no more starts:
 /// two of its reports may be lost.
-const REPORTS_LOST_MS: u64 = 6_000;
+const REPORT_TIMEOUT_MS: u64 = 6_000;
 
 /// Ends without an acknowledgement from which the minion gets no more starts: it
 /// lists 500, and runs far fewer than the rest at a time.
-const ENDS_KEPT: u64 = 400;
+const MAX_UNACKNOWLEDGED_ENDS: u64 = 400;
 /// Calls in a row without an answer after which the minion gets no more
 /// starts until it answers again.
-const UNANSWERED: u32 = 3;
+const UNRESPONSIVE_CALLS: u32 = 3;
 /// Least time without an answer for that, in milliseconds: two starts in a row
 /// and their patience.
-const MUTE_MS: u64 = 120;
+const UNRESPONSIVE_MS: u64 = 120;
 /// Connections in a row that are refused when a minion has ended: one alone may
 /// have met it just before it listened.
-const REFUSALS_OF_THE_GONE: u32 = 2;
+const GONE_REFUSALS: u32 = 2;
 
 /// One lifetime of the minion beside an agent.
 #[derive(Debug)]
@@ -58,24 +58,24 @@
     pub(crate) answered_ms: u64,
     /// Latest end of the lease that any call asked for, on our clock.
     pub(crate) lease_until_ms: u64,
-    pub(crate) finished_through: u64,
+    pub(crate) listed_through: u64,
     pub(crate) acknowledged_through: u64,
     /// Whether nothing of an earlier agent is left.
-    pub(crate) is_clean: bool,
+    pub(crate) has_no_leftovers: bool,
     pub(crate) has_left: bool,
     /// Whether a departure was told that may have been an earlier life's.
-    pub(crate) is_doubted: bool,
+    pub(crate) may_have_left: bool,
     pub(crate) pending_listings: Vec<PendingListing>,
     /// Calls in a row without an answer.
-    pub(crate) unanswered: u32,
+    pub(crate) consecutive_unanswered: u32,
     /// Connections in a row that were refused.
-    refused_in_a_row: u32,
+    consecutive_refusals: u32,
     /// When it was last noted whether a call was answered.
-    judged_ms: u64,
+    last_call_ended_ms: u64,
     pub(crate) loss: CallLoss,
     /// When it may be asked again.
-    pub(crate) ask_ms: u64,
-    pub(crate) leftovers: Vec<(RunKey, u64)>,
+    pub(crate) next_listing_at_ms: u64,
+    pub(crate) leftover_stops: Vec<(RunKey, u64)>,
     pub(crate) retained_ends: RetainedEnds,
 }
 
@@ -89,64 +89,65 @@
             reported_ms: now_ms,
             answered_ms: now_ms,
             lease_until_ms: now_ms,
-            finished_through: 0,
+            listed_through: 0,
             acknowledged_through: 0,
-            is_clean: false,
+            has_no_leftovers: false,
             has_left: false,
-            is_doubted: false,
+            may_have_left: false,
             pending_listings: Vec::new(),
-            unanswered: 0,
-            refused_in_a_row: 0,
-            judged_ms: now_ms,
+            consecutive_unanswered: 0,
+            consecutive_refusals: 0,
+            last_call_ended_ms: now_ms,
             loss: CallLoss::default(),
-            ask_ms: now_ms,
-            leftovers: Vec::new(),
+            next_listing_at_ms: now_ms,
+            leftover_stops: Vec::new(),
             retained_ends: RetainedEnds::new(now_ms),
         }
     }
 
     pub(crate) fn is_accepting_starts(&self) -> bool {
-        let is_staying = !self.is_leaving() && !self.is_doubted;
-        self.is_clean && is_staying && self.is_answering() && self.has_room_for_ends()
+        let is_staying = !self.is_leaving() && !self.may_have_left;
+        self.has_no_leftovers && is_staying && self.is_answering() && self.can_list_more_ends()
     }
 
     /// Whether the minion lists the ends of all that it may still be given.
-    fn has_room_for_ends(&self) -> bool {
-        let kept = self
-            .finished_through
+    fn can_list_more_ends(&self) -> bool {
+        let unacknowledged = self
+            .listed_through
             .saturating_sub(self.acknowledged_through);
-        kept < ENDS_KEPT
+        unacknowledged < MAX_UNACKNOWLEDGED_ENDS
     }
 
     /// Whether a listing that was asked for at `sent_ms` is of another life under
     /// the same id: it tells another birth, or its clock has run back.
-    pub(crate) fn is_of_another_life(&self, sent_ms: u64, listing: &Listing) -> bool {
+    pub(crate) fn is_of_other_incarnation(&self, sent_ms: u64, listing: &Listing) -> bool {
         let is_later = listing.clock_ms > 0 && sent_ms > self.clock_read_ms;
-        let has_run_back = is_later && listing.clock_ms < self.clock_ms;
+        let has_gone_backwards = is_later && listing.clock_ms < self.clock_ms;
         let incarnation = &self.report.incarnation;
-        has_run_back || !incarnation.can_be_from(listing.started_unix_ms)
+        has_gone_backwards || !incarnation.can_be_from(listing.started_unix_ms)
     }
 
     /// Whether calls are answered: some may stay without an answer by chance,
     /// but not all for a while.
     pub(crate) fn is_answering(&self) -> bool {
-        let is_mute = self.unanswered >= UNANSWERED && self.judged_ms >= self.answered_ms + MUTE_MS;
-        !is_mute && self.refused_in_a_row < REFUSALS_OF_THE_GONE
+        let is_unresponsive = self.consecutive_unanswered >= UNRESPONSIVE_CALLS
+            && self.last_call_ended_ms >= self.answered_ms + UNRESPONSIVE_MS;
+        !is_unresponsive && self.consecutive_refusals < GONE_REFUSALS
     }
 
     /// Notes what became of a call.
-    pub(crate) fn judge(&mut self, now_ms: u64, call_outcome: CallOutcome) {
+    pub(crate) fn record_call_outcome(&mut self, now_ms: u64, call_outcome: CallOutcome) {
         let is_answered = call_outcome == CallOutcome::Answered;
-        self.loss.note(is_answered);
-        self.judged_ms = now_ms;
+        self.loss.record(is_answered);
+        self.last_call_ended_ms = now_ms;
         if is_answered {
             self.answered_ms = now_ms;
-            self.unanswered = 0;
+            self.consecutive_unanswered = 0;
         } else {
-            self.unanswered += 1;
+            self.consecutive_unanswered += 1;
         }
-        self.refused_in_a_row = match call_outcome {
-            CallOutcome::Refused => self.refused_in_a_row + 1,
+        self.consecutive_refusals = match call_outcome {
+            CallOutcome::Refused => self.consecutive_refusals + 1,
             CallOutcome::Answered | CallOutcome::Unanswered => 0,
         };
     }
@@ -154,7 +155,7 @@
     /// Whether nobody takes connections at its address any more: its process has
     /// ended, and all that ran there.
     fn is_gone(&self) -> bool {
-        self.epoch > 0 && self.refused_in_a_row >= REFUSALS_OF_THE_GONE
+        self.epoch > 0 && self.consecutive_refusals >= GONE_REFUSALS
     }
 
     /// Whether it said that it leaves.
@@ -162,8 +163,8 @@
         self.report.is_draining || self.has_left
     }
 
-    pub(crate) fn is_clean(&self) -> bool {
-        self.is_clean
+    pub(crate) fn has_no_leftovers(&self) -> bool {
+        self.has_no_leftovers
     }
 
     pub(crate) fn capacity(&self) -> Resources {
@@ -184,15 +185,17 @@
             labels: self.report.labels.clone(),
             capacity: self.report.capacity,
             clock_ms: now_ms,
-            retained_ends: self.retained_ends.offered(),
+            retained_ends: self.retained_ends.unowned(),
             crashes,
             incarnation: self.report.incarnation.to_string().into(),
         }
     }
 
     /// The last end that may be acknowledged, if it is not yet.
-    pub(crate) fn acknowledgeable(&self) -> Option<u64> {
-        let through = self.retained_ends.acknowledgeable(self.finished_through);
+    pub(crate) fn acknowledgeable_through(&self) -> Option<u64> {
+        let through = self
+            .retained_ends
+            .acknowledgeable_through(self.listed_through);
         (through > self.acknowledged_through).then_some(through)
     }
 
@@ -202,7 +205,7 @@
 
     /// Time that an answer with this reading of the minion's clock was on its way,
     /// judged by the reading before, in milliseconds.
-    pub(crate) fn lag_ms(&self, now_ms: u64, clock_ms: u64) -> u64 {
+    pub(crate) fn transit_ms(&self, now_ms: u64, clock_ms: u64) -> u64 {
         self.clock_at(now_ms).saturating_sub(clock_ms)
     }
 
@@ -225,7 +228,7 @@
     /// not while it must lapse.
     pub(crate) fn can_extend_lease(&self, now_ms: u64) -> bool {
         let minion = self.minion.as_ref();
-        if minion.is_some_and(|minion| minion.retained_ends.needs_lapse()) {
+        if minion.is_some_and(|minion| minion.retained_ends.needs_lease_lapse()) {
             return false;
         }
         !self.runs.iter().any(|run| match run.phase {
@@ -260,8 +263,8 @@
                 key,
                 epoch: minion.epoch,
             };
-            let copies = std::iter::repeat_n(stop, minion.loss.copies() as usize);
-            self.actions.extend(copies);
+            let stops = std::iter::repeat_n(stop, minion.loss.hedged_calls() as usize);
+            self.actions.extend(stops);
         }
     }
 
@@ -271,9 +274,9 @@
         now_ms: u64,
         incarnation: &Incarnation,
         key: &RunKey,
-        is_done: bool,
+        is_acknowledged: bool,
     ) {
-        if !self.serves(incarnation) || !is_done {
+        if !self.serves(incarnation) || !is_acknowledged {
             return;
         }
         let Some((link, order)) = self.runs.find(key) else {
@@ -289,32 +292,32 @@
     /// Repeats stops without an answer, and gives the minion up when its last
     /// lease is over.
     pub(crate) fn watch_minion(&mut self, now_ms: u64) {
-        self.repeat_stops(now_ms);
+        self.retry_stops(now_ms);
         let Some(minion) = &self.minion else {
             return;
         };
-        let is_unanswered = now_ms > minion.answered_ms + SILENCE_MS;
+        let is_unanswered = now_ms > minion.answered_ms + UNLEASED_TIMEOUT_MS;
         let has_runs = self.runs.has_sent_starts();
-        let is_over = now_ms > minion.lease_until_ms;
-        let has_reports = now_ms <= minion.reported_ms + REPORTS_LOST_MS;
+        let is_lease_over = now_ms > minion.lease_until_ms;
+        let has_recent_report = now_ms <= minion.reported_ms + REPORT_TIMEOUT_MS;
         if minion.is_gone() {
             // Its lease need not lapse first.
             let loss = Loss::of(minion);
             self.event("minion-refuses", None, format!("loss={loss:?}"));
             self.lose_minion(now_ms, loss);
-        } else if is_over && minion.has_left {
+        } else if is_lease_over && minion.has_left {
             self.lose_minion(now_ms, Loss::Gone);
-        } else if is_over && is_unanswered && has_runs {
+        } else if is_lease_over && is_unanswered && has_runs {
             self.event("minion-silent", None, String::new());
             self.lose_minion(now_ms, Loss::Gone);
-        } else if !has_reports && !has_runs {
+        } else if !has_recent_report && !has_runs {
             self.event("minion-unreported", None, String::new());
             self.lose_minion(now_ms, Loss::Gone);
         }
     }
 
-    pub(crate) fn repeat_stops(&mut self, now_ms: u64) {
-        let mut again = Vec::new();
+    pub(crate) fn retry_stops(&mut self, now_ms: u64) {
+        let mut due = Vec::new();
         for run in self.runs.iter_mut() {
             if let Phase::Stopping {
                 acked_ms: None,
@@ -324,10 +327,10 @@
                 && now_ms >= *tried_ms + STOP_RETRY_MS
             {
                 *tried_ms = now_ms;
-                again.push(run.key.clone());
+                due.push(run.key.clone());
             }
         }
-        for key in again {
+        for key in due {
             self.send_stop(key);
         }
     }
@@ -340,11 +343,11 @@
         let listings_ms = minion
             .pending_listings
             .iter()
-            .map(|pending| pending.overdue_ms)
+            .map(|pending| pending.overdue_at_ms)
             .min();
         let has_runs = self.runs.has_sent_starts();
         let lease_ms = (has_runs || minion.has_left).then_some(minion.lease_until_ms + 1);
-        let reports_ms = Some(minion.reported_ms + REPORTS_LOST_MS + 1);
+        let reports_ms = Some(minion.reported_ms + REPORT_TIMEOUT_MS + 1);
         let stops = self.runs.iter().filter_map(|run| match run.phase {
             Phase::Stopping {
                 acked_ms: None,
@@ -353,10 +356,10 @@
             } => Some(tried_ms + STOP_RETRY_MS),
             _ => None,
         });
-        let repeats_ms = self.runs.iter().filter_map(|run| run.repeat_ms).min();
-        let next_copy = |run| Self::next_copy_ms(minion, run);
-        let copies_ms = self.runs.iter().filter_map(next_copy).min();
-        let ask_ms = Some(minion.ask_ms);
+        let retries_ms = self.runs.iter().filter_map(|run| run.retry_at_ms).min();
+        let next_hedge = |run| Self::next_hedge_ms(minion, run);
+        let hedges_ms = self.runs.iter().filter_map(next_hedge).min();
+        let next_listing_at_ms = Some(minion.next_listing_at_ms);
         let ends_ms = minion.retained_ends.due_ms(minion.lease_until_ms);
         let stops_ms = stops.min();
         let times = [
@@ -364,13 +367,13 @@
             lease_ms,
             reports_ms,
             stops_ms,
-            repeats_ms,
-            copies_ms,
-            ask_ms,
+            retries_ms,
+            hedges_ms,
+            next_listing_at_ms,
             candidate_ms,
             ends_ms,
             self.check_due_ms(),
-            self.delayed_calls.until_ms(now_ms),
+            self.delayed_calls.possible_until_ms(now_ms),
         ];
         let due_ms = times
             .into_iter()
--- a/crates/dispatch/src/agent/mod.rs
+++ b/crates/dispatch/src/agent/mod.rs
@@ -139,7 +139,7 @@
     pub(crate) candidate: Option<Candidate>,
     /// The life that was shown to have ended last: a late report of it is not
     /// taken for a minion.
-    pub(crate) ended: Option<Incarnation>,
+    pub(crate) last_ended: Option<Incarnation>,
     pub(crate) epochs: Epochs,
     pub(crate) delayed_calls: DelayedCalls,
     /// Crashes of the minion, to tell the entries that are greeted.
@@ -166,7 +166,7 @@
             identity,
             minion: None,
             candidate: None,
-            ended: None,
+            last_ended: None,
             epochs: Epochs::default(),
             delayed_calls: DelayedCalls::default(),
             crashes: KnownCrashes::default(),
@@ -236,7 +236,7 @@
         for order in frame.orders {
             match order {
                 Order::Start(start) => self.start_ordered(now_ms, link, start),
-                Order::Probe(probe) => self.offers.probed(now_ms, link, &probe),
+                Order::Probe(probe) => self.offers.add_probe(now_ms, link, &probe),
                 Order::DiscountFailures(job) => self.breaker.discount_failures(&job),
                 Order::DeclineOffer => self.offers.close(link),
                 Order::Stop(order) => self.stop_ordered(now_ms, link, order),
@@ -256,19 +256,19 @@
 
     /// Does what is due; returns when to call again at the latest.
     pub fn tick(&mut self, now_ms: u64) -> u64 {
-        self.watch_ends(now_ms);
+        self.expire_retained_ends(now_ms);
         self.delayed_calls.expire(now_ms);
         self.crashes.expire(now_ms);
         self.expire_links(now_ms);
-        self.close_retired(now_ms);
+        self.close_retired_links(now_ms);
         self.watch_minion(now_ms);
         self.watch_candidate(now_ms);
-        self.repeat_starts(now_ms);
-        self.copy_starts(now_ms);
-        self.offer_room(now_ms);
+        self.retry_starts(now_ms);
+        self.hedge_starts(now_ms);
+        self.offer_free_resources(now_ms);
         self.greet_links(now_ms);
         self.list_if_due(now_ms);
-        self.check_minion(now_ms);
+        self.check_suspect_starts(now_ms);
         self.send_frames(now_ms);
         self.next_due_ms(now_ms)
     }
@@ -305,7 +305,7 @@
         }
         let order = start.id;
         if !self.admits(now_ms) || is_retiring {
-            self.note_evacuated_start(&start);
+            self.log_evacuated_start(&start);
             self.report_end(
                 link,
                 order,
@@ -315,10 +315,10 @@
             return;
         }
         let run = Run::new(now_ms, link, start);
-        let has_room = self.free_for(link).can_fit(&run.needs);
-        let is_alone = !run.is_suspect || !self.runs.has_suspect_beside(&run.key.task.job);
-        let is_free = has_room && is_alone && !self.runs.is_task_active(&run.key);
-        if !is_free || !self.can_extend_lease(now_ms) {
+        let has_resources = self.free_resources_for(link).can_fit(&run.needs);
+        let is_isolated = !run.is_suspect || !self.runs.has_other_suspect(&run.key.task.job);
+        let can_start = has_resources && is_isolated && !self.runs.is_task_active(&run.key);
+        if !can_start || !self.can_extend_lease(now_ms) {
             self.report_end(link, order, RunEnd::NotStarted(NotStartedReason::Full), 0);
             return;
         }
@@ -337,24 +337,27 @@
     }
 
     /// Room that no run takes.
-    pub(crate) fn free(&self) -> Resources {
+    pub(crate) fn free_resources(&self) -> Resources {
         let capacity = self.minion.as_ref().map(Minion::capacity);
-        capacity.unwrap_or_default().minus(&self.runs.taken())
+        capacity
+            .unwrap_or_default()
+            .minus(&self.runs.taken_resources())
     }
 
     /// The same without what is kept for other entries.
-    pub(crate) fn free_for(&self, link: LinkId) -> Resources {
-        self.free().minus(&self.offers.kept_from(link))
+    pub(crate) fn free_resources_for(&self, link: LinkId) -> Resources {
+        self.free_resources()
+            .minus(&self.offers.reserved_for_others(link))
     }
 
     /// Offers the room that is free to entries whose tasks wait.
-    fn offer_room(&mut self, now_ms: u64) {
-        let is_sound = self.breaker.state(now_ms) == BreakerState::Closed;
-        if !is_sound || !self.is_accepting_starts() {
+    fn offer_free_resources(&mut self, now_ms: u64) {
+        let is_healthy = self.breaker.state(now_ms) == BreakerState::Closed;
+        if !is_healthy || !self.is_accepting_starts() {
             self.offers.clear();
             return;
         }
-        for link in self.offers.make(now_ms, self.free()) {
+        for link in self.offers.make_offers(now_ms, self.free_resources()) {
             if let Some(state) = self.links.get_mut(&link) {
                 state.has_offer = true;
             }
--- a/crates/dispatch/src/agent/offers.rs
+++ b/crates/dispatch/src/agent/offers.rs
@@ -11,7 +11,7 @@
 
 /// Time for which an entry may use an offer, in milliseconds: two messages
 /// between availability zones and a slow process.
-const OFFER_MS: u64 = 10;
+const OFFER_TTL_MS: u64 = 10;
 /// Time for which a probe counts, in milliseconds. An entry whose task still
 /// waits probes other agents after that, so a lost probe does little harm.
 pub(crate) const PROBE_TTL_MS: u64 = 60;
@@ -30,19 +30,19 @@
     needs: Resources,
     tasks: u32,
     due_ms: u64,
-    until_ms: u64,
+    valid_until_ms: u64,
 }
 
 impl WaitingProbe {
     /// Room for as many of the tasks as fit, which are then served.
-    fn take(&mut self, mut left: Resources) -> Resources {
-        let mut taken = Resources::default();
-        while self.tasks > 0 && left.can_fit(&self.needs) {
-            left = left.minus(&self.needs);
-            taken = taken.plus(&self.needs);
+    fn reserve(&mut self, mut free: Resources) -> Resources {
+        let mut reserved = Resources::default();
+        while self.tasks > 0 && free.can_fit(&self.needs) {
+            free = free.minus(&self.needs);
+            reserved = reserved.plus(&self.needs);
             self.tasks -= 1;
         }
-        taken
+        reserved
     }
 }
 
@@ -51,18 +51,18 @@
 struct Offer {
     link: LinkId,
     resources: Resources,
-    until_ms: u64,
+    valid_until_ms: u64,
 }
 
 impl Offers {
     /// Tasks of an entry wait for room.
-    pub(crate) fn probed(&mut self, now_ms: u64, link: LinkId, probe: &Probe) {
+    pub(crate) fn add_probe(&mut self, now_ms: u64, link: LinkId, probe: &Probe) {
         self.waiting.push(WaitingProbe {
             link,
             needs: probe.needs,
             tasks: probe.tasks,
             due_ms: now_ms + u64::from(probe.slack_ms),
-            until_ms: now_ms + PROBE_TTL_MS,
+            valid_until_ms: now_ms + PROBE_TTL_MS,
         });
         self.waiting.sort_by_key(|probe| probe.due_ms);
     }
@@ -86,40 +86,40 @@
 
     /// Forgets what is too old.
     pub(crate) fn expire(&mut self, now_ms: u64) {
-        self.open.retain(|offer| now_ms < offer.until_ms);
-        self.waiting.retain(|probe| now_ms < probe.until_ms);
+        self.open.retain(|offer| now_ms < offer.valid_until_ms);
+        self.waiting.retain(|probe| now_ms < probe.valid_until_ms);
     }
 
     /// Offers free room, the most urgent probe first; returns whom to tell.
-    pub(crate) fn make(&mut self, now_ms: u64, free: Resources) -> Vec<LinkId> {
+    pub(crate) fn make_offers(&mut self, now_ms: u64, free: Resources) -> Vec<LinkId> {
         self.expire(now_ms);
-        let mut left = self
+        let mut unreserved = self
             .open
             .iter()
-            .fold(free, |left, offer| left.minus(&offer.resources));
-        let mut told = Vec::new();
+            .fold(free, |unreserved, offer| unreserved.minus(&offer.resources));
+        let mut offered_to = Vec::new();
         for probe in &mut self.waiting {
             if self.open.iter().any(|offer| offer.link == probe.link) {
                 continue;
             }
-            let resources = probe.take(left);
+            let resources = probe.reserve(unreserved);
             if resources == Resources::default() {
                 continue;
             }
-            left = left.minus(&resources);
+            unreserved = unreserved.minus(&resources);
             self.open.push(Offer {
                 link: probe.link,
                 resources,
-                until_ms: now_ms + OFFER_MS,
+                valid_until_ms: now_ms + OFFER_TTL_MS,
             });
-            told.push(probe.link);
+            offered_to.push(probe.link);
         }
         self.waiting.retain(|probe| probe.tasks > 0);
-        told
+        offered_to
     }
 
     /// Room that is kept for other entries.
-    pub(crate) fn kept_from(&self, link: LinkId) -> Resources {
+    pub(crate) fn reserved_for_others(&self, link: LinkId) -> Resources {
         let others = self.open.iter().filter(|offer| offer.link != link);
         others.fold(Resources::default(), |sum, offer| {
             sum.plus(&offer.resources)
@@ -128,6 +128,6 @@
 
     /// When the first offer ends.
     pub(crate) fn due_ms(&self) -> Option<u64> {
-        self.open.iter().map(|offer| offer.until_ms).min()
+        self.open.iter().map(|offer| offer.valid_until_ms).min()
     }
 }
--- a/crates/dispatch/src/agent/pace.rs
+++ b/crates/dispatch/src/agent/pace.rs
@@ -3,7 +3,7 @@
 /// Time constant after which earlier progress counts for little, in
 /// milliseconds: a minion that turns slow or hangs is told within two or three
 /// of a sub-second task's tenths.
-const MEMORY_MS: f64 = 250.0;
+const DECAY_MS: f64 = 250.0;
 /// Weight of the assumption that a minion has ordinary speed, in milliseconds
 /// of run time; one short task outweighs it.
 const PRIOR_MS: f64 = 60.0;
@@ -29,17 +29,17 @@
 
     /// Speed in thousandths of the ordinary one.
     pub(crate) fn permille(&self, now_ms: u64) -> u32 {
-        let mut present = self.clone();
-        present.decay(now_ms);
-        let speed = (present.done_ms + PRIOR_MS) / (present.spent_ms + PRIOR_MS);
+        let mut current = self.clone();
+        current.decay(now_ms);
+        let speed = (current.done_ms + PRIOR_MS) / (current.spent_ms + PRIOR_MS);
         (speed * PERMILLE).round() as u32
     }
 
     fn decay(&mut self, now_ms: u64) {
         let pause_ms = now_ms.saturating_sub(self.updated_ms) as f64;
-        let rest = (-pause_ms / MEMORY_MS).exp();
-        self.done_ms *= rest;
-        self.spent_ms *= rest;
+        let remaining = (-pause_ms / DECAY_MS).exp();
+        self.done_ms *= remaining;
+        self.spent_ms *= remaining;
         self.updated_ms = now_ms;
     }
 }
--- a/crates/dispatch/src/agent/retained_ends.rs
+++ b/crates/dispatch/src/agent/retained_ends.rs
@@ -29,52 +29,55 @@
 #[derive(Debug)]
 pub(crate) struct RetainedEnds {
     /// Ends that an entry was told and has not settled yet.
-    told: BTreeMap<u64, (LinkId, RetainedEnd)>,
+    reported: BTreeMap<u64, (LinkId, RetainedEnd)>,
     /// Ends that wait for an owner, and until when.
-    kept: BTreeMap<u64, (RetainedEnd, u64)>,
+    unowned: BTreeMap<u64, (RetainedEnd, u64)>,
     /// Ends that nobody will record.
-    disowned: BTreeSet<u64>,
+    discarded: BTreeSet<u64>,
     /// When a lease that an earlier agent asked for is over.
-    inherited_until_ms: u64,
+    inherited_lease_until_ms: u64,
 }
 
 impl RetainedEnds {
     /// None yet, on a minion that an earlier agent may have kept until now.
     pub(crate) fn new(now_ms: u64) -> Self {
         Self {
-            told: BTreeMap::new(),
-            kept: BTreeMap::new(),
-            disowned: BTreeSet::new(),
-            inherited_until_ms: now_ms + MINION_LEASE_MS + MINION_LEASE_MS / 50,
+            reported: BTreeMap::new(),
+            unowned: BTreeMap::new(),
+            discarded: BTreeSet::new(),
+            inherited_lease_until_ms: now_ms + MINION_LEASE_MS + MINION_LEASE_MS / 50,
         }
     }
 
     /// A call that was meant for an earlier life, with a time on its clock, was
     /// carried out until now at the latest: the lease may be as long as any.
     pub(crate) fn inherit_lease(&mut self, now_ms: u64, longest_ms: u64) {
-        self.inherited_until_ms = now_ms + longest_ms + longest_ms / 50;
+        self.inherited_lease_until_ms = now_ms + longest_ms + longest_ms / 50;
     }
 
     /// An end was told to the entry at a link.
-    pub(crate) fn tell(&mut self, link: LinkId, end: RetainedEnd) {
-        self.told.insert(end.number, (link, end));
+    pub(crate) fn report_sent(&mut self, link: LinkId, end: RetainedEnd) {
+        self.reported.insert(end.number, (link, end));
     }
 
     /// An end waits for an owner.
-    pub(crate) fn keep(&mut self, now_ms: u64, end: RetainedEnd) {
-        self.kept
+    pub(crate) fn mark_unowned(&mut self, now_ms: u64, end: RetainedEnd) {
+        self.unowned
             .insert(end.number, (end, now_ms + RETAINED_END_TTL_MS));
     }
 
     /// A link is gone: what was told there waits for an owner.
-    fn keep_told(&mut self, now_ms: u64, link: LinkId) -> Vec<RetainedEnd> {
-        let gone = self.told.values().filter(|(told, _)| *told == link);
-        let gone: Vec<RetainedEnd> = gone.map(|(_, end)| end.clone()).collect();
-        for end in &gone {
-            self.told.remove(&end.number);
-            self.keep(now_ms, end.clone());
+    fn reclaim_from(&mut self, now_ms: u64, link: LinkId) -> Vec<RetainedEnd> {
+        let reclaimed = self
+            .reported
+            .values()
+            .filter(|(reported_to, _)| *reported_to == link);
+        let reclaimed: Vec<RetainedEnd> = reclaimed.map(|(_, end)| end.clone()).collect();
+        for end in &reclaimed {
+            self.reported.remove(&end.number);
+            self.mark_unowned(now_ms, end.clone());
         }
-        gone
+        reclaimed
     }
 
     /// An entry settled an end; the end if it waits for another owner now.
@@ -84,80 +87,82 @@
         number: u64,
         disposition: Disposition,
     ) -> Option<RetainedEnd> {
-        let told = self.told.remove(&number).map(|(_, end)| end);
-        let kept = self.kept.remove(&number).map(|(end, _)| end);
-        let end = told.or(kept)?;
+        let reported = self.reported.remove(&number).map(|(_, end)| end);
+        let unowned = self.unowned.remove(&number).map(|(end, _)| end);
+        let end = reported.or(unowned)?;
         match disposition {
             Disposition::Recorded => None,
             Disposition::Superseded => {
-                self.disowned.insert(number);
+                self.discarded.insert(number);
                 None
             }
             Disposition::NotOwner => {
-                self.keep(now_ms, end.clone());
+                self.mark_unowned(now_ms, end.clone());
                 Some(end)
             }
         }
     }
 
     /// Ends that wait for an owner.
-    pub(crate) fn offered(&self) -> Vec<RetainedEnd> {
-        self.kept.values().map(|(end, _)| end.clone()).collect()
+    pub(crate) fn unowned(&self) -> Vec<RetainedEnd> {
+        self.unowned.values().map(|(end, _)| end.clone()).collect()
     }
 
     /// Whether an entry was told an end that it has not settled.
-    pub(crate) fn awaits(&self, link: LinkId) -> bool {
-        self.told.values().any(|(told, _)| *told == link)
+    pub(crate) fn has_reported_to(&self, link: LinkId) -> bool {
+        self.reported
+            .values()
+            .any(|(reported_to, _)| *reported_to == link)
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.told.is_empty() && self.kept.is_empty() && self.disowned.is_empty()
+        self.reported.is_empty() && self.unowned.is_empty() && self.discarded.is_empty()
     }
 
     /// The last end up to which all may be acknowledged, of those listed.
-    pub(crate) fn acknowledgeable(&self, listed_through: u64) -> u64 {
-        let told = self.told.keys().next();
-        let kept = self.kept.keys().next();
-        let disowned = self.disowned.first();
-        let first = [told, kept, disowned].into_iter().flatten().min();
+    pub(crate) fn acknowledgeable_through(&self, listed_through: u64) -> u64 {
+        let reported = self.reported.keys().next();
+        let unowned = self.unowned.keys().next();
+        let discarded = self.discarded.first();
+        let first = [reported, unowned, discarded].into_iter().flatten().min();
         first.map_or(listed_through, |first| first - 1)
     }
 
     /// Whether the lease must lapse before ends can be acknowledged.
-    pub(crate) fn needs_lapse(&self) -> bool {
-        !self.disowned.is_empty()
+    pub(crate) fn needs_lease_lapse(&self) -> bool {
+        !self.discarded.is_empty()
     }
 
     /// When the lease has lapsed, if it must, or an end is given up.
     pub(crate) fn due_ms(&self, lease_until_ms: u64) -> Option<u64> {
-        let lapsed_ms = self.lapsed_ms(lease_until_ms);
-        let lapsed_ms = self.needs_lapse().then_some(lapsed_ms);
-        let kept_ms = self.kept.values().map(|(_, until_ms)| *until_ms).min();
-        lapsed_ms.into_iter().chain(kept_ms).min()
+        let lease_lapsed_ms = self.lease_lapsed_ms(lease_until_ms);
+        let lease_lapsed_ms = self.needs_lease_lapse().then_some(lease_lapsed_ms);
+        let unowned_until_ms = self.unowned.values().map(|(_, until_ms)| *until_ms).min();
+        lease_lapsed_ms.into_iter().chain(unowned_until_ms).min()
     }
 
-    fn lapsed_ms(&self, lease_until_ms: u64) -> u64 {
-        lease_until_ms.max(self.inherited_until_ms) + 1
+    fn lease_lapsed_ms(&self, lease_until_ms: u64) -> u64 {
+        lease_until_ms.max(self.inherited_lease_until_ms) + 1
     }
 
     /// Gives up what nobody took, and lets go what a lapse freed; how many of
     /// each.
     fn expire(&mut self, now_ms: u64, lease_until_ms: u64) -> (usize, usize) {
         let mut freed = 0;
-        if self.needs_lapse() && now_ms >= self.lapsed_ms(lease_until_ms) {
-            freed = self.disowned.len();
-            self.disowned.clear();
+        if self.needs_lease_lapse() && now_ms >= self.lease_lapsed_ms(lease_until_ms) {
+            freed = self.discarded.len();
+            self.discarded.clear();
         }
-        let over = self
-            .kept
+        let expired = self
+            .unowned
             .iter()
             .filter(|(_, (_, until_ms))| now_ms >= *until_ms);
-        let over: Vec<u64> = over.map(|(number, _)| *number).collect();
-        for number in &over {
-            self.kept.remove(number);
-            self.disowned.insert(*number);
+        let expired: Vec<u64> = expired.map(|(number, _)| *number).collect();
+        for number in &expired {
+            self.unowned.remove(number);
+            self.discarded.insert(*number);
         }
-        (over.len(), freed)
+        (expired.len(), freed)
     }
 }
 
@@ -180,21 +185,21 @@
         let Some(minion) = &mut self.minion else {
             return;
         };
-        let offered = minion.retained_ends.dispose(now_ms, number, disposition);
-        self.offer(offered.into_iter().collect());
+        let unowned = minion.retained_ends.dispose(now_ms, number, disposition);
+        self.report_unowned_ends(unowned.into_iter().collect());
     }
 
     /// A link is gone, and with it the one who would record what was told there.
-    pub(crate) fn keep_ends(&mut self, now_ms: u64, link: LinkId) {
+    pub(crate) fn reclaim_ends_of_link(&mut self, now_ms: u64, link: LinkId) {
         let Some(minion) = &mut self.minion else {
             return;
         };
-        let offered = minion.retained_ends.keep_told(now_ms, link);
-        self.offer(offered);
+        let unowned = minion.retained_ends.reclaim_from(now_ms, link);
+        self.report_unowned_ends(unowned);
     }
 
     /// Offers ends to all entries.
-    pub(crate) fn offer(&mut self, ends: Vec<RetainedEnd>) {
+    pub(crate) fn report_unowned_ends(&mut self, ends: Vec<RetainedEnd>) {
         if ends.is_empty() {
             return;
         }
@@ -204,7 +209,7 @@
     }
 
     /// Gives up ends that nobody took, and notes that the lease lapsed.
-    pub(crate) fn watch_ends(&mut self, now_ms: u64) {
+    pub(crate) fn expire_retained_ends(&mut self, now_ms: u64) {
         let Some(minion) = &mut self.minion else {
             return;
         };
--- a/crates/dispatch/src/agent/run_table.rs
+++ b/crates/dispatch/src/agent/run_table.rs
@@ -63,7 +63,7 @@
     /// Starts that are not answered yet.
     pub(crate) pending: u32,
     /// Copies of the last start that were sent, and when.
-    pub(crate) copies: u32,
+    pub(crate) hedged_calls: u32,
     pub(crate) sent_ms: u64,
     /// Why a copy of the last start was refused.
     pub(crate) refusal: Option<StartResult>,
@@ -71,13 +71,13 @@
     pub(crate) is_outcome_unknown: bool,
     /// When a connection broke that tells of it: that of its start after the call was
     /// sent, or that of a listing which waited for an end while the minion had it.
-    pub(crate) cut_off_ms: Option<u64>,
+    pub(crate) connection_broke_ms: Option<u64>,
     /// Whether the connection of a start broke some time after the call was sent.
-    was_sent: bool,
+    is_read_uncertain: bool,
     /// Times that a start got no answer.
     pub(crate) unanswered: u32,
     /// When the start is sent again.
-    pub(crate) repeat_ms: Option<u64>,
+    pub(crate) retry_at_ms: Option<u64>,
 }
 
 impl Run {
@@ -105,14 +105,14 @@
             was_seen_running: false,
             was_listed: false,
             pending: 0,
-            copies: 0,
+            hedged_calls: 0,
             sent_ms: now_ms,
             refusal: None,
             is_outcome_unknown: false,
-            cut_off_ms: None,
-            was_sent: false,
+            connection_broke_ms: None,
+            is_read_uncertain: false,
             unanswered: 0,
-            repeat_ms: None,
+            retry_at_ms: None,
         }
     }
 
@@ -132,17 +132,17 @@
     /// Whether it may be carried out by a later life of the minion under the same
     /// id: a call that starts it had no answer, or nothing but that answer, which
     /// tells no birth, shows that it runs.
-    pub(crate) fn may_be_of_next_life(&self) -> bool {
+    pub(crate) fn may_run_in_next_incarnation(&self) -> bool {
         !self.was_listed || self.pending > 0 || self.is_outcome_unknown || self.unanswered > 0
     }
 
     /// The connection of its start broke after the call was sent. If that took long, the
     /// minion may have stood still all the while and not have read it.
-    pub(crate) fn start_broke(&mut self, now_ms: u64) {
+    pub(crate) fn start_connection_broke(&mut self, now_ms: u64) {
         if now_ms <= self.sent_ms + READ_AT_ONCE_MS {
-            self.cut_off_ms = Some(now_ms);
+            self.connection_broke_ms = Some(now_ms);
         } else {
-            self.was_sent = true;
+            self.is_read_uncertain = true;
         }
     }
 
@@ -158,8 +158,8 @@
         );
         match (
             is_stopped,
-            self.cut_off_ms,
-            self.was_seen_running || self.was_sent,
+            self.connection_broke_ms,
+            self.was_seen_running || self.is_read_uncertain,
         ) {
             (false, Some(_), _) => Some(CrashEvidence::Strong),
             (false, None, true) => Some(CrashEvidence::Weak),
@@ -224,7 +224,7 @@
     }
 
     /// Whether a task of another job runs here under which minions crashed.
-    pub(crate) fn has_suspect_beside(&self, job: &Name) -> bool {
+    pub(crate) fn has_other_suspect(&self, job: &Name) -> bool {
         let mut suspects = self.runs.values().filter(|run| run.is_suspect);
         suspects.any(|run| run.key.task.job != *job)
     }
@@ -235,22 +235,23 @@
     }
 
     /// A listing that waited for an end broke off: what the minion has taken was at work.
-    pub(crate) fn cut_off(&mut self, now_ms: u64) {
+    pub(crate) fn listing_connection_broke(&mut self, now_ms: u64) {
         for run in self.runs.values_mut().filter(|run| run.was_seen_running) {
-            run.cut_off_ms = Some(now_ms);
+            run.connection_broke_ms = Some(now_ms);
         }
     }
 
     /// The minion was alive at this time: connections that broke before tell nothing of
     /// its end.
-    pub(crate) fn answered(&mut self, at_ms: u64) {
+    pub(crate) fn minion_answered(&mut self, at_ms: u64) {
         for run in self.runs.values_mut() {
-            run.cut_off_ms.take_if(|cut_off_ms| at_ms > *cut_off_ms);
+            run.connection_broke_ms
+                .take_if(|connection_broke_ms| at_ms > *connection_broke_ms);
         }
     }
 
     /// Room of all runs that the minion may hold.
-    pub(crate) fn taken(&self) -> Resources {
+    pub(crate) fn taken_resources(&self) -> Resources {
         let runs = self.runs.values();
         runs.fold(Resources::default(), |sum, run| sum.plus(&run.needs))
     }
--- a/crates/dispatch/src/agent/starts.rs
+++ b/crates/dispatch/src/agent/starts.rs
@@ -16,15 +16,15 @@
 use crate::minion_calls::CallOutcome;
 
 /// Starts that are sent before a run without an answer is given up.
-const START_TRIES: u32 = 3;
+const MAX_START_TRIES: u32 = 3;
 /// Copies of a start that are sent at once; the others follow while there is
 /// no answer.
-const START_COPIES: u32 = 2;
+const MAX_INITIAL_START_CALLS: u32 = 2;
 /// Pause before the next copy, in milliseconds; a sound minion on the same host
 /// answers within a few.
-const NEXT_COPY_MS: u64 = 12;
+const HEDGE_DELAY_MS: u64 = 12;
 /// Least time between two starts of a run, in milliseconds.
-const START_RETRY_MS: u64 = 50;
+const MIN_START_INTERVAL_MS: u64 = 50;
 
 impl Agent {
     /// Starts a run, or starts it again.
@@ -33,14 +33,14 @@
             return;
         };
         run.phase = Phase::Starting;
-        run.repeat_ms = None;
+        run.retry_at_ms = None;
         run.started_ms = now_ms;
         run.read_ms = now_ms;
         run.changed_ms = now_ms;
         run.refusal = None;
         run.is_outcome_unknown = false;
-        run.copies = 0;
-        for _ in 0..minion.loss.copies().min(START_COPIES) {
+        run.hedged_calls = 0;
+        for _ in 0..minion.loss.hedged_calls().min(MAX_INITIAL_START_CALLS) {
             self.send_start(now_ms, link, order);
         }
     }
@@ -50,12 +50,12 @@
         let (Some(minion), Some(run)) = (&mut self.minion, self.runs.get_mut(link, order)) else {
             return;
         };
-        run.copies += 1;
+        run.hedged_calls += 1;
         run.pending += 1;
         run.sent_ms = now_ms;
         let deadline_ms = minion.extend_lease(now_ms);
         let incarnation = minion.report.incarnation.clone();
-        self.delayed_calls.sent(&incarnation, &run.key);
+        self.delayed_calls.start_sent(&incarnation, &run.key);
         self.actions.push(AgentAction::Start {
             incarnation,
             key: run.key.clone(),
@@ -74,7 +74,7 @@
         result: StartResult,
     ) {
         let is_answered = result.call_outcome() != CallOutcome::Unanswered;
-        self.delayed_calls.ended(now_ms, key, is_answered);
+        self.delayed_calls.start_ended(now_ms, key, is_answered);
         if !self.serves(incarnation) {
             return;
         }
@@ -86,7 +86,7 @@
             return;
         }
         if let Some(minion) = &mut self.minion {
-            minion.judge(now_ms, result.call_outcome());
+            minion.record_call_outcome(now_ms, result.call_outcome());
         }
         let Some((link, order)) = self.runs.find(key) else {
             return;
@@ -98,7 +98,7 @@
         match result {
             StartResult::Started => {
                 run.was_seen_running = true;
-                run.cut_off_ms = None;
+                run.connection_broke_ms = None;
                 run.confirmed_ms = now_ms;
                 if run.phase == Phase::Starting {
                     run.phase = Phase::Running;
@@ -107,31 +107,31 @@
             StartResult::NoAnswer => run.is_outcome_unknown = true,
             StartResult::Broken => {
                 run.is_outcome_unknown = true;
-                run.start_broke(now_ms);
+                run.start_connection_broke(now_ms);
             }
             refused => run.refusal = Some(refused),
         }
         if run.pending == 0 && run.phase != Phase::Running {
-            self.start_settled(now_ms, link, order);
+            self.resolve_start(now_ms, link, order);
         }
     }
 
     /// All copies of a start are answered or given up, and the run is not known
     /// to be at work.
-    fn start_settled(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
+    fn resolve_start(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
         let Some(run) = self.runs.get_mut(link, order) else {
             return;
         };
-        let may_be_there = run.was_seen_running || run.is_outcome_unknown || run.unanswered > 0;
+        let may_have_started = run.was_seen_running || run.is_outcome_unknown || run.unanswered > 0;
         let is_starting = run.phase == Phase::Starting;
         match run.refusal {
-            Some(StartResult::OldRun) if may_be_there && is_starting => {
+            Some(StartResult::OldRun) if may_have_started && is_starting => {
                 // An earlier start of it was carried out, and it has ended: the
                 // next listing tells how.
                 run.phase = Phase::Running;
                 run.confirmed_ms = now_ms;
             }
-            Some(refusal) if !may_be_there => self.start_refused(link, order, refusal),
+            Some(refusal) if !may_have_started => self.start_refused(link, order, refusal),
             // Another copy may have been taken before the epoch was seen.
             Some(StartResult::Fenced) => {
                 self.stop_run(now_ms, link, order);
@@ -152,8 +152,8 @@
         run.unanswered += 1;
         let job = run.key.task.job.clone();
         let detail = format!("run={} tries={}", run.key.run, run.unanswered);
-        if run.phase == Phase::Starting && run.unanswered < START_TRIES {
-            run.repeat_ms = Some((run.started_ms + START_RETRY_MS).max(now_ms + 1));
+        if run.phase == Phase::Starting && run.unanswered < MAX_START_TRIES {
+            run.retry_at_ms = Some((run.started_ms + MIN_START_INTERVAL_MS).max(now_ms + 1));
         } else if run.phase == Phase::Starting {
             self.stop_run(now_ms, link, order);
         }
@@ -161,25 +161,25 @@
     }
 
     /// When one more copy of a start is sent that has no answer yet.
-    pub(crate) fn next_copy_ms(minion: &Minion, run: &Run) -> Option<u64> {
+    pub(crate) fn next_hedge_ms(minion: &Minion, run: &Run) -> Option<u64> {
         let is_open = run.phase == Phase::Starting && run.pending > 0;
-        let is_useful = run.copies < minion.loss.copies();
-        (is_open && is_useful).then_some(run.sent_ms + NEXT_COPY_MS)
+        let is_useful = run.hedged_calls < minion.loss.hedged_calls();
+        (is_open && is_useful).then_some(run.sent_ms + HEDGE_DELAY_MS)
     }
 
     /// Sends one more copy of the starts that have no answer yet.
-    pub(crate) fn copy_starts(&mut self, now_ms: u64) {
+    pub(crate) fn hedge_starts(&mut self, now_ms: u64) {
         let Some(minion) = &self.minion else {
             return;
         };
         let is_due = |run: &&Run| {
-            let due_ms = Self::next_copy_ms(minion, run);
+            let due_ms = Self::next_hedge_ms(minion, run);
             due_ms.is_some_and(|due_ms| now_ms >= due_ms)
         };
         let due = self.runs.iter().filter(is_due);
         let due: Vec<(LinkId, OrderId)> = due.map(|run| (run.link, run.order)).collect();
-        let may_start = !self.is_evacuated() && self.runs_fit();
-        if due.is_empty() || !may_start || !self.can_extend_lease(now_ms) {
+        let can_start = !self.is_evacuated() && self.runs_fit();
+        if due.is_empty() || !can_start || !self.can_extend_lease(now_ms) {
             return;
         }
         for (link, order) in due {
@@ -188,9 +188,11 @@
     }
 
     /// Sends starts again that got no answer.
-    pub(crate) fn repeat_starts(&mut self, now_ms: u64) {
+    pub(crate) fn retry_starts(&mut self, now_ms: u64) {
         let is_due = |run: &&Run| {
-            let is_due = run.repeat_ms.is_some_and(|repeat_ms| now_ms >= repeat_ms);
+            let is_due = run
+                .retry_at_ms
+                .is_some_and(|retry_at_ms| now_ms >= retry_at_ms);
             is_due && run.phase == Phase::Starting
         };
         let due = self.runs.iter().filter(is_due);
@@ -214,7 +216,7 @@
         let Some(run) = self.runs.remove(link, order) else {
             return;
         };
-        let busy = match result {
+        let reason = match result {
             StartResult::OldRun => NotStartedReason::OldRun,
             StartResult::NoRoom => NotStartedReason::Full,
             // It says nothing of the minion's health.
@@ -223,7 +225,7 @@
         };
         let end = match run.phase {
             Phase::Stopping { .. } => RunEnd::Stopped,
-            _ => RunEnd::NotStarted(busy),
+            _ => RunEnd::NotStarted(reason),
         };
         self.event(
             "start-refused",
--- a/crates/dispatch/src/agent/suspect_starts.rs
+++ b/crates/dispatch/src/agent/suspect_starts.rs
@@ -13,12 +13,12 @@
 
 /// Time for the answer of a minion before a start, in milliseconds; a sound one on the
 /// same host answers within a few.
-const CHECK_MS: u64 = 50;
+const CHECK_TIMEOUT_MS: u64 = 50;
 
 impl Agent {
     /// Asks the minion for a listing if a start waits for one, and gives up the starts
     /// that waited too long.
-    pub(crate) fn check_minion(&mut self, now_ms: u64) {
+    pub(crate) fn check_suspect_starts(&mut self, now_ms: u64) {
         let checking = self.runs.iter().filter(|run| run.phase == Phase::Checking);
         let checking: Vec<(LinkId, OrderId, u64)> = checking
             .map(|run| (run.link, run.order, run.started_ms))
@@ -27,21 +27,22 @@
             return;
         };
         for (link, order, since_ms) in checking {
-            if now_ms > since_ms + CHECK_MS {
+            if now_ms > since_ms + CHECK_TIMEOUT_MS {
                 self.give_up_check(link, order, NotStartedReason::NoAnswer);
             }
         }
         // One that waits for an end would be answered too late.
-        let is_asked = |pending: &PendingListing| !pending.waits && pending.sent_ms >= latest_ms;
+        let is_asked =
+            |pending: &PendingListing| !pending.waits_for_end && pending.sent_ms >= latest_ms;
         let minion = self.minion.as_ref();
         if minion.is_some_and(|minion| !minion.pending_listings.iter().any(is_asked)) {
-            self.ask_listing(now_ms, None, 0);
+            self.send_listing_call(now_ms, None, 0);
         }
     }
 
     /// The minion answered what it was asked at this time: sends the starts that waited
     /// for it.
-    pub(crate) fn minion_checked(&mut self, now_ms: u64, asked_ms: u64) {
+    pub(crate) fn start_checked_suspects(&mut self, now_ms: u64, asked_ms: u64) {
         let is_due = |phase, since_ms| phase == Phase::Checking && asked_ms >= since_ms;
         let due = self
             .runs
@@ -66,17 +67,19 @@
         }
     }
 
-    fn give_up_check(&mut self, link: LinkId, order: OrderId, busy: NotStartedReason) {
+    fn give_up_check(&mut self, link: LinkId, order: OrderId, reason: NotStartedReason) {
         if let Some(run) = self.runs.remove(link, order) {
-            let detail = format!("run={} busy={busy:?}", run.key.run);
+            let detail = format!("run={} busy={reason:?}", run.key.run);
             self.event("suspect-not-started", Some(run.key.task.job), detail);
-            self.report_end(link, order, RunEnd::NotStarted(busy), 0);
+            self.report_end(link, order, RunEnd::NotStarted(reason), 0);
         }
     }
 
     /// When a start has waited long enough for an answer of the minion.
     pub(crate) fn check_due_ms(&self) -> Option<u64> {
         let checking = self.runs.iter().filter(|run| run.phase == Phase::Checking);
-        checking.map(|run| run.started_ms + CHECK_MS + 1).min()
+        checking
+            .map(|run| run.started_ms + CHECK_TIMEOUT_MS + 1)
+            .min()
     }
 }
--- a/crates/dispatch/src/agent/trial.rs
+++ b/crates/dispatch/src/agent/trial.rs
@@ -21,7 +21,7 @@
 pub(crate) struct Trial {
     turn: Option<(LinkId, u64)>,
     /// The links that had a turn since all of them had one.
-    had_turns: BTreeSet<LinkId>,
+    past_turns: BTreeSet<LinkId>,
 }
 
 impl Agent {
@@ -47,17 +47,17 @@
         }
         if links
             .iter()
-            .all(|(id, _)| self.trial.had_turns.contains(id))
+            .all(|(id, _)| self.trial.past_turns.contains(id))
         {
-            self.trial.had_turns.clear();
+            self.trial.past_turns.clear();
         }
         let rank = |(id, link): &&(LinkId, &Link)| {
             let is_waiting = link.demand.waiting_core_ms > 0;
-            let had_turn = self.trial.had_turns.contains(id);
+            let had_turn = self.trial.past_turns.contains(id);
             (Reverse(had_turn), is_waiting, link.demand.offered_milli)
         };
         let next = links.iter().max_by_key(rank).map(|(id, _)| *id)?;
-        self.trial.had_turns.insert(next);
+        self.trial.past_turns.insert(next);
         self.trial.turn = Some((next, now_ms + TURN_MS));
         Some(next)
     }
