--- a/crates/dispatch/src/agent/breaker.rs
+++ b/crates/dispatch/src/agent/breaker.rs
@@ -1,54 +1,55 @@
-//! A circuit breaker for a minion that fails what it starts.
+//! A circuit breaker for a minion on which runs fail.
 //!
-//! The load pattern it answers: a minion that fails at once all that it is
-//! given, and so has room all the time, in a fleet in which each entry sees few
-//! of its ends. The agent sees all of them and closes for all entries.
+//! The load pattern that it handles: a minion fails all its runs at once and therefore
+//! always has free resources, in a fleet in which each entry sees few of these ends.
+//! The agent sees all ends and refuses starts of all entries.
 
 use gannetvane_wire::Name;
 
-/// Jobs that must fail here before the minion is taken for the cause: a single
-/// one may be at fault itself.
+/// Number of jobs that must fail on the minion before the minion counts as the cause: a
+/// single job may be at fault itself.
 const TRIP_JOBS: usize = 2;
-/// Good ends in a row that outweigh a job that failed: with one, a minion that
-/// fails every second run would never be closed.
+/// Consecutive successful runs that cancel one failed job. With one, the breaker would
+/// never open for a minion that fails every second run.
 const SUCCESSES_PER_FAILED_JOB: u32 = 2;
-/// First time without starts, in milliseconds: a few sub-second tasks.
+/// First period without starts, in milliseconds: a few sub-second tasks.
 const FIRST_PAUSE_MS: u64 = 300;
-/// Longest such time, in milliseconds: a minion that recovers serves again
-/// within that.
+/// Longest period without starts, in milliseconds: a minion that recovers gets starts
+/// again within that time.
 const MAX_PAUSE_MS: u64 = 2_400;
 
-/// Judges a minion by the ends of its runs.
+/// Circuit breaker that counts the successful and failed runs of a minion.
 #[derive(Debug, Default)]
 pub(crate) struct Breaker {
-    /// Jobs that failed here and were not outweighed.
+    /// Jobs that failed here and were not cancelled by successful runs.
     failed_jobs: Vec<Name>,
-    /// Good ends since the last bad one.
+    /// Consecutive successful runs since a run last failed or cancelled a failed job.
     successes: u32,
+    /// Whether the breaker is open or half-open.
     is_tripped: bool,
-    /// Times that it tripped without a good end between.
+    /// Number of times that the breaker tripped without a successful trial in between.
     trips: u32,
-    /// When the minion gets its first start again.
+    /// When the breaker becomes half-open.
     paused_until_ms: u64,
 }
 
 /// Whether a minion gets starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BreakerState {
-    /// It does.
+    /// The minion gets starts.
     Closed,
-    /// It does not.
+    /// The minion gets no starts.
     Open,
-    /// It gets one at a time, to show that it has recovered; none that began
-    /// before this time tells.
+    /// The minion gets one start at a time, to show that it has recovered. The ends of
+    /// runs that started before `since_ms` don't change the state.
     HalfOpen {
-        /// Since when.
+        /// When the breaker became half-open.
         since_ms: u64,
     },
 }
 
 impl Breaker {
-    /// A run ended well that began at this time.
+    /// Records that a run which started at `started_ms` was successful.
     pub(crate) fn succeeded(&mut self, started_ms: u64) {
         if self.is_tripped {
             if started_ms >= self.paused_until_ms {
@@ -63,8 +64,8 @@
         }
     }
 
-    /// A run of a job failed that began at this time; true if the minion gets
-    /// no starts from now on.
+    /// Records that a run of a job failed which started at `started_ms`. Returns true
+    /// if the minion gets no starts from now on.
     pub(crate) fn failed(&mut self, now_ms: u64, job: &Name, started_ms: u64) -> bool {
         self.successes = 0;
         if !self.failed_jobs.contains(job) {
@@ -78,7 +79,7 @@
         true
     }
 
-    /// The minion gets no starts for a while.
+    /// Opens the breaker: the minion gets no starts for a while.
     pub(crate) fn trip(&mut self, now_ms: u64) {
         let doubled_ms = FIRST_PAUSE_MS << self.trips.min(3);
         self.paused_until_ms = now_ms + doubled_ms.min(MAX_PAUSE_MS);
@@ -86,7 +87,7 @@
         self.is_tripped = true;
     }
 
-    /// The failures of a job turned out to be its own.
+    /// Removes the failures of a job, which turned out to be caused by the job itself.
     pub(crate) fn discount_failures(&mut self, job: &Name) {
         let Some(position) = self.failed_jobs.iter().position(|suspect| suspect == job) else {
             return;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// When the minion gets a start again.
+    /// When an open breaker becomes half-open.
     pub(crate) fn due_ms(&self, now_ms: u64) -> Option<u64> {
         (self.is_tripped && now_ms < self.paused_until_ms).then_some(self.paused_until_ms)
     }
--- a/crates/dispatch/src/agent/capacity.rs
+++ b/crates/dispatch/src/agent/capacity.rs
@@ -1,7 +1,7 @@
-//! The room of a minion, which may shrink and grow while it runs.
+//! The capacity of a minion, which may shrink and grow while the minion runs.
 //!
-//! Nothing is started that does not fit the room of the last report. What runs
-//! when the room shrinks is let run, and room comes up as it ends.
+//! The agent starts nothing that exceeds the capacity in the last report. When the
+//! capacity shrinks, active runs go on, and resources become free again as these end.
 
 use crate::Agent;
 use crate::Report;
@@ -9,15 +9,15 @@
 use crate::agent::minion::Minion;
 
 impl Agent {
-    /// The minion reported other room than before.
+    /// Reports to all entries that the capacity of the minion has changed.
     pub(crate) fn capacity_changed(&mut self, former: Resources, capacity: Resources) {
         let detail = format!("from={former:?} to={capacity:?}");
         self.event("minion-resized", None, detail);
         self.report_to_all(&Report::Capacity(capacity));
     }
 
-    /// Whether the runs fit the minion: a start of one of them that is sent again
-    /// then brings it over its room in no case.
+    /// Whether all runs fit the capacity of the minion. If so, sending a start of one
+    /// of them again cannot exceed the capacity.
     pub(crate) fn runs_fit(&self) -> bool {
         let capacity = self.minion.as_ref().map(Minion::capacity);
         capacity.is_some_and(|capacity| capacity.can_fit(&self.runs.taken_resources()))
--- a/crates/dispatch/src/agent/delayed_calls.rs
+++ b/crates/dispatch/src/agent/delayed_calls.rs
@@ -1,10 +1,11 @@
 //! Starts of stored tasks that may still be carried out.
 //!
-//! A start without an answer may be carried out seconds later, and a minion that starts
-//! again under its id knows nothing of the runs and the epoch of its last life. While its
-//! agent stands still, it may do a task anew whose end was acknowledged already, or an
-//! acknowledgement without an answer may count an end there that nobody has seen. So no
-//! end is acknowledged until such starts are over.
+//! An unanswered start may be carried out seconds later. A minion that restarts with
+//! the same id has no record of the runs and the epoch of its former incarnation. While
+//! its agent is suspended, that minion may run a task again whose end was already
+//! acknowledged, or an unanswered acknowledgement may make an end count there that
+//! nobody has seen. So the agent acknowledges no end until no such start can be carried
+//! out any more.
 
 use std::collections::BTreeMap;
 
@@ -13,28 +14,32 @@
 use crate::lease::MAX_CALL_DELAY_MS;
 use crate::stored::RUNS_PER_EPOCH;
 
-/// The starts without an answer of one agent.
+/// The starts that one agent sent and that may still be carried out.
 #[derive(Debug, Default)]
 pub(crate) struct DelayedCalls {
-    /// Starts on their way, by run.
+    /// Number of pending start calls of each run.
     pending: BTreeMap<RunKey, u32>,
-    /// Runs of which a start had no answer, and until when it may be carried out.
+    /// Runs with an unanswered start, each with the time until which that start may be
+    /// carried out.
     unanswered: BTreeMap<RunKey, u64>,
-    /// Until when starts of an earlier agent may be.
+    /// Time until which starts of an earlier agent may be carried out; 0 before a
+    /// minion with a start time is served.
     inherited_until_ms: u64,
-    /// Whether they are taken to be: calls were lost since.
+    /// Whether a call of this agent got no answer. Only then are calls of an earlier
+    /// agent taken to be unanswered as well.
     has_unanswered_calls: bool,
 }
 
 impl DelayedCalls {
-    /// A minion that an earlier agent may have served is served from now on.
+    /// Records that the agent serves a minion which an earlier agent may have served.
     pub(crate) fn inherit(&mut self, now_ms: u64) {
         if self.inherited_until_ms == 0 {
             self.inherited_until_ms = now_ms + MAX_CALL_DELAY_MS;
         }
     }
 
-    /// A start is sent.
+    /// Records that a start is sent. Only stored runs on a minion that may keep its id
+    /// count.
     pub(crate) fn start_sent(&mut self, incarnation: &Incarnation, key: &RunKey) {
         let may_keep_id = incarnation.started_unix_ms().is_some();
         if may_keep_id && key.run >= RUNS_PER_EPOCH {
@@ -42,7 +47,7 @@
         }
     }
 
-    /// A start was answered, or was not.
+    /// Records that a start was answered or timed out.
     pub(crate) fn start_ended(&mut self, now_ms: u64, key: &RunKey, is_answered: bool) {
         let Some(pending) = self.pending.get_mut(key) else {
             return;
@@ -57,12 +62,13 @@
         }
     }
 
-    /// Some call had no answer: those of an earlier agent may not have had either.
+    /// Records that some call got no answer: calls of an earlier agent may have got
+    /// none either.
     pub(crate) fn call_unanswered(&mut self) {
         self.has_unanswered_calls = true;
     }
 
-    /// Until when starts may be carried out late, if any may be.
+    /// Time until which a delayed start may be carried out, if there can be one.
     pub(crate) fn possible_until_ms(&self, now_ms: u64) -> Option<u64> {
         let inherited = self.has_unanswered_calls.then_some(self.inherited_until_ms);
         let pending = (!self.pending.is_empty()).then_some(now_ms + 1);
@@ -71,7 +77,7 @@
         until_ms.filter(|until_ms| now_ms < *until_ms)
     }
 
-    /// Forgets what is over.
+    /// Forgets the starts that cannot be carried out any more.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         self.unanswered.retain(|_, until_ms| now_ms < *until_ms);
     }
--- a/crates/dispatch/src/agent/evacuation.rs
+++ b/crates/dispatch/src/agent/evacuation.rs
@@ -1,19 +1,19 @@
-//! What an agent does about a zone that operators empty: it starts nothing, even
-//! for an entry that has not heard of it.
+//! The agent's part in the evacuation of a zone: it starts nothing, even for an entry
+//! that has not received the evacuation.
 
 use crate::Agent;
 use crate::Evacuations;
 use crate::StartOrder;
 
 impl Agent {
-    /// Whether operators are emptying the zone of this agent.
+    /// Whether the zone of this agent is evacuated.
     #[must_use]
     pub fn is_evacuated(&self) -> bool {
         self.evacuations.contains(&self.identity.zone)
     }
 
-    /// Counts a start that is refused since the zone is being emptied: its entry
-    /// had not heard of it.
+    /// Logs a start that is refused because the zone is evacuated: its entry had not
+    /// received the evacuation.
     pub(crate) fn log_evacuated_start(&mut self, start: &StartOrder) {
         if self.is_evacuated() {
             let detail = format!("as_of={}", self.evacuations.log_offset);
@@ -22,7 +22,7 @@
         }
     }
 
-    /// An entry told which zones are being emptied.
+    /// Applies an entry's list of evacuated zones if it is newer.
     pub(crate) fn apply_evacuations(&mut self, newer: &Evacuations) {
         let was_evacuated = self.is_evacuated();
         if !self.evacuations.advance(newer) || self.is_evacuated() == was_evacuated {
--- a/crates/dispatch/src/agent/incarnations.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -1,15 +1,15 @@
-//! Which lifetime of its minion an agent serves.
+//! Which incarnation of its minion an agent serves.
 //!
-//! A report can arrive after its sender has crashed and the next lifetime has
-//! registered at the same address. So a report of another lifetime than the
-//! one that is served only makes a candidate, which takes over when the minion
-//! answers a call that names it and tells its birth.
+//! A report can arrive after its sender has crashed and the next incarnation has
+//! registered at the same address. So a report of another incarnation than the served
+//! one only makes a candidate. The candidate is served once the minion answers a call
+//! to the candidate's id with the candidate's start time.
 //!
-//! A call names a life by its id only, and may be carried out by the next life
-//! under the same id, at once or, without an answer, later. What may be there in
-//! this way is not told as lost but as unsettled: the entry starts it anew when the
-//! agent greets again, which it does once the next life has seen a higher epoch and
-//! lists nothing of before.
+//! A call names an incarnation by its id only. The next incarnation with the same id
+//! may carry it out, either at once or, if the call is unanswered, later. A run that
+//! may be carried out in this way is reported as unsettled instead of lost. The entry
+//! starts it again when the agent greets again, which the agent does once the next
+//! incarnation has seen a higher epoch and lists no earlier runs.
 
 use crate::Agent;
 use crate::AgentAction;
@@ -27,34 +27,37 @@
 use crate::agent::run_table::Run;
 use crate::minion_calls::CallOutcome;
 
-/// Pause before a candidate that gave no answer is asked again, in
-/// milliseconds: the time that a call to the minion on this host is given.
+/// Pause before an unanswered call to a candidate is sent again, in milliseconds: the
+/// timeout of a call to the minion on this host.
 const CANDIDATE_RETRY_MS: u64 = 50;
-/// Calls without an answer after which a candidate is forgotten until its next
+/// Number of unanswered calls after which a candidate is forgotten until its next
 /// report.
 const MAX_CANDIDATE_TRIES: u32 = 20;
 
-/// A lifetime that was reported while another one is served.
+/// An incarnation that was reported while another one is served.
 #[derive(Debug)]
 pub(crate) struct Candidate {
     report: MinionReport,
-    /// Number of the last call that names it.
+    /// Number of the last call to the candidate.
     call: u64,
+    /// When the last call was sent.
     called_ms: u64,
+    /// Number of calls since the candidate's last report.
     tries: u32,
 }
 
-/// Why a minion is not served any more.
+/// Why the agent stops serving a minion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Loss {
-    /// It ended without a word.
+    /// The minion ended without notice.
     Crashed,
-    /// It left, or is out of reach.
+    /// The minion left, or is out of reach.
     Gone,
 }
 
 impl Loss {
-    /// How a life ended; one whose departure was told, if only perhaps, did not crash.
+    /// Why an ended incarnation is not served any more. One that left, or may have
+    /// left, did not crash.
     pub(crate) fn of(minion: &Minion) -> Self {
         match minion.is_leaving() || minion.may_have_left {
             true => Self::Gone,
@@ -64,14 +67,14 @@
 }
 
 impl Candidate {
-    /// When it is asked again at the latest.
+    /// When the next call to the candidate is due.
     pub(crate) fn due_ms(&self) -> u64 {
         self.called_ms + CANDIDATE_RETRY_MS
     }
 }
 
 impl Agent {
-    /// A report of a minion arrived.
+    /// Handles a report of a minion.
     pub fn minion_reported(&mut self, now_ms: u64, report: MinionReport) {
         if self.last_ended.as_ref() == Some(&report.incarnation) {
             self.log_delayed_report(&report.incarnation, "it has ended");
@@ -84,8 +87,9 @@
         }
     }
 
-    /// The minion with this id said that it is about to end. One that drains does;
-    /// otherwise the word may be that of an earlier life, and the minion is asked.
+    /// Handles the notice that the minion with this id is about to end. The notice is
+    /// trusted if the minion drains. Otherwise an earlier incarnation may have sent it,
+    /// and the agent calls the minion to find out.
     pub fn minion_left(&mut self, id: &str) {
         let Some(minion) = &mut self.minion else {
             return;
@@ -102,7 +106,7 @@
         self.event(event, None, format!("id={id}"));
     }
 
-    /// The lifetime of the minion that is served.
+    /// The incarnation of the minion that is served.
     #[must_use]
     pub fn incarnation(&self) -> Option<&Incarnation> {
         let minion = self.minion.as_ref()?;
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Serves a lifetime from now on.
+    /// Serves an incarnation from now on.
     fn adopt(&mut self, now_ms: u64, report: MinionReport) {
         let detail = format!("life={} capacity={:?}", report.incarnation, report.capacity);
         self.event("minion-found", None, detail);
@@ -164,7 +168,8 @@
         self.call_candidate(now_ms);
     }
 
-    /// Asks the candidate again when its last call got no answer.
+    /// Calls the candidate again when its last call got no answer, and forgets it after
+    /// too many calls.
     pub(crate) fn watch_candidate(&mut self, now_ms: u64) {
         let Some(candidate) = &self.candidate else {
             return;
@@ -173,7 +178,8 @@
             return;
         }
         if self.minion.is_none() {
-            // Nothing is lost by serving it: it is checked by its listings.
+            // No check is needed before the candidate is served: no other incarnation
+            // is, and its listings show whether it is there.
             if let Some(candidate) = self.candidate.take() {
                 self.adopt(now_ms, candidate.report);
             }
@@ -189,8 +195,8 @@
         let Some(candidate) = &mut self.candidate else {
             return;
         };
-        // Under the same id, the life that is served may answer, and lists for no
-        // epoch below the one that it has seen.
+        // With the same id, the served incarnation may answer, and it refuses to list
+        // for an epoch below the highest that it has seen.
         let asked = &candidate.report.incarnation;
         let served = self.minion.as_ref();
         let served = served.filter(|minion| minion.report.incarnation.id() == asked.id());
@@ -214,7 +220,7 @@
         candidate.is_some_and(|candidate| candidate.report.incarnation == *incarnation)
     }
 
-    /// A call that named the candidate was answered, or was not.
+    /// Handles the result of a call to the candidate.
     pub(crate) fn candidate_answered(&mut self, now_ms: u64, call: u64, result: &ListResult) {
         match result {
             ListResult::Listed(listing) if self.is_of_candidate(listing) => {
@@ -227,7 +233,7 @@
                 self.drop_candidate("another lifetime is there");
             }
             ListResult::NoAnswer | ListResult::Broken | ListResult::Unreached => {
-                // It is asked again when that is due.
+                // `watch_candidate` sends the next call when it is due.
                 let detail = format!("call={call}");
                 self.event("candidate-unanswered", None, detail);
             }
@@ -245,7 +251,7 @@
         self.event("late-report-ignored", None, detail);
     }
 
-    /// Whether a listing that was asked of the candidate is its own.
+    /// Whether a listing that was requested from the candidate is the candidate's own.
     fn is_of_candidate(&self, listing: &Listing) -> bool {
         let Some(candidate) = &self.candidate else {
             return false;
@@ -255,13 +261,13 @@
         let is_same_id = served.is_some_and(|minion| minion.report.incarnation.id() == asked.id());
         match (asked.started_unix_ms(), listing.started_unix_ms) {
             (Some(asked_ms), Some(listed_ms)) => asked_ms == listed_ms,
-            // Where no birth is told, the clock of the life that is served shows
-            // whether it has answered: that clock never runs back.
+            // Without start times, the clock shows whether the served incarnation has
+            // answered: its clock never goes backwards.
             _ => !is_same_id || served.is_some_and(|minion| listing.clock_ms < minion.clock_ms),
         }
     }
 
-    /// The minion started again under the id of the life that was served.
+    /// The minion restarted with the same id as the served incarnation.
     pub(crate) fn minion_restarted(&mut self, now_ms: u64, started_unix_ms: Option<u64>) {
         self.event(
             "minion-reborn",
@@ -269,7 +275,8 @@
             format!("born_unix_ms={started_unix_ms:?}"),
         );
         self.minion_ended(now_ms, "listing of another life");
-        // The time of day may have been set back, so that both have one birth.
+        // If the time of day was set back, both incarnations can have the same start
+        // time, and reports of the new one must not be ignored.
         self.last_ended
             .take_if(|ended| ended.started_unix_ms() == started_unix_ms);
         let is_same_start = |candidate: &mut Candidate| {
@@ -281,7 +288,7 @@
         }
     }
 
-    /// The life that was served is known to have ended.
+    /// Stops serving an incarnation that is known to have ended.
     pub(crate) fn minion_ended(&mut self, now_ms: u64, cause: &'static str) {
         let Some(minion) = &self.minion else {
             return;
@@ -291,13 +298,14 @@
         let detail = format!("life={incarnation} cause={cause} loss={loss:?}");
         self.event("minion-replaced", None, detail);
         self.lose_minion(now_ms, loss);
-        // Without a birth, the next life may not differ from it.
+        // Without a start time, the next incarnation may be equal to this one, and its
+        // reports must not be ignored.
         self.last_ended =
             Some(incarnation).filter(|incarnation| incarnation.started_unix_ms().is_some());
     }
 
-    /// The minion has seen a higher epoch than ours: from a call that was meant
-    /// for an earlier life, or of another agent.
+    /// Makes the agent take a new epoch, because the minion has seen a higher one: from
+    /// a call that was meant for an earlier incarnation, or from another agent.
     pub(crate) fn epoch_refused(&mut self) {
         if let Some(minion) = &mut self.minion
             && minion.epoch > 0
@@ -309,7 +317,7 @@
         }
     }
 
-    /// A listing was refused for a higher epoch.
+    /// Handles a listing that the minion refused because it has seen a higher epoch.
     pub(crate) fn listing_fenced(&mut self, now_ms: u64, call: u64) {
         let Some(minion) = &mut self.minion else {
             return;
@@ -325,7 +333,7 @@
         }
     }
 
-    /// How a run ends with its minion.
+    /// The end that is reported for a run whose minion ended.
     fn end_of_lost_run(&self, run: &Run, loss: Loss) -> RunEnd {
         let incarnation = self.incarnation();
         let may_keep_id =
@@ -340,8 +348,8 @@
         crash.map_or(RunEnd::Lost, RunEnd::Crashed)
     }
 
-    /// Keeps a crash for the entries that are greeted next: the one that ordered the run
-    /// may be gone.
+    /// Records a crash for the entries that are greeted next, because the entry that
+    /// ordered the run may be gone.
     fn record_crash(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
         if let RunEnd::Crashed(evidence)
         | RunEnd::Unsettled {
@@ -353,7 +361,7 @@
         }
     }
 
-    /// Tells what is known of a run that ended with its minion.
+    /// Logs what is known of a run that ended with its minion.
     fn log_lost_run(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
         let detail = format!(
             "task={}.{} run={} end={end:?} phase={:?} seen={} listed={} cut_off={} pending={} refusal={:?} unanswered={} ran_ms={}",
@@ -372,7 +380,7 @@
         self.event("run-lost", Some(run.key.task.job.clone()), detail);
     }
 
-    /// Nothing that was started runs any more.
+    /// Ends all runs of the minion, closes all links and stops serving the minion.
     pub(crate) fn lose_minion(&mut self, now_ms: u64, loss: Loss) {
         if self.minion.is_none() {
             return;
--- a/crates/dispatch/src/agent/links.rs
+++ b/crates/dispatch/src/agent/links.rs
@@ -1,5 +1,5 @@
-//! The connections of an agent to entries: greeting, frames, reports, and what
-//! becomes of the runs of one that is gone.
+//! The connections of an agent to entries: greeting, frames, reports, and what happens
+//! to the runs of a connection that is gone.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,47 +16,52 @@
 use crate::RetainedEnd;
 use crate::RunEnd;
 
-/// Shortest pause between frames that only tell of changed room, in
-/// milliseconds. Room changes about a hundred times a second at full load.
+/// Minimum interval between frames that only report changed free resources, in
+/// milliseconds. These change about a hundred times a second at full load.
 const FREE_UPDATE_INTERVAL_MS: u64 = 20;
-/// Entries for which [`ROOM_NEWS_MS`] is meant; with more of them the pause
-/// grows, so that news cost an agent and its entries no more in a larger fleet.
+/// Number of links up to which [`FREE_UPDATE_INTERVAL_MS`] applies. With more links the
+/// interval grows, so that these frames cost an agent and its entries no more in a
+/// larger fleet.
 const ENTRIES_AT_FULL_RATE: u64 = 3;
 
-/// Time for which a link that takes no more starts stays open without use, in
-/// milliseconds: two keepalives, so that the entry has heard of both.
+/// Time for which an unused link that takes no more starts stays open, in milliseconds:
+/// two keepalive intervals, so that the entry receives both keepalives.
 const RETIRING_LINGER_MS: u64 = 200;
 
 /// One connection to an entry.
 #[derive(Debug)]
 pub(crate) struct Link {
     addr: SocketAddr,
+    /// End of the grant, on the agent's clock.
     pub(crate) grant_until_ms: u64,
     pub(crate) is_greeted: bool,
-    /// Whether it takes no more starts and ends with its last run.
+    /// Whether the link takes no more starts and is closed after its last run.
     pub(crate) is_retiring: bool,
+    /// Number of start orders received on this link.
     pub(crate) starts_received: u64,
-    /// When it was last wanted, ran something or had something to tell.
+    /// When the link was last not retiring, had a run or had a report to send.
     last_used_ms: u64,
+    /// Reports for the next frame.
     reports: Vec<Report>,
     pub(crate) last_sent_ms: u64,
+    /// Free resources in the last frame.
     last_free: Resources,
-    /// Whether it is to be told of an offer.
+    /// Whether the next frame announces an offer.
     pub(crate) has_offer: bool,
-    /// Whether it was last told that starts are admitted.
+    /// Whether the last frame said that starts are admitted.
     was_accepting_starts: bool,
-    /// What the entry told of its demand.
+    /// The demand that the entry sent last.
     pub(crate) demand: Demand,
 }
 
 impl Agent {
-    /// Connections to entries that may order starts.
+    /// Number of connections to entries that may order starts.
     #[must_use]
     pub fn greeted_links(&self) -> usize {
         self.links.values().filter(|link| link.is_greeted).count()
     }
 
-    /// A connection to an entry is open.
+    /// Handles a connection to an entry that was opened.
     pub fn link_up(&mut self, now_ms: u64, link: LinkId, addr: SocketAddr) {
         let state = Link {
             addr,
@@ -76,15 +81,15 @@
         self.greet_links(now_ms);
     }
 
-    /// A connection to an entry broke: what the entry ordered is stopped.
+    /// Handles a broken connection to an entry: stops the runs that the entry ordered.
     pub fn link_down(&mut self, now_ms: u64, link: LinkId) {
         if self.links.remove(&link).is_some() {
             self.abandon_runs(now_ms, link, "link-broken");
         }
     }
 
-    /// Keeps links to these entries only: once each of them has one, the others
-    /// take no more starts and are closed when nothing of theirs runs.
+    /// Keeps links to these entries only. Once each of them has a link, the other links
+    /// take no more starts and are closed when none of their runs is left.
     pub fn keep_links(&mut self, entries: &BTreeSet<SocketAddr>) {
         let linked: BTreeSet<SocketAddr> = self.links.values().map(|link| link.addr).collect();
         if !entries.is_subset(&linked) {
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Stops all that came over a link that is gone.
+    /// Stops all runs of a link that is gone.
     fn abandon_runs(&mut self, now_ms: u64, link: LinkId, cause: &'static str) {
         self.offers.forget(link);
         self.reclaim_ends_of_link(now_ms, link);
@@ -128,9 +133,9 @@
         }
     }
 
-    /// Closes links that are not wanted any more, once nothing of theirs runs and
-    /// the entry has had time to hear of it: a link that closed with its last run
-    /// took the word of that run's end with it, and the job was late.
+    /// Closes retiring links that have had no run and nothing to report for
+    /// [`RETIRING_LINGER_MS`]. A link that closed with its last run lost the report of
+    /// that run's end, and the job was late.
     pub(crate) fn close_retired_links(&mut self, now_ms: u64) {
         let minion = self.minion.as_ref();
         let has_reported_ends =
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Closes all links, since the minion they were greeted for is gone.
+    /// Closes all links, because the minion that they were greeted for is gone.
     pub(crate) fn close_links(&mut self, now_ms: u64) {
         let links: Vec<LinkId> = self.links.keys().copied().collect();
         for link in links {
@@ -174,7 +179,8 @@
         }
     }
 
-    /// Greets the entries of which nothing earlier is left here.
+    /// Greets the entries that are not greeted yet, once no run of a closed link is
+    /// left.
     pub(crate) fn greet_links(&mut self, now_ms: u64) {
         let Some(minion) = self
             .minion
@@ -251,7 +257,7 @@
         }
     }
 
-    /// Tells the entry how a run ended, if its link is still open.
+    /// Reports the end of a run to the entry, if its link is still open.
     pub(crate) fn report_end(&mut self, link: LinkId, order: OrderId, end: RunEnd, ran_ms: u64) {
         if let Some(state) = self.links.get_mut(&link) {
             state.reports.push(Report::Ended {
@@ -263,7 +269,7 @@
         }
     }
 
-    /// Tells the entry of the end of a stored run, which the minion keeps.
+    /// Reports the end of a stored run, which the minion retains, to the entry.
     pub(crate) fn report_retained_end(
         &mut self,
         link: LinkId,
@@ -285,7 +291,7 @@
         }
     }
 
-    /// Tells all entries something.
+    /// Sends a report to all greeted entries.
     pub(crate) fn report_to_all(&mut self, report: &Report) {
         for link in self.links.values_mut().filter(|link| link.is_greeted) {
             link.reports.push(report.clone());
--- a/crates/dispatch/src/agent/listing_calls.rs
+++ b/crates/dispatch/src/agent/listing_calls.rs
@@ -1,39 +1,43 @@
-//! When an agent asks its minion for a listing, extends its lease and acknowledges ends;
-//! one call does all three.
+//! When an agent asks its minion for a listing, extends the lease and acknowledges
+//! ends; one call does all three.
 
 use crate::Agent;
 use crate::AgentAction;
 use crate::agent::minion::Minion;
 use crate::agent::run_table::Phase;
 
-/// Time that a listing may wait for an end, in milliseconds; the lease is
-/// extended at least that often.
+/// Time that a listing may wait for an end, in milliseconds. The lease is extended at
+/// least that often.
 const LIST_WAIT_MS: u64 = 120;
-/// Most listings under way at one time: the next one comes soon anyway.
+/// Maximum number of listings pending at one time; more are not needed, because the
+/// next one follows soon.
 const MAX_PENDING_LISTINGS: u32 = 4;
-/// The same while a stopped run is still to be seen gone.
+/// Time that a listing may wait for an end while a stopped run may still be listed, in
+/// milliseconds.
 const STOPPING_LIST_WAIT_MS: u64 = 15;
-/// Time past its wait after which a listing counts as unanswered, in
-/// milliseconds; a minion on the same host answers within a few.
+/// Time past its wait after which a listing counts as unanswered, in milliseconds. A
+/// minion on the same host answers within a few.
 pub(crate) const LIST_TIMEOUT_MS: u64 = 40;
 /// Time without an answer after which the lease is not extended any more, in
-/// milliseconds: longer than a listing may wait and calls of a third of a second
-/// be lost. The minion is given up when the lease is over.
+/// milliseconds: longer than a listing may wait while all calls of a third of a second
+/// are lost. The minion is given up when the lease is over.
 const LEASE_EXTENSION_TIMEOUT_MS: u64 = 600;
 
-/// A listing under way.
+/// A listing call that is pending.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingListing {
     pub(crate) call: u64,
     pub(crate) sent_ms: u64,
+    /// When the call counts as unanswered.
     pub(crate) overdue_at_ms: u64,
     /// Whether the answer waits for an end.
     pub(crate) waits_for_end: bool,
+    /// Number of the last end that the call acknowledges; 0 for none.
     pub(crate) acknowledged_through: u64,
 }
 
 impl Agent {
-    /// Lists when there is something to learn and no listing is under way.
+    /// Sends listing calls when a listing is needed and too few calls are pending.
     pub(crate) fn list_if_due(&mut self, now_ms: u64) {
         let can_extend = self.can_extend_lease(now_ms);
         let acknowledgeable_through = self.acknowledgeable_through(now_ms);
@@ -65,7 +69,8 @@
             (true, true, true) => STOPPING_LIST_WAIT_MS,
             _ => 0,
         };
-        // A minion that is gone would keep its runs for ever with its lease.
+        // A minion that is gone is given up when its lease is over. If the lease were
+        // extended, its runs would stay for ever.
         let is_unanswered = now_ms > minion.answered_ms + LEASE_EXTENSION_TIMEOUT_MS;
         let is_leased = has_runs && can_extend && minion.epoch > 0 && !is_unanswered;
         let deadline_ms = is_leased.then(|| minion.extend_lease(now_ms));
@@ -74,7 +79,7 @@
         }
     }
 
-    /// The last end that may be acknowledged now, if there is one.
+    /// Number of the last end that may be acknowledged now, if there is one.
     fn acknowledgeable_through(&self, now_ms: u64) -> Option<u64> {
         if self.delayed_calls.possible_until_ms(now_ms).is_some() {
             return None;
@@ -84,14 +89,14 @@
             .and_then(Minion::acknowledgeable_through)
     }
 
-    /// Asks the minion for a listing.
+    /// Sends a listing call to the minion.
     pub(crate) fn send_listing_call(
         &mut self,
         now_ms: u64,
         deadline_ms: Option<u64>,
         wait_ms: u64,
     ) {
-        // A call that is carried out late must not acknowledge more than it has to.
+        // A delayed call must not acknowledge more than necessary.
         let acknowledged_through = self.acknowledgeable_through(now_ms).unwrap_or(0);
         let Some(minion) = &mut self.minion else {
             return;
--- a/crates/dispatch/src/agent/listings.rs
+++ b/crates/dispatch/src/agent/listings.rs
@@ -1,4 +1,5 @@
-//! What a minion lists, compared with what should run there.
+//! How an agent applies a listing of its minion: it compares what is listed with the
+//! runs that it has on record.
 
 use crate::ActiveRun;
 use crate::Agent;
@@ -16,29 +17,32 @@
 use crate::agent::run_table::Run;
 use crate::minion_calls::CallOutcome;
 
-/// First and longest pause before the minion is asked again after a call
-/// without an answer, in milliseconds.
+/// Base of the pause after an unanswered call before the next listing, in milliseconds.
+/// The pause doubles with each consecutive unanswered call.
 const RETRY_BASE_MS: u64 = 15;
+/// Longest pause after an unanswered call while the agent has no runs, in milliseconds.
 const MAX_RETRY_MS: u64 = 240;
-/// The longest while runs depend on the lease: a tenth of it.
+/// Longest pause after an unanswered call while runs depend on the lease, in
+/// milliseconds: a tenth of the lease.
 const MAX_LEASED_RETRY_MS: u64 = 45;
-/// Pause after a listing while calls are sent in copies, in milliseconds:
-/// several ends are told by one listing.
+/// Pause after a listing while calls are hedged, in milliseconds, so that one listing
+/// returns several ends.
 const HEDGED_LIST_PAUSE_MS: u64 = 25;
-/// The same while the minion keeps ends: the store takes a record within 10.
+/// Pause after a listing while the minion retains ends, in milliseconds. The store
+/// takes a record within 10.
 const RETAINED_LIST_PAUSE_MS: u64 = 8;
-/// Most ends that a minion lists; of later ones nothing is known until some are
-/// acknowledged.
+/// Maximum number of ends that a minion lists. Later ends are listed only after some of
+/// these are acknowledged.
 pub(crate) const MAX_LISTED_ENDS: usize = 500;
-/// Time that a listing may have been on its way to tell of runs that stand still,
-/// in milliseconds: when the agent's host stood still for a while, it takes an old
-/// listing for a present one.
+/// Maximum transit time of a listing from which stalled runs are detected, in
+/// milliseconds. After a suspension of its host, the agent would take an old listing
+/// for a current one.
 const MAX_FRESH_TRANSIT_MS: u64 = 20;
-/// Percentage of a run that is done.
+/// Percentage at which a run is done.
 const DONE_PERCENT: u8 = 100;
 
 impl Agent {
-    /// A call that lists the minion's runs ended.
+    /// Handles the result of a listing call.
     pub fn listed(
         &mut self,
         now_ms: u64,
@@ -100,7 +104,7 @@
         } else if minion.retained_ends.is_empty() {
             0
         } else {
-            // The minion lists what it keeps at once, whatever the wait.
+            // While it retains ends, the minion answers at once, whatever the wait.
             RETAINED_LIST_PAUSE_MS
         };
         if minion.is_of_other_incarnation(pending.sent_ms, &listing) {
@@ -142,6 +146,7 @@
         }
     }
 
+    /// Takes over the ends in a listing that were not listed before, and reports them.
     pub(crate) fn apply_ends(&mut self, now_ms: u64, listing: &Listing) {
         let mut unowned = Vec::new();
         for ended in &listing.ended {
@@ -158,7 +163,8 @@
             match (&retained, linked) {
                 (Some(end), Some((link, _))) => minion.retained_ends.report_sent(link, end.clone()),
                 (Some(end), None) => {
-                    // It was started for an entry that is gone, or by an agent.
+                    // The run was started for an entry whose link is gone, or by an
+                    // earlier agent.
                     minion.retained_ends.mark_unowned(now_ms, end.clone());
                     unowned.push(end.clone());
                 }
@@ -182,7 +188,7 @@
         self.report_unowned_ends(unowned);
     }
 
-    /// Notes whether an end speaks for or against the minion.
+    /// Records the end of a run with the breaker if it says something about the minion.
     fn record_end_for_breaker(&mut self, now_ms: u64, run: &Run, end: RunEnd) {
         match end {
             RunEnd::Done => self.breaker.succeeded(run.started_ms),
@@ -196,8 +202,8 @@
         }
     }
 
-    /// Compares the listing with what should run. A listing tells of a run
-    /// only if it was asked for after the run's last answer.
+    /// Compares the listed runs with the agent's runs. A listing says something about a
+    /// run only if it was requested after the run's last answer.
     pub(crate) fn apply_running(&mut self, now_ms: u64, asked_ms: u64, listing: &Listing) {
         let mut gone = Vec::new();
         let is_complete = listing.ended.len() < MAX_LISTED_ENDS;
@@ -225,6 +231,7 @@
         self.stop_leftovers(now_ms, &listing.running);
     }
 
+    /// Ends a run that the minion does not list any more.
     pub(crate) fn end_unlisted_run(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
         let Some(run) = self.runs.remove(link, order) else {
             return;
@@ -238,8 +245,8 @@
         self.report_end(link, order, end, run.ran_ms(now_ms));
     }
 
-    /// Stops what an earlier agent left on the minion, and begins to serve
-    /// when nothing of it is listed any more.
+    /// Stops runs that an earlier agent left on the minion, and begins to serve the
+    /// minion when none of them is listed any more.
     pub(crate) fn stop_leftovers(&mut self, now_ms: u64, running: &[ActiveRun]) {
         let is_known = |key: &RunKey| self.runs.find(key).is_some();
         let keys = running.iter().filter_map(|row| row.key.clone());
--- a/crates/dispatch/src/agent/minion.rs
+++ b/crates/dispatch/src/agent/minion.rs
@@ -1,4 +1,5 @@
-//! How an agent keeps its minion: epoch, lease, listings, and what they tell.
+//! State of the served minion: its epoch, lease and calls, and when the agent gives it
+//! up.
 
 use crate::Agent;
 use crate::AgentAction;
@@ -23,58 +24,67 @@
 use crate::lease::STOP_TIMEOUT_MS;
 use crate::minion_calls::CallOutcome;
 
-/// Pause before a stop without an answer is sent again, in milliseconds.
+/// Pause before an unanswered stop is sent again, in milliseconds.
 pub(crate) const STOP_RETRY_MS: u64 = 60;
-/// Time without an answer after which a minion without a lease is given up, in
+/// Time without an answer after which a minion whose lease is over is given up, in
 /// milliseconds.
 const UNLEASED_TIMEOUT_MS: u64 = 250;
-/// Time without a report of the minion after which it gets no more starts:
-/// two of its reports may be lost.
+/// Time without a report after which a minion without runs is given up, in
+/// milliseconds: two of its reports may be lost.
 const REPORT_TIMEOUT_MS: u64 = 6_000;
 
-/// Ends without an acknowledgement from which the minion gets no more starts: it
-/// lists 500, and runs far fewer than the rest at a time.
+/// Number of unacknowledged ends from which the minion gets no more starts. It lists
+/// 500, and runs far fewer tasks at a time than the remaining 100.
 const MAX_UNACKNOWLEDGED_ENDS: u64 = 400;
-/// Calls in a row without an answer after which the minion gets no more
-/// starts until it answers again.
+/// Consecutive unanswered calls after which a minion can count as unresponsive, which
+/// gets no starts until it answers again.
 const UNRESPONSIVE_CALLS: u32 = 3;
-/// Least time without an answer for that, in milliseconds: two starts in a row
-/// and their patience.
+/// Minimum time without an answer before a minion counts as unresponsive, in
+/// milliseconds: two consecutive starts with their timeouts.
 const UNRESPONSIVE_MS: u64 = 120;
-/// Connections in a row that are refused when a minion has ended: one alone may
-/// have met it just before it listened.
+/// Consecutive refused connections that show that a minion has ended. A single one may
+/// have reached it just before it listened.
 const GONE_REFUSALS: u32 = 2;
 
-/// One lifetime of the minion beside an agent.
+/// One incarnation of the minion beside an agent.
 #[derive(Debug)]
 pub(crate) struct Minion {
+    /// The last report.
     pub(crate) report: MinionReport,
-    /// The agent's epoch at this lifetime; 0 while it is unknown.
+    /// The agent's epoch for this incarnation; 0 until one is taken.
     pub(crate) epoch: u64,
-    /// The minion's clock, and when it was read.
+    /// Last reading of the minion's clock.
     pub(crate) clock_ms: u64,
+    /// When the minion's clock was read, on the agent's clock.
     pub(crate) clock_read_ms: u64,
+    /// When the last report arrived.
     pub(crate) reported_ms: u64,
+    /// When the last call was answered.
     pub(crate) answered_ms: u64,
-    /// Latest end of the lease that any call asked for, on our clock.
+    /// Latest end of the lease that any call requested, on the agent's clock.
     pub(crate) lease_until_ms: u64,
+    /// Number of the last end that was listed.
     pub(crate) listed_through: u64,
+    /// Number of the last end that is known to be acknowledged.
     pub(crate) acknowledged_through: u64,
-    /// Whether nothing of an earlier agent is left.
+    /// Whether no run of an earlier agent is left.
     pub(crate) has_no_leftovers: bool,
+    /// Whether the minion, while it drained, said that it is about to end.
     pub(crate) has_left: bool,
-    /// Whether a departure was told that may have been an earlier life's.
+    /// Whether a notice of departure arrived that an earlier incarnation may have sent.
     pub(crate) may_have_left: bool,
     pub(crate) pending_listings: Vec<PendingListing>,
-    /// Calls in a row without an answer.
+    /// Number of unanswered or refused calls since the last answer.
     pub(crate) consecutive_unanswered: u32,
-    /// Connections in a row that were refused.
+    /// Number of refused connections since the last other result.
     consecutive_refusals: u32,
-    /// When it was last noted whether a call was answered.
+    /// When the last call was answered, refused or timed out.
     last_call_ended_ms: u64,
+    /// Fraction of unanswered calls.
     pub(crate) loss: CallLoss,
-    /// When it may be asked again.
+    /// When the next listing may be requested.
     pub(crate) next_listing_at_ms: u64,
+    /// Runs of an earlier agent, each with the time when its last stop was sent.
     pub(crate) leftover_stops: Vec<(RunKey, u64)>,
     pub(crate) retained_ends: RetainedEnds,
 }
@@ -110,7 +120,7 @@
         self.has_no_leftovers && is_staying && self.is_answering() && self.can_list_more_ends()
     }
 
-    /// Whether the minion lists the ends of all that it may still be given.
+    /// Whether the minion can list the ends of all runs that it may still get.
     fn can_list_more_ends(&self) -> bool {
         let unacknowledged = self
             .listed_through
@@ -118,8 +128,8 @@
         unacknowledged < MAX_UNACKNOWLEDGED_ENDS
     }
 
-    /// Whether a listing that was asked for at `sent_ms` is of another life under
-    /// the same id: it tells another birth, or its clock has run back.
+    /// Whether a listing that was requested at `sent_ms` is of another incarnation with
+    /// the same id: it has another start time, or its clock has gone backwards.
     pub(crate) fn is_of_other_incarnation(&self, sent_ms: u64, listing: &Listing) -> bool {
         let is_later = listing.clock_ms > 0 && sent_ms > self.clock_read_ms;
         let has_gone_backwards = is_later && listing.clock_ms < self.clock_ms;
@@ -127,15 +137,15 @@
         has_gone_backwards || !incarnation.can_be_from(listing.started_unix_ms)
     }
 
-    /// Whether calls are answered: some may stay without an answer by chance,
-    /// but not all for a while.
+    /// Whether calls are answered. Some may stay unanswered by chance, but not all of
+    /// them for a while.
     pub(crate) fn is_answering(&self) -> bool {
         let is_unresponsive = self.consecutive_unanswered >= UNRESPONSIVE_CALLS
             && self.last_call_ended_ms >= self.answered_ms + UNRESPONSIVE_MS;
         !is_unresponsive && self.consecutive_refusals < GONE_REFUSALS
     }
 
-    /// Notes what became of a call.
+    /// Records the outcome of a call.
     pub(crate) fn record_call_outcome(&mut self, now_ms: u64, call_outcome: CallOutcome) {
         let is_answered = call_outcome == CallOutcome::Answered;
         self.loss.record(is_answered);
@@ -152,13 +162,13 @@
         };
     }
 
-    /// Whether nobody takes connections at its address any more: its process has
-    /// ended, and all that ran there.
+    /// Whether nobody accepts connections at the minion's address any more: its process
+    /// has ended, and so have all runs there.
     fn is_gone(&self) -> bool {
         self.epoch > 0 && self.consecutive_refusals >= GONE_REFUSALS
     }
 
-    /// Whether it said that it leaves.
+    /// Whether the minion said that it is about to leave.
     pub(crate) fn is_leaving(&self) -> bool {
         self.report.is_draining || self.has_left
     }
@@ -191,7 +201,7 @@
         }
     }
 
-    /// The last end that may be acknowledged, if it is not yet.
+    /// Number of the last end that may be acknowledged, if it is not acknowledged yet.
     pub(crate) fn acknowledgeable_through(&self) -> Option<u64> {
         let through = self
             .retained_ends
@@ -199,12 +209,13 @@
         (through > self.acknowledged_through).then_some(through)
     }
 
+    /// The minion's clock at `now_ms`, extrapolated from its last reading.
     fn clock_at(&self, now_ms: u64) -> u64 {
         self.clock_ms + now_ms.saturating_sub(self.clock_read_ms)
     }
 
-    /// Time that an answer with this reading of the minion's clock was on its way,
-    /// judged by the reading before, in milliseconds.
+    /// Transit time of an answer with this reading of the minion's clock, estimated
+    /// from the previous reading, in milliseconds.
     pub(crate) fn transit_ms(&self, now_ms: u64, clock_ms: u64) -> u64 {
         self.clock_at(now_ms).saturating_sub(clock_ms)
     }
@@ -216,6 +227,7 @@
         }
     }
 
+    /// Records that the lease is extended. Returns its new end on the minion's clock.
     pub(crate) fn extend_lease(&mut self, now_ms: u64) -> u64 {
         let margin_ms = MINION_LEASE_MS / 50;
         self.lease_until_ms = now_ms + MINION_LEASE_MS + margin_ms;
@@ -224,8 +236,8 @@
 }
 
 impl Agent {
-    /// Whether the lease may be extended: not while a stop has no answer, and
-    /// not while it must lapse.
+    /// Whether the lease may be extended: it may not while a stop has been unanswered
+    /// for [`STOP_TIMEOUT_MS`], nor while the lease must lapse.
     pub(crate) fn can_extend_lease(&self, now_ms: u64) -> bool {
         let minion = self.minion.as_ref();
         if minion.is_some_and(|minion| minion.retained_ends.needs_lease_lapse()) {
@@ -241,6 +253,7 @@
         })
     }
 
+    /// Stops a run, unless it is being stopped already.
     pub(crate) fn stop_run(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
         let Some(run) = self.runs.get_mut(link, order) else {
             return;
@@ -268,7 +281,7 @@
         }
     }
 
-    /// The minion answered a stop, or did not.
+    /// Handles the result of a stop call.
     pub fn stop_answered(
         &mut self,
         now_ms: u64,
@@ -289,8 +302,8 @@
         }
     }
 
-    /// Repeats stops without an answer, and gives the minion up when its last
-    /// lease is over.
+    /// Sends unanswered stops again, and gives the minion up when it is gone, when it
+    /// has left or answers no calls and its lease is over, or when it sends no reports.
     pub(crate) fn watch_minion(&mut self, now_ms: u64) {
         self.retry_stops(now_ms);
         let Some(minion) = &self.minion else {
@@ -301,7 +314,7 @@
         let is_lease_over = now_ms > minion.lease_until_ms;
         let has_recent_report = now_ms <= minion.reported_ms + REPORT_TIMEOUT_MS;
         if minion.is_gone() {
-            // Its lease need not lapse first.
+            // The process has ended, so its lease need not lapse first.
             let loss = Loss::of(minion);
             self.event("minion-refuses", None, format!("loss={loss:?}"));
             self.lose_minion(now_ms, loss);
--- a/crates/dispatch/src/agent/mod.rs
+++ b/crates/dispatch/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent beside a minion: it alone admits tasks there and answers for
-//! what runs.
+//! The agent beside a minion. It alone admits tasks to the minion and reports their
+//! ends to the entries.
 
 mod breaker;
 mod call_loss;
@@ -57,23 +57,23 @@
 use crate::agent::run_table::RunTable;
 use crate::agent::trial::Trial;
 
-/// Who an agent is, for as long as its process runs.
+/// Identity of an agent, for as long as its process runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentIdentity {
-    /// The run of the process.
+    /// Id of this run of the process.
     pub node: NodeId,
-    /// Name of its host.
+    /// Name of the agent's host.
     pub host: Name,
-    /// Availability zone.
+    /// Availability zone of the agent.
     pub zone: Name,
 }
 
-/// What an agent asks the process around it to do.
+/// Action that an agent requests from the process around it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Start a run; the result goes to [`Agent::start_answered`].
     Start {
-        /// The minion's lifetime.
+        /// The minion's incarnation.
         incarnation: Incarnation,
         /// The run.
         key: RunKey,
@@ -84,28 +84,30 @@
         /// The agent's epoch.
         epoch: u64,
     },
-    /// Stop a run, or forbid it; the result goes to [`Agent::stop_answered`].
+    /// Stop a run, or forbid a start of it that is still under way; the result goes to
+    /// [`Agent::stop_answered`].
     Stop {
-        /// The minion's lifetime.
+        /// The minion's incarnation.
         incarnation: Incarnation,
         /// The run.
         key: RunKey,
         /// The agent's epoch.
         epoch: u64,
     },
-    /// Extend the lease and list; the result goes to [`Agent::listed`].
+    /// Extend the lease, acknowledge ends and list runs; the result goes to
+    /// [`Agent::listed`].
     List {
         /// Number of the call.
         call: u64,
-        /// The minion's lifetime.
+        /// The minion's incarnation.
         incarnation: Incarnation,
-        /// The agent's epoch; 0 to learn the clock only.
+        /// The agent's epoch; 0 to read the clock only.
         epoch: u64,
-        /// Ends up to this number may be forgotten.
+        /// The minion may forget ends up to this number.
         acknowledged_through: u64,
-        /// New end of the lease on the minion's clock.
+        /// New end of the lease on the minion's clock, if the lease is extended.
         deadline_ms: Option<u64>,
-        /// Longest time that the answer may wait for an end.
+        /// Longest time that the answer may wait for an end, in milliseconds.
         wait_ms: u64,
     },
     /// Greet an entry.
@@ -116,33 +118,33 @@
     Close(LinkId),
     /// Connect to these entries as well.
     Entries(Vec<SocketAddr>),
-    /// Something for the log and the counters.
+    /// Log an event and count it.
     Event(AgentEvent),
 }
 
-/// Something worth a line in the log.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentEvent {
-    /// Name of the event; each has one meaning.
+    /// Name of the event; each name has one meaning.
     pub event: &'static str,
-    /// The job that it is about, if it is about one.
+    /// The job that the event is about, if there is one.
     pub job: Option<Name>,
-    /// What decided it.
+    /// The values that led to the event, as `key=value` pairs.
     pub detail: String,
 }
 
-/// The core of an agent.
+/// The core of an agent, without input and output.
 #[derive(Debug)]
 pub struct Agent {
     pub(crate) identity: AgentIdentity,
     pub(crate) minion: Option<Minion>,
     pub(crate) candidate: Option<Candidate>,
-    /// The life that was shown to have ended last: a late report of it is not
-    /// taken for a minion.
+    /// The last incarnation that is known to have ended. Its delayed reports are
+    /// ignored.
     pub(crate) last_ended: Option<Incarnation>,
     pub(crate) epochs: Epochs,
     pub(crate) delayed_calls: DelayedCalls,
-    /// Crashes of the minion, to tell the entries that are greeted.
+    /// Crashes of the minion, for the entries that are greeted next.
     pub(crate) crashes: KnownCrashes,
     /// Longest lease that the minion grants, in milliseconds.
     pub(crate) longest_lease_ms: u64,
@@ -154,12 +156,13 @@
     pub(crate) pace: Pace,
     pub(crate) evacuations: Evacuations,
     pub(crate) is_stopping: bool,
+    /// Number of the next listing call.
     pub(crate) next_call: u64,
     pub(crate) actions: Vec<AgentAction>,
 }
 
 impl Agent {
-    /// The core of an agent that just started.
+    /// Creates the core of an agent that just started.
     #[must_use]
     pub fn new(identity: AgentIdentity) -> Self {
         Self {
@@ -184,15 +187,15 @@
         }
     }
 
-    /// The same beside a minion that grants leases of this length, in milliseconds,
-    /// where one is asked for that is longer.
+    /// Sets the longest lease that the minion grants, in milliseconds; at least
+    /// [`MINION_LEASE_MS`].
     #[must_use]
     pub fn with_longest_lease(mut self, lease_ms: u64) -> Self {
         self.longest_lease_ms = lease_ms.max(MINION_LEASE_MS);
         self
     }
 
-    /// Takes what there is to do since the last call.
+    /// Takes the actions requested since the last call.
     pub fn take_actions(&mut self) -> Vec<AgentAction> {
         std::mem::take(&mut self.actions)
     }
@@ -216,13 +219,13 @@
         self.is_stopping && self.runs.is_empty() && has_no_retained_ends
     }
 
-    /// Runs that take room on the minion.
+    /// Number of runs that take resources of the minion.
     #[must_use]
     pub fn active_runs(&self) -> usize {
         self.runs.iter().count()
     }
 
-    /// A frame of an entry arrived.
+    /// Handles a frame of an entry.
     pub fn frame(&mut self, now_ms: u64, link: LinkId, frame: EntryFrame) {
         let Some(state) = self.links.get_mut(&link) else {
             return;
@@ -249,12 +252,13 @@
         }
     }
 
-    /// Begins a planned stop: nothing more is started, what runs may end.
+    /// Begins a planned stop: the agent starts nothing more, and active runs may end.
     pub fn begin_stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// Does what is due; returns when to call again at the latest.
+    /// Does what is due. Returns the time at which it must be called again at the
+    /// latest.
     pub fn tick(&mut self, now_ms: u64) -> u64 {
         self.expire_retained_ends(now_ms);
         self.delayed_calls.expire(now_ms);
@@ -295,8 +299,8 @@
         .max(now_ms + 1)
     }
 
-    /// Starts a task, or refuses it at once: waiting here for room would hold it
-    /// behind long ones while room comes up elsewhere.
+    /// Starts a task, or refuses it at once. If it waited here for resources, it would
+    /// be held up behind long tasks while resources become free elsewhere.
     fn start_ordered(&mut self, now_ms: u64, link: LinkId, start: StartOrder) {
         let mut is_retiring = false;
         if let Some(state) = self.links.get_mut(&link) {
@@ -336,7 +340,7 @@
         }
     }
 
-    /// Room that no run takes.
+    /// Resources that no run takes.
     pub(crate) fn free_resources(&self) -> Resources {
         let capacity = self.minion.as_ref().map(Minion::capacity);
         capacity
@@ -344,13 +348,14 @@
             .minus(&self.runs.taken_resources())
     }
 
-    /// The same without what is kept for other entries.
+    /// Resources that neither a run takes nor an offer reserves for other entries than
+    /// that of `link`.
     pub(crate) fn free_resources_for(&self, link: LinkId) -> Resources {
         self.free_resources()
             .minus(&self.offers.reserved_for_others(link))
     }
 
-    /// Offers the room that is free to entries whose tasks wait.
+    /// Offers the free resources to entries whose tasks wait.
     fn offer_free_resources(&mut self, now_ms: u64) {
         let is_healthy = self.breaker.state(now_ms) == BreakerState::Closed;
         if !is_healthy || !self.is_accepting_starts() {
@@ -364,7 +369,7 @@
         }
     }
 
-    /// Whether a start is admitted now, as far as the minion's health goes.
+    /// Whether the agent and the health of its minion allow a start now.
     pub(crate) fn admits(&self, now_ms: u64) -> bool {
         self.is_accepting_starts()
             && match self.breaker.state(now_ms) {
--- a/crates/dispatch/src/agent/offers.rs
+++ b/crates/dispatch/src/agent/offers.rs
@@ -1,40 +1,42 @@
-//! Late binding at an agent: entries whose tasks found no room leave probes,
-//! and room that comes up is offered to the entry with the most urgent one.
+//! Late binding at an agent: entries whose tasks found no resources send probes, and
+//! resources that become free are offered to the entry with the most urgent probe.
 //!
-//! The load pattern it answers: a fleet that is full or nearly so, in which each
-//! of many entries hears of room seldom. Without offers, room goes to whoever
-//! happens to hear of it, and more jobs are late.
+//! The load pattern that it handles: a fleet that is full or nearly so, in which each
+//! of many entries seldom learns of free resources. Without offers, resources go to the
+//! entry that happens to learn of them, and more jobs are late.
 
 use crate::LinkId;
 use crate::Probe;
 use crate::Resources;
 
-/// Time for which an entry may use an offer, in milliseconds: two messages
-/// between availability zones and a slow process.
+/// Time for which an entry may use an offer, in milliseconds: two messages between
+/// availability zones and a slow process.
 const OFFER_TTL_MS: u64 = 10;
-/// Time for which a probe counts, in milliseconds. An entry whose task still
-/// waits probes other agents after that, so a lost probe does little harm.
+/// Time for which a probe is valid, in milliseconds. An entry whose task still waits
+/// sends probes to other agents after that, so a lost probe does little harm.
 pub(crate) const PROBE_TTL_MS: u64 = 60;
 
-/// Probes that wait for room, and offers that wait for a start.
+/// Probes that wait for resources, and offers that wait for a start.
 #[derive(Debug, Default)]
 pub(crate) struct Offers {
     waiting: Vec<WaitingProbe>,
     open: Vec<Offer>,
 }
 
-/// Tasks that would start here if there were room.
+/// Tasks of an entry that would start here if there were free resources.
 #[derive(Clone, Copy, Debug)]
 struct WaitingProbe {
     link: LinkId,
     needs: Resources,
     tasks: u32,
+    /// When the tasks should have started; the earliest is the most urgent.
     due_ms: u64,
     valid_until_ms: u64,
 }
 
 impl WaitingProbe {
-    /// Room for as many of the tasks as fit, which are then served.
+    /// Returns resources for as many of the tasks as fit into `free`, and removes these
+    /// tasks from the probe.
     fn reserve(&mut self, mut free: Resources) -> Resources {
         let mut reserved = Resources::default();
         while self.tasks > 0 && free.can_fit(&self.needs) {
@@ -46,7 +48,7 @@
     }
 }
 
-/// Room that is kept for one entry.
+/// Resources that are reserved for one entry.
 #[derive(Clone, Copy, Debug)]
 struct Offer {
     link: LinkId,
@@ -55,7 +57,7 @@
 }
 
 impl Offers {
-    /// Tasks of an entry wait for room.
+    /// Adds a probe of an entry whose tasks wait for resources.
     pub(crate) fn add_probe(&mut self, now_ms: u64, link: LinkId, probe: &Probe) {
         self.waiting.push(WaitingProbe {
             link,
@@ -67,30 +69,31 @@
         self.waiting.sort_by_key(|probe| probe.due_ms);
     }
 
-    /// An entry used its offer, or has no use for it.
+    /// Removes the offer of an entry that used or declined it.
     pub(crate) fn close(&mut self, link: LinkId) {
         self.open.retain(|offer| offer.link != link);
     }
 
-    /// Forgets an entry.
+    /// Removes the probes and the offer of an entry.
     pub(crate) fn forget(&mut self, link: LinkId) {
         self.close(link);
         self.waiting.retain(|probe| probe.link != link);
     }
 
-    /// Forgets all entries.
+    /// Removes all probes and offers.
     pub(crate) fn clear(&mut self) {
         self.waiting.clear();
         self.open.clear();
     }
 
-    /// Forgets what is too old.
+    /// Removes the probes and offers that have expired.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         self.open.retain(|offer| now_ms < offer.valid_until_ms);
         self.waiting.retain(|probe| now_ms < probe.valid_until_ms);
     }
 
-    /// Offers free room, the most urgent probe first; returns whom to tell.
+    /// Offers free resources, to the most urgent probe first. Returns the links that
+    /// got an offer.
     pub(crate) fn make_offers(&mut self, now_ms: u64, free: Resources) -> Vec<LinkId> {
         self.expire(now_ms);
         let mut unreserved = self
@@ -118,7 +121,7 @@
         offered_to
     }
 
-    /// Room that is kept for other entries.
+    /// Resources that are reserved for other entries.
     pub(crate) fn reserved_for_others(&self, link: LinkId) -> Resources {
         let others = self.open.iter().filter(|offer| offer.link != link);
         others.fold(Resources::default(), |sum, offer| {
@@ -126,7 +129,7 @@
         })
     }
 
-    /// When the first offer ends.
+    /// When the first offer expires.
     pub(crate) fn due_ms(&self) -> Option<u64> {
         self.open.iter().map(|offer| offer.valid_until_ms).min()
     }
--- a/crates/dispatch/src/agent/pace.rs
+++ b/crates/dispatch/src/agent/pace.rs
@@ -1,16 +1,15 @@
-//! How fast a minion works, from the progress of all that runs there.
+//! How fast a minion works, estimated from the progress of all its runs.
 
-/// Time constant after which earlier progress counts for little, in
-/// milliseconds: a minion that turns slow or hangs is told within two or three
-/// of a sub-second task's tenths.
+/// Time constant of the decay of earlier progress, in milliseconds: a minion that
+/// becomes slow or hangs is detected within two or three tenths of a sub-second task.
 const DECAY_MS: f64 = 250.0;
-/// Weight of the assumption that a minion has ordinary speed, in milliseconds
-/// of run time; one short task outweighs it.
+/// Weight of the assumption that a minion has ordinary speed, in milliseconds of run
+/// time; one short task outweighs it.
 const PRIOR_MS: f64 = 60.0;
-/// Speed is told in thousandths of the ordinary one.
+/// The ordinary speed, in thousandths.
 const PERMILLE: f64 = 1_000.0;
 
-/// A running comparison of expected work done with time spent.
+/// Decaying sums of the expected work that was done and of the time spent on it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pace {
     done_ms: f64,
@@ -19,15 +18,15 @@
 }
 
 impl Pace {
-    /// Adds the progress of one run: the part of its expected run time that
-    /// was done, and the time that this took.
+    /// Adds the progress of one run: the fraction of its expected run time that was
+    /// done, in milliseconds, and the time that this took.
     pub(crate) fn add(&mut self, now_ms: u64, done_ms: f64, spent_ms: u64) {
         self.decay(now_ms);
         self.done_ms += done_ms;
         self.spent_ms += spent_ms as f64;
     }
 
-    /// Speed in thousandths of the ordinary one.
+    /// Speed in thousandths of the ordinary speed.
     pub(crate) fn permille(&self, now_ms: u64) -> u32 {
         let mut current = self.clone();
         current.decay(now_ms);
--- a/crates/dispatch/src/agent/retained_ends.rs
+++ b/crates/dispatch/src/agent/retained_ends.rs
@@ -1,11 +1,11 @@
-//! Ends of stored tasks that the minion must still keep.
+//! Ends of stored tasks that the minion must still retain.
 //!
-//! A minion forgets an end that was acknowledged, and the platform then counts
-//! it: the task may not run again. So an end is acknowledged only when the owner
-//! of its job has recorded it. While there is no owner, the end is kept and
-//! offered to all entries. One that nobody takes, or whose task was started
-//! anew, is acknowledged after the minion's lease has lapsed once, since it does
-//! not count then.
+//! A minion forgets an end that was acknowledged, and the platform then counts it: the
+//! task may not run again. So an end is acknowledged only when the owner of its job has
+//! recorded it. While there is no owner, the end is retained and reported to all
+//! entries. An end that no owner records, or whose task was started again, is
+//! acknowledged after the minion's lease has lapsed once, because it does not count
+//! then.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,26 +20,28 @@
 use crate::RunEnd;
 use crate::stored::RUNS_PER_EPOCH;
 
-/// Time for which an end is offered, in milliseconds: the store gives a lost
-/// owner's partitions away after 1.2 s, and the next owner starts tasks anew
-/// 2.7 s after that.
+/// Time for which an end waits for an owner, in milliseconds: the store gives a lost
+/// owner's partitions away after 1.2 s, and the next owner starts tasks again 2.7 s
+/// after that.
 const RETAINED_END_TTL_MS: u64 = 6_000;
 
-/// Ends, by their number in the minion's lifetime.
+/// The ends that one incarnation of the minion must retain, by their number.
 #[derive(Debug)]
 pub(crate) struct RetainedEnds {
-    /// Ends that an entry was told and has not settled yet.
+    /// Ends that were reported to one entry, with its link, and have no disposition
+    /// yet.
     reported: BTreeMap<u64, (LinkId, RetainedEnd)>,
-    /// Ends that wait for an owner, and until when.
+    /// Ends that wait for an owner, each with the time until which it waits.
     unowned: BTreeMap<u64, (RetainedEnd, u64)>,
-    /// Ends that nobody will record.
+    /// Ends that no owner will record; they wait for the lease to lapse.
     discarded: BTreeSet<u64>,
-    /// When a lease that an earlier agent asked for is over.
+    /// When a lease that an earlier agent requested is over, on the agent's clock.
     inherited_lease_until_ms: u64,
 }
 
 impl RetainedEnds {
-    /// None yet, on a minion that an earlier agent may have kept until now.
+    /// Creates the state without ends, for a minion whose lease an earlier agent may
+    /// have extended until now.
     pub(crate) fn new(now_ms: u64) -> Self {
         Self {
             reported: BTreeMap::new(),
@@ -49,24 +51,26 @@
         }
     }
 
-    /// A call that was meant for an earlier life, with a time on its clock, was
-    /// carried out until now at the latest: the lease may be as long as any.
+    /// Records that a call which was meant for an earlier incarnation may have extended
+    /// the lease until now. Its end is a time on that incarnation's clock, so the lease
+    /// may be as long as the longest one.
     pub(crate) fn inherit_lease(&mut self, now_ms: u64, longest_ms: u64) {
         self.inherited_lease_until_ms = now_ms + longest_ms + longest_ms / 50;
     }
 
-    /// An end was told to the entry at a link.
+    /// Records that the report of an end was sent to the entry of a link.
     pub(crate) fn report_sent(&mut self, link: LinkId, end: RetainedEnd) {
         self.reported.insert(end.number, (link, end));
     }
 
-    /// An end waits for an owner.
+    /// Records that an end waits for an owner.
     pub(crate) fn mark_unowned(&mut self, now_ms: u64, end: RetainedEnd) {
         self.unowned
             .insert(end.number, (end, now_ms + RETAINED_END_TTL_MS));
     }
 
-    /// A link is gone: what was told there waits for an owner.
+    /// Makes the ends that were reported on a closed link wait for an owner, and
+    /// returns them.
     fn reclaim_from(&mut self, now_ms: u64, link: LinkId) -> Vec<RetainedEnd> {
         let reclaimed = self
             .reported
@@ -80,7 +84,8 @@
         reclaimed
     }
 
-    /// An entry settled an end; the end if it waits for another owner now.
+    /// Applies the disposition of an end. Returns the end if it now waits for another
+    /// owner.
     fn dispose(
         &mut self,
         now_ms: u64,
@@ -108,7 +113,7 @@
         self.unowned.values().map(|(end, _)| end.clone()).collect()
     }
 
-    /// Whether an entry was told an end that it has not settled.
+    /// Whether an end was reported on a link and has no disposition yet.
     pub(crate) fn has_reported_to(&self, link: LinkId) -> bool {
         self.reported
             .values()
@@ -119,7 +124,8 @@
         self.reported.is_empty() && self.unowned.is_empty() && self.discarded.is_empty()
     }
 
-    /// The last end up to which all may be acknowledged, of those listed.
+    /// Number of the last end up to which all may be acknowledged, of the ends up to
+    /// `listed_through`.
     pub(crate) fn acknowledgeable_through(&self, listed_through: u64) -> u64 {
         let reported = self.reported.keys().next();
         let unowned = self.unowned.keys().next();
@@ -133,7 +139,8 @@
         !self.discarded.is_empty()
     }
 
-    /// When the lease has lapsed, if it must, or an end is given up.
+    /// When the lease has lapsed, if it must, or an end has waited too long for an
+    /// owner.
     pub(crate) fn due_ms(&self, lease_until_ms: u64) -> Option<u64> {
         let lease_lapsed_ms = self.lease_lapsed_ms(lease_until_ms);
         let lease_lapsed_ms = self.needs_lease_lapse().then_some(lease_lapsed_ms);
@@ -141,12 +148,13 @@
         lease_lapsed_ms.into_iter().chain(unowned_until_ms).min()
     }
 
+    /// When the lease has lapsed, including one that an earlier agent requested.
     fn lease_lapsed_ms(&self, lease_until_ms: u64) -> u64 {
         lease_until_ms.max(self.inherited_lease_until_ms) + 1
     }
 
-    /// Gives up what nobody took, and lets go what a lapse freed; how many of
-    /// each.
+    /// Discards ends that have waited too long for an owner, and releases discarded
+    /// ends once the lease has lapsed. Returns the number of each.
     fn expire(&mut self, now_ms: u64, lease_until_ms: u64) -> (usize, usize) {
         let mut freed = 0;
         if self.needs_lease_lapse() && now_ms >= self.lease_lapsed_ms(lease_until_ms) {
@@ -166,7 +174,7 @@
     }
 }
 
-/// The end, if it counts for a stored task.
+/// The end that the minion must retain, if the end counts for a stored task.
 pub(crate) fn stored_end(ended: &EndedRun) -> Option<RetainedEnd> {
     let key = ended.key.as_ref()?;
     let is_counted = matches!(ended.end, RunEnd::Done | RunEnd::Failed);
@@ -180,7 +188,7 @@
 }
 
 impl Agent {
-    /// The entry at a link settled an end.
+    /// Applies the disposition of an end that an entry sent.
     pub(crate) fn apply_disposition(&mut self, now_ms: u64, number: u64, disposition: Disposition) {
         let Some(minion) = &mut self.minion else {
             return;
@@ -189,7 +197,8 @@
         self.report_unowned_ends(unowned.into_iter().collect());
     }
 
-    /// A link is gone, and with it the one who would record what was told there.
+    /// Makes the ends that were reported on a closed link wait for another owner, since
+    /// their entry cannot send a disposition any more.
     pub(crate) fn reclaim_ends_of_link(&mut self, now_ms: u64, link: LinkId) {
         let Some(minion) = &mut self.minion else {
             return;
@@ -198,7 +207,7 @@
         self.report_unowned_ends(unowned);
     }
 
-    /// Offers ends to all entries.
+    /// Reports ends that wait for an owner to all entries.
     pub(crate) fn report_unowned_ends(&mut self, ends: Vec<RetainedEnd>) {
         if ends.is_empty() {
             return;
@@ -208,7 +217,8 @@
         self.report_to_all(&Report::RetainedEnds(ends));
     }
 
-    /// Gives up ends that nobody took, and notes that the lease lapsed.
+    /// Discards ends that have waited too long for an owner, and logs these and the
+    /// ends that a lapse of the lease released.
     pub(crate) fn expire_retained_ends(&mut self, now_ms: u64) {
         let Some(minion) = &mut self.minion else {
             return;
--- a/crates/dispatch/src/agent/run_table.rs
+++ b/crates/dispatch/src/agent/run_table.rs
@@ -1,4 +1,4 @@
-//! The runs that an agent answers for.
+//! The runs that an agent has on record.
 
 use std::collections::BTreeMap;
 
@@ -17,18 +17,18 @@
 /// milliseconds: a minion on the same host reads a call at once.
 const READ_AT_ONCE_MS: u64 = 5;
 
-/// Where a run stands on the minion.
+/// Phase of a run on the minion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The minion is asked whether it answers before the start is sent.
+    /// The minion must answer a listing before the start is sent.
     Checking,
-    /// The start is on its way to the minion.
+    /// The start was sent and is not known to be carried out.
     Starting,
     /// The minion runs it.
     Running,
-    /// A stop is on its way, or the stopped run is still listed.
+    /// A stop was sent, and the run may still be listed.
     Stopping {
-        /// Since when it is to be gone.
+        /// When the stop was requested.
         since_ms: u64,
         /// When the minion acknowledged the stop.
         acked_ms: Option<u64>,
@@ -40,6 +40,7 @@
 /// One run.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
+    /// Link of the entry that ordered the run.
     pub(crate) link: LinkId,
     pub(crate) order: OrderId,
     pub(crate) key: RunKey,
@@ -48,33 +49,40 @@
     pub(crate) is_suspect: bool,
     pub(crate) needs: Resources,
     pub(crate) phase: Phase,
+    /// When the order arrived, or when the last start was begun.
     pub(crate) started_ms: u64,
+    /// Expected run time in milliseconds.
     pub(crate) expected_ms: u32,
+    /// Percentage of the work that is done.
     pub(crate) percent: u8,
     /// When the percentage was last read.
     pub(crate) read_ms: u64,
+    /// When the percentage last changed.
     pub(crate) changed_ms: u64,
-    /// When the minion was known to run it.
+    /// When the minion was last known to run it.
     pub(crate) confirmed_ms: u64,
-    /// Whether the minion was seen to run it.
+    /// Whether the minion answered a start or a listing with this run.
     pub(crate) was_seen_running: bool,
-    /// Whether the life that is served listed it.
+    /// Whether the served incarnation listed it.
     pub(crate) was_listed: bool,
-    /// Starts that are not answered yet.
+    /// Number of start calls that are not answered yet.
     pub(crate) pending: u32,
-    /// Copies of the last start that were sent, and when.
+    /// Number of hedged calls of the last start that were sent.
     pub(crate) hedged_calls: u32,
+    /// When the last start call was sent.
     pub(crate) sent_ms: u64,
-    /// Why a copy of the last start was refused.
+    /// Why a hedged call of the last start was refused.
     pub(crate) refusal: Option<StartResult>,
-    /// Whether a copy of the last start got no answer.
+    /// Whether a hedged call of the last start got no answer.
     pub(crate) is_outcome_unknown: bool,
-    /// When a connection broke that tells of it: that of its start after the call was
-    /// sent, or that of a listing which waited for an end while the minion had it.
+    /// When a connection broke in a way that is strong crash evidence: that of its
+    /// start after the call was sent, or that of a listing which waited for an end
+    /// while the minion had the run.
     pub(crate) connection_broke_ms: Option<u64>,
-    /// Whether the connection of a start broke some time after the call was sent.
+    /// Whether the connection of a start broke so long after the call was sent that the
+    /// minion may not have read it.
     is_read_uncertain: bool,
-    /// Times that a start got no answer.
+    /// Number of starts that got no answer.
     pub(crate) unanswered: u32,
     /// When the start is sent again.
     pub(crate) retry_at_ms: Option<u64>,
@@ -116,8 +124,8 @@
         }
     }
 
-    /// Notes how far it is; returns the expected work done and time spent
-    /// since the last time, in milliseconds.
+    /// Records the progress of the run. Returns the expected work done and the time
+    /// spent since the last reading, both in milliseconds.
     pub(crate) fn advance(&mut self, now_ms: u64, percent: u8) -> (f64, u64) {
         let gained = f64::from(percent.saturating_sub(self.percent));
         let spent_ms = now_ms.saturating_sub(self.read_ms);
@@ -129,15 +137,16 @@
         (gained / 100.0 * f64::from(self.expected_ms), spent_ms)
     }
 
-    /// Whether it may be carried out by a later life of the minion under the same
-    /// id: a call that starts it had no answer, or nothing but that answer, which
-    /// tells no birth, shows that it runs.
+    /// Whether a later incarnation of the minion with the same id may carry out the
+    /// run: a start call got no answer, or only an answer to a start, which contains no
+    /// start time, shows that the run is active.
     pub(crate) fn may_run_in_next_incarnation(&self) -> bool {
         !self.was_listed || self.pending > 0 || self.is_outcome_unknown || self.unanswered > 0
     }
 
-    /// The connection of its start broke after the call was sent. If that took long, the
-    /// minion may have stood still all the while and not have read it.
+    /// Records that the connection of a start broke after the call was sent. If that
+    /// took long, the minion may have been suspended all the while and not have read
+    /// the call.
     pub(crate) fn start_connection_broke(&mut self, now_ms: u64) {
         if now_ms <= self.sent_ms + READ_AT_ONCE_MS {
             self.connection_broke_ms = Some(now_ms);
@@ -146,8 +155,8 @@
         }
     }
 
-    /// What a crash of the minion tells of the task: nothing if its start may have met a
-    /// minion that was gone already.
+    /// What a crash of the minion tells about the task: nothing if the minion may have
+    /// been gone before it got the start.
     pub(crate) fn crash_evidence(&self) -> Option<CrashEvidence> {
         let is_stopped = matches!(
             self.phase,
@@ -183,7 +192,7 @@
         self.runs.is_empty()
     }
 
-    /// Whether the minion was sent the start of some run.
+    /// Whether a start of some run was sent to the minion.
     pub(crate) fn has_sent_starts(&self) -> bool {
         self.runs.values().any(|run| run.phase != Phase::Checking)
     }
@@ -212,7 +221,7 @@
         self.runs.remove(&(link, order))
     }
 
-    /// The run that the minion knows by this key.
+    /// Finds the run with this key.
     pub(crate) fn find(&self, key: &RunKey) -> Option<(LinkId, OrderId)> {
         let run = self.runs.values().find(|run| run.key == *key)?;
         Some((run.link, run.order))
@@ -223,7 +232,7 @@
         self.runs.values().any(|run| run.key.task == key.task)
     }
 
-    /// Whether a task of another job runs here under which minions crashed.
+    /// Whether a suspect task of another job runs here.
     pub(crate) fn has_other_suspect(&self, job: &Name) -> bool {
         let mut suspects = self.runs.values().filter(|run| run.is_suspect);
         suspects.any(|run| run.key.task.job != *job)
@@ -234,15 +243,16 @@
         runs.map(|run| run.order).collect()
     }
 
-    /// A listing that waited for an end broke off: what the minion has taken was at work.
+    /// Records that the connection of a listing broke while the listing waited for an
+    /// end. The runs that the minion had taken were active then.
     pub(crate) fn listing_connection_broke(&mut self, now_ms: u64) {
         for run in self.runs.values_mut().filter(|run| run.was_seen_running) {
             run.connection_broke_ms = Some(now_ms);
         }
     }
 
-    /// The minion was alive at this time: connections that broke before tell nothing of
-    /// its end.
+    /// Records that the minion was alive at this time. Connections that broke before
+    /// are no evidence of how it ended.
     pub(crate) fn minion_answered(&mut self, at_ms: u64) {
         for run in self.runs.values_mut() {
             run.connection_broke_ms
@@ -250,13 +260,13 @@
         }
     }
 
-    /// Room of all runs that the minion may hold.
+    /// Resources of all runs that may be on the minion.
     pub(crate) fn taken_resources(&self) -> Resources {
         let runs = self.runs.values();
         runs.fold(Resources::default(), |sum, run| sum.plus(&run.needs))
     }
 
-    /// How far the runs of a link are.
+    /// Progress reports of the runs of a link.
     pub(crate) fn progress(&self, link: LinkId) -> Vec<Report> {
         let running = self.runs.values();
         let running = running.filter(|run| run.link == link && run.phase == Phase::Running);
@@ -264,7 +274,7 @@
             order: run.order,
             percent: run.percent,
             elapsed_ms: u32::try_from(run.ran_ms(run.read_ms)).unwrap_or(u32::MAX),
-            // Time without a reading says nothing of the run.
+            // Time without a reading says nothing about the run.
             idle_ms: u32::try_from(run.read_ms.saturating_sub(run.changed_ms)).unwrap_or(u32::MAX),
         };
         running.map(report).collect()
--- a/crates/dispatch/src/agent/stalls.rs
+++ b/crates/dispatch/src/agent/stalls.rs
@@ -1,8 +1,7 @@
-//! An agent whose minion stands still stops what hangs there and takes no
-//! starts for a while.
+//! Stops the runs of a stalled minion and ejects it for a while.
 //!
-//! The load pattern it answers: minions that answer calls while their tasks make
-//! no progress. An entry sees only its own runs, and learns of them late.
+//! The load pattern that it handles: minions answer calls while their tasks make no
+//! progress. An entry sees only its own runs, and learns of stalled ones after a delay.
 
 use std::collections::BTreeSet;
 
@@ -13,18 +12,20 @@
 use crate::agent::run_table::Phase;
 use crate::agent::run_table::Run;
 
-/// Least time without progress from which a run stands still, in milliseconds:
-/// shorter than the least task, so that a caller is still served in time elsewhere.
+/// Minimum time without progress after which a run counts as stalled, in milliseconds:
+/// shorter than the shortest task, so that another minion can still serve the caller in
+/// time.
 const MIN_STALL_MS: f64 = 40.0;
-/// The same as a part of its expected time: minions tell progress in hundredths,
-/// and one that works eight times slower still advances within it.
+/// Minimum time without progress after which a run counts as stalled, as a fraction of
+/// its expected run time. Minions report progress in hundredths, and one that is eight
+/// times slower still makes progress within this time.
 const STALL_FRACTION: f64 = 0.15;
-/// Jobs whose runs must all stand still before the minion is taken for the
-/// cause.
+/// Number of jobs whose runs must all be stalled before the minion counts as the cause.
 const MIN_STALLED_JOBS: usize = 2;
 
 impl Agent {
-    /// Looks whether everything on the minion stands still, after a fresh listing.
+    /// Trips the breaker and stops all runs if every run on the minion is stalled.
+    /// Called after a fresh listing.
     pub(crate) fn detect_stalls(&mut self, now_ms: u64) {
         let running = self.runs.iter().filter(|run| run.phase == Phase::Running);
         let running: Vec<&Run> = running.collect();
@@ -49,7 +50,7 @@
     }
 }
 
-/// Whether a run has made no progress for too long, as of its last reading.
+/// Whether a run had made no progress for too long when it was last read.
 fn is_stalled(run: &Run) -> bool {
     let idle_ms = run.read_ms.saturating_sub(run.changed_ms) as f64;
     idle_ms >= MIN_STALL_MS.max(f64::from(run.expected_ms) * STALL_FRACTION)
--- a/crates/dispatch/src/agent/starts.rs
+++ b/crates/dispatch/src/agent/starts.rs
@@ -1,5 +1,5 @@
-//! How an agent starts runs on its minion: in copies while calls are lost, and
-//! again when all copies got no answer.
+//! How an agent starts runs on its minion: with hedged calls while calls get no answer,
+//! and again when all hedged calls got no answer.
 
 use crate::Agent;
 use crate::AgentAction;
@@ -15,15 +15,15 @@
 use crate::agent::run_table::Run;
 use crate::minion_calls::CallOutcome;
 
-/// Starts that are sent before a run without an answer is given up.
+/// Number of unanswered starts after which a run is given up.
 const MAX_START_TRIES: u32 = 3;
-/// Copies of a start that are sent at once; the others follow while there is
-/// no answer.
+/// Maximum number of hedged calls of a start that are sent at once. The others follow
+/// while there is no answer.
 const MAX_INITIAL_START_CALLS: u32 = 2;
-/// Pause before the next copy, in milliseconds; a sound minion on the same host
-/// answers within a few.
+/// Pause before the next hedged call, in milliseconds. A healthy minion on the same
+/// host answers within a few.
 const HEDGE_DELAY_MS: u64 = 12;
-/// Least time between two starts of a run, in milliseconds.
+/// Minimum time between two starts of a run, in milliseconds.
 const MIN_START_INTERVAL_MS: u64 = 50;
 
 impl Agent {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends one copy of a start.
+    /// Sends one start call.
     fn send_start(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
         let (Some(minion), Some(run)) = (&mut self.minion, self.runs.get_mut(link, order)) else {
             return;
@@ -65,7 +65,7 @@
         });
     }
 
-    /// The minion answered a copy of a start, or did not.
+    /// Handles the result of a start call.
     pub fn start_answered(
         &mut self,
         now_ms: u64,
@@ -116,8 +116,8 @@
         }
     }
 
-    /// All copies of a start are answered or given up, and the run is not known
-    /// to be at work.
+    /// Decides what follows when all hedged calls of a start are answered or timed out,
+    /// and the run is not known to be active.
     fn resolve_start(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
         let Some(run) = self.runs.get_mut(link, order) else {
             return;
@@ -126,25 +126,27 @@
         let is_starting = run.phase == Phase::Starting;
         match run.refusal {
             Some(StartResult::OldRun) if may_have_started && is_starting => {
-                // An earlier start of it was carried out, and it has ended: the
-                // next listing tells how.
+                // An earlier start was carried out, and its run has ended: the next
+                // listing contains the end.
                 run.phase = Phase::Running;
                 run.confirmed_ms = now_ms;
             }
             Some(refusal) if !may_have_started => self.start_refused(link, order, refusal),
-            // Another copy may have been taken before the epoch was seen.
+            // Another hedged call may have been carried out before the minion saw the
+            // higher epoch.
             Some(StartResult::Fenced) => {
                 self.stop_run(now_ms, link, order);
                 self.epoch_refused();
             }
-            // An earlier start may still be carried out, so it is forbidden.
+            // An earlier start may still be carried out, so the run is forbidden.
             Some(_) if !run.is_outcome_unknown && is_starting => self.stop_run(now_ms, link, order),
             _ if run.is_outcome_unknown => self.start_unanswered(now_ms, link, order),
             _ => {}
         }
     }
 
-    /// The same start may be sent again: the minion takes it once.
+    /// Plans the next try of an unanswered start, or stops the run after too many. The
+    /// same start may be sent again, since the minion carries it out only once.
     pub(crate) fn start_unanswered(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
         let Some(run) = self.runs.get_mut(link, order) else {
             return;
@@ -160,14 +162,14 @@
         self.event("start-unanswered", Some(job), detail);
     }
 
-    /// When one more copy of a start is sent that has no answer yet.
+    /// When one more hedged call of an unanswered start is due.
     pub(crate) fn next_hedge_ms(minion: &Minion, run: &Run) -> Option<u64> {
         let is_open = run.phase == Phase::Starting && run.pending > 0;
         let is_useful = run.hedged_calls < minion.loss.hedged_calls();
         (is_open && is_useful).then_some(run.sent_ms + HEDGE_DELAY_MS)
     }
 
-    /// Sends one more copy of the starts that have no answer yet.
+    /// Sends one more hedged call of each unanswered start that is due.
     pub(crate) fn hedge_starts(&mut self, now_ms: u64) {
         let Some(minion) = &self.minion else {
             return;
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Sends starts again that got no answer.
+    /// Sends the unanswered starts again that are due.
     pub(crate) fn retry_starts(&mut self, now_ms: u64) {
         let is_due = |run: &&Run| {
             let is_due = run
@@ -198,7 +200,7 @@
         let due = self.runs.iter().filter(is_due);
         let due: Vec<(LinkId, OrderId)> = due.map(|run| (run.link, run.order)).collect();
         if self.is_evacuated() || !self.runs_fit() {
-            // The start that got no answer may still be carried out.
+            // The unanswered start may still be carried out.
             for (link, order) in due {
                 self.stop_run(now_ms, link, order);
             }
@@ -212,6 +214,7 @@
         }
     }
 
+    /// Ends a run that the minion refused to start.
     pub(crate) fn start_refused(&mut self, link: LinkId, order: OrderId, result: StartResult) {
         let Some(run) = self.runs.remove(link, order) else {
             return;
@@ -219,7 +222,7 @@
         let reason = match result {
             StartResult::OldRun => NotStartedReason::OldRun,
             StartResult::NoRoom => NotStartedReason::Full,
-            // It says nothing of the minion's health.
+            // A refused epoch says nothing about the minion's health.
             StartResult::Fenced => NotStartedReason::Closing,
             _ => NotStartedReason::Unhealthy,
         };
--- a/crates/dispatch/src/agent/suspect_starts.rs
+++ b/crates/dispatch/src/agent/suspect_starts.rs
@@ -1,7 +1,8 @@
-//! Starts of tasks under which a minion crashed.
+//! Starts of suspect tasks, under which a minion crashed before.
 //!
-//! Such a task is given up after another crash. So that a minion which had crashed or
-//! stalled before the start is not taken for one more, it must answer a listing first.
+//! Such a task is given up after another crash. A minion that had crashed or stalled
+//! before the start must not count as one more crash, so it must first answer a
+//! listing.
 
 use crate::Agent;
 use crate::LinkId;
@@ -11,13 +12,13 @@
 use crate::agent::listing_calls::PendingListing;
 use crate::agent::run_table::Phase;
 
-/// Time for the answer of a minion before a start, in milliseconds; a sound one on the
-/// same host answers within a few.
+/// Timeout of the listing before a start, in milliseconds. A healthy minion on the same
+/// host answers within a few.
 const CHECK_TIMEOUT_MS: u64 = 50;
 
 impl Agent {
-    /// Asks the minion for a listing if a start waits for one, and gives up the starts
-    /// that waited too long.
+    /// Requests a listing if a start waits for one, and gives up the starts that have
+    /// waited too long.
     pub(crate) fn check_suspect_starts(&mut self, now_ms: u64) {
         let checking = self.runs.iter().filter(|run| run.phase == Phase::Checking);
         let checking: Vec<(LinkId, OrderId, u64)> = checking
@@ -31,7 +32,7 @@
                 self.give_up_check(link, order, NotStartedReason::NoAnswer);
             }
         }
-        // One that waits for an end would be answered too late.
+        // A listing that waits for an end would be answered too late.
         let is_asked =
             |pending: &PendingListing| !pending.waits_for_end && pending.sent_ms >= latest_ms;
         let minion = self.minion.as_ref();
@@ -40,8 +41,8 @@
         }
     }
 
-    /// The minion answered what it was asked at this time: sends the starts that waited
-    /// for it.
+    /// Sends the starts that waited for the answer to a listing which was requested at
+    /// `asked_ms`.
     pub(crate) fn start_checked_suspects(&mut self, now_ms: u64, asked_ms: u64) {
         let is_due = |phase, since_ms| phase == Phase::Checking && asked_ms >= since_ms;
         let due = self
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Ends the starts that were never sent, with the minion that they waited for.
+    /// Gives up all starts that wait for an answer, because their minion is gone.
     pub(crate) fn give_up_checks(&mut self) {
         let checking = self.runs.iter().filter(|run| run.phase == Phase::Checking);
         let checking: Vec<(LinkId, OrderId)> = checking.map(|run| (run.link, run.order)).collect();
@@ -75,7 +76,7 @@
         }
     }
 
-    /// When a start has waited long enough for an answer of the minion.
+    /// When the first of the waiting starts is given up.
     pub(crate) fn check_due_ms(&self) -> Option<u64> {
         let checking = self.runs.iter().filter(|run| run.phase == Phase::Checking);
         checking
--- a/crates/dispatch/src/agent/trial.rs
+++ b/crates/dispatch/src/agent/trial.rs
@@ -1,8 +1,9 @@
-//! Which entry may try whether a minion has recovered.
+//! Which entry may send the half-open trial of the circuit breaker.
 //!
-//! A minion that failed what it was given gets one start at a time until a run ends
-//! well. One entry is told that it may send that start, since starts of the others
-//! would be refused. The entry may have no task for this minion, so the trial passes on.
+//! A minion whose runs failed gets one start at a time until a run is successful.
+//! Starts of all entries but one would be refused, so one entry learns that it may send
+//! that start. It may have no task for this minion, so the turn passes from entry to
+//! entry.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -16,17 +17,18 @@
 /// takes a few.
 const TURN_MS: u64 = 100;
 
-/// Whose turn it is.
+/// The entry that may send the half-open trial.
 #[derive(Debug, Default)]
 pub(crate) struct Trial {
+    /// The link whose turn it is, and the time until which it is.
     turn: Option<(LinkId, u64)>,
-    /// The links that had a turn since all of them had one.
+    /// The links that had a turn since each of them last had one.
     past_turns: BTreeSet<LinkId>,
 }
 
 impl Agent {
-    /// The entry whose start is admitted, if the minion must show that it has
-    /// recovered: the one with most work, and then each of the others.
+    /// The link whose starts are admitted while the breaker is half-open. The entry
+    /// with the most work comes first, and then each of the others.
     pub(crate) fn trial_link(&mut self, now_ms: u64) -> Option<LinkId> {
         if !matches!(self.breaker.state(now_ms), BreakerState::HalfOpen { .. }) {
             self.trial = Trial::default();
