--- a/crates/dispatch/src/agent/incarnations.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -225,7 +225,7 @@
         match result {
             ListResult::Listed(listing) if self.is_of_candidate(listing) => {
                 if let Some(candidate) = self.candidate.take() {
-                    self.minion_ended(now_ms, "next life answered");
+                    self.minion_ended(now_ms, "next incarnation answered");
                     self.adopt(now_ms, candidate.report);
                 }
             }
@@ -274,7 +274,7 @@
             None,
             format!("born_unix_ms={started_unix_ms:?}"),
         );
-        self.minion_ended(now_ms, "listing of another life");
+        self.minion_ended(now_ms, "listing of another incarnation");
         // If the time of day was set back, both incarnations can have the same start
         // time, and reports of the new one must not be ignored.
         self.last_ended
