--- a/crates/dispatch/src/agent/breaker.rs
+++ b/crates/dispatch/src/agent/breaker.rs
@@ -89,7 +89,7 @@
 
     /// Removes the failures of a job, which turned out to be caused by the job itself.
     pub(crate) fn discount_failures(&mut self, job: &Name) {
-        let Some(position) = self.failed_jobs.iter().position(|suspect| suspect == job) else {
+        let Some(position) = self.failed_jobs.iter().position(|failed| failed == job) else {
             return;
         };
         self.failed_jobs.remove(position);
--- a/crates/dispatch/src/agent/suspect_starts.rs
+++ b/crates/dispatch/src/agent/suspect_starts.rs
@@ -33,18 +33,18 @@
             }
         }
         // A listing that waits for an end would be answered too late.
-        let is_asked =
+        let is_requested =
             |pending: &PendingListing| !pending.waits_for_end && pending.sent_ms >= latest_ms;
         let minion = self.minion.as_ref();
-        if minion.is_some_and(|minion| !minion.pending_listings.iter().any(is_asked)) {
+        if minion.is_some_and(|minion| !minion.pending_listings.iter().any(is_requested)) {
             self.send_listing_call(now_ms, None, 0);
         }
     }
 
     /// Sends the starts that waited for the answer to a listing which was requested at
-    /// `asked_ms`.
-    pub(crate) fn start_checked_suspects(&mut self, now_ms: u64, asked_ms: u64) {
-        let is_due = |phase, since_ms| phase == Phase::Checking && asked_ms >= since_ms;
+    /// `requested_ms`.
+    pub(crate) fn start_checked_suspects(&mut self, now_ms: u64, requested_ms: u64) {
+        let is_due = |phase, since_ms| phase == Phase::Checking && requested_ms >= since_ms;
         let due = self
             .runs
             .iter()
