--- a/crates/dispatch/src/agent/evacuation.rs
+++ b/crates/dispatch/src/agent/evacuation.rs
@@ -12,8 +12,8 @@
         self.evacuations.contains(&self.identity.zone)
     }
 
-    /// Logs a start that is refused because the zone is evacuated: its entry had not
-    /// received the evacuation.
+    /// Logs the refusal of a start if the zone is evacuated: its entry had not received
+    /// the evacuation.
     pub(crate) fn log_evacuated_start(&mut self, start: &StartOrder) {
         if self.is_evacuated() {
             let detail = format!("as_of={}", self.evacuations.log_offset);
--- a/crates/dispatch/src/agent/incarnations.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -178,8 +178,8 @@
             return;
         }
         if self.minion.is_none() {
-            // No check is needed before the candidate is served: no other incarnation
-            // is, and its listings show whether it is there.
+            // The candidate is served without a check: no other incarnation is served,
+            // and its listings show whether it is there.
             if let Some(candidate) = self.candidate.take() {
                 self.adopt(now_ms, candidate.report);
             }
@@ -267,7 +267,8 @@
         }
     }
 
-    /// The minion restarted with the same id as the served incarnation.
+    /// Handles a restart of the minion with the id of the served incarnation, at this
+    /// start time.
     pub(crate) fn minion_restarted(&mut self, now_ms: u64, started_unix_ms: Option<u64>) {
         self.event(
             "minion-reborn",
--- a/crates/dispatch/src/agent/listing_calls.rs
+++ b/crates/dispatch/src/agent/listing_calls.rs
@@ -19,8 +19,8 @@
 /// minion on the same host answers within a few.
 pub(crate) const LIST_TIMEOUT_MS: u64 = 40;
 /// Time without an answer after which the lease is not extended any more, in
-/// milliseconds: longer than a listing may wait while all calls of a third of a second
-/// are lost. The minion is given up when the lease is over.
+/// milliseconds: longer than the wait of a listing plus a third of a second in which
+/// calls are lost. The minion is given up when the lease is over.
 const LEASE_EXTENSION_TIMEOUT_MS: u64 = 600;
 
 /// A listing call that is pending.
--- a/crates/dispatch/src/agent/minion.rs
+++ b/crates/dispatch/src/agent/minion.rs
@@ -36,8 +36,8 @@
 /// Number of unacknowledged ends from which the minion gets no more starts. It lists
 /// 500, and runs far fewer tasks at a time than the remaining 100.
 const MAX_UNACKNOWLEDGED_ENDS: u64 = 400;
-/// Consecutive unanswered calls after which a minion can count as unresponsive, which
-/// gets no starts until it answers again.
+/// Minimum number of consecutive unanswered calls before a minion counts as
+/// unresponsive. An unresponsive minion gets no starts until it answers again.
 const UNRESPONSIVE_CALLS: u32 = 3;
 /// Minimum time without an answer before a minion counts as unresponsive, in
 /// milliseconds: two consecutive starts with their timeouts.
@@ -302,8 +302,9 @@
         }
     }
 
-    /// Sends unanswered stops again, and gives the minion up when it is gone, when it
-    /// has left or answers no calls and its lease is over, or when it sends no reports.
+    /// Sends unanswered stops again. Gives the minion up when its process has ended,
+    /// when its lease is over and it has left or answers no calls, or when it has no
+    /// runs and sends no reports.
     pub(crate) fn watch_minion(&mut self, now_ms: u64) {
         self.retry_stops(now_ms);
         let Some(minion) = &self.minion else {
--- a/crates/dispatch/src/agent/run_table.rs
+++ b/crates/dispatch/src/agent/run_table.rs
@@ -61,7 +61,7 @@
     pub(crate) changed_ms: u64,
     /// When the minion was last known to run it.
     pub(crate) confirmed_ms: u64,
-    /// Whether the minion answered a start or a listing with this run.
+    /// Whether an answer to a start or a listing showed that the minion runs it.
     pub(crate) was_seen_running: bool,
     /// Whether the served incarnation listed it.
     pub(crate) was_listed: bool,
--- a/crates/dispatch/src/agent/trial.rs
+++ b/crates/dispatch/src/agent/trial.rs
@@ -22,13 +22,14 @@
 pub(crate) struct Trial {
     /// The link whose turn it is, and the time until which it is.
     turn: Option<(LinkId, u64)>,
-    /// The links that had a turn since each of them last had one.
+    /// The links that already had a turn in this round.
     past_turns: BTreeSet<LinkId>,
 }
 
 impl Agent {
-    /// The link whose starts are admitted while the breaker is half-open. The entry
-    /// with the most work comes first, and then each of the others.
+    /// The link whose starts are admitted while the breaker is half-open; `None`
+    /// otherwise. The entry with the most work gets the first turn, and then each of
+    /// the others.
     pub(crate) fn trial_link(&mut self, now_ms: u64) -> Option<LinkId> {
         if !matches!(self.breaker.state(now_ms), BreakerState::HalfOpen { .. }) {
             self.trial = Trial::default();
