--- a/crates/dispatch/src/agent/listings.rs
+++ b/crates/dispatch/src/agent/listings.rs
@@ -204,7 +204,7 @@
 
     /// Compares the listed runs with the agent's runs. A listing says something about a
     /// run only if it was requested after the run's last answer.
-    pub(crate) fn apply_running(&mut self, now_ms: u64, requested_ms: u64, listing: &Listing) {
+    pub(crate) fn apply_running(&mut self, now_ms: u64, sent_ms: u64, listing: &Listing) {
         let mut gone = Vec::new();
         let is_complete = listing.ended.len() < MAX_LISTED_ENDS;
         for run in self.runs.iter_mut() {
@@ -221,7 +221,7 @@
                     run.phase = Phase::Running;
                     run.confirmed_ms = now_ms;
                 }
-            } else if is_complete && is_gone_for_good(run.phase, run.confirmed_ms, requested_ms) {
+            } else if is_complete && is_gone_for_good(run.phase, run.confirmed_ms, sent_ms) {
                 gone.push((run.link, run.order));
             }
         }
@@ -281,12 +281,10 @@
 }
 
 /// Whether a run that is not listed is gone for good.
-fn is_gone_for_good(phase: Phase, confirmed_ms: u64, requested_ms: u64) -> bool {
+fn is_gone_for_good(phase: Phase, confirmed_ms: u64, sent_ms: u64) -> bool {
     match phase {
         Phase::Checking | Phase::Starting => false,
-        Phase::Running => requested_ms > confirmed_ms,
-        Phase::Stopping { acked_ms, .. } => {
-            acked_ms.is_some_and(|acked_ms| requested_ms > acked_ms)
-        }
+        Phase::Running => sent_ms > confirmed_ms,
+        Phase::Stopping { acked_ms, .. } => acked_ms.is_some_and(|acked_ms| sent_ms > acked_ms),
     }
 }
--- a/crates/dispatch/src/agent/suspect_starts.rs
+++ b/crates/dispatch/src/agent/suspect_starts.rs
@@ -42,9 +42,9 @@
     }
 
     /// Sends the starts that waited for the answer to a listing which was requested at
-    /// `requested_ms`.
-    pub(crate) fn start_checked_suspects(&mut self, now_ms: u64, requested_ms: u64) {
-        let is_due = |phase, since_ms| phase == Phase::Checking && requested_ms >= since_ms;
+    /// `sent_ms`.
+    pub(crate) fn start_checked_suspects(&mut self, now_ms: u64, sent_ms: u64) {
+        let is_due = |phase, since_ms| phase == Phase::Checking && sent_ms >= since_ms;
         let due = self
             .runs
             .iter()
