--- a/crates/dispatch/src/agent/minion.rs
+++ b/crates/dispatch/src/agent/minion.rs
@@ -1,4 +1,5 @@
-//! How an agent keeps its minion: epoch, lease, listings, and what they tell.
+//! State of the served minion: its epoch, lease and calls, and when the agent gives it
+//! up.
 
 use crate::Agent;
 use crate::AgentAction;
@@ -23,59 +24,68 @@
 use crate::lease::STOP_TIMEOUT_MS;
 use crate::minion_calls::CallOutcome;
 
-/// Pause before a stop without an answer is sent again, in milliseconds.
+/// Pause before an unanswered stop is sent again, in milliseconds.
 pub(crate) const STOP_RETRY_MS: u64 = 60;
-/// Time without an answer after which a minion without a lease is given up, in
+/// Time without an answer after which a minion whose lease is over is given up, in
 /// milliseconds.
-const SILENCE_MS: u64 = 250;
-/// Time without a report of the minion after which it gets no more starts:
-/// two of its reports may be lost.
-const REPORTS_LOST_MS: u64 = 6_000;
+const UNLEASED_TIMEOUT_MS: u64 = 250;
+/// Time without a report after which a minion without runs is given up, in
+/// milliseconds: two of its reports may be lost.
+const REPORT_TIMEOUT_MS: u64 = 6_000;
 
-/// Ends without an acknowledgement from which the minion gets no more starts: it
-/// lists 500, and runs far fewer than the rest at a time.
-const ENDS_KEPT: u64 = 400;
-/// Calls in a row without an answer after which the minion gets no more
-/// starts until it answers again.
-const UNANSWERED: u32 = 3;
-/// Least time without an answer for that, in milliseconds: two starts in a row
-/// and their patience.
-const MUTE_MS: u64 = 120;
-/// Connections in a row that are refused when a minion has ended: one alone may
-/// have met it just before it listened.
-const REFUSALS_OF_THE_GONE: u32 = 2;
+/// Number of unacknowledged ends from which the minion gets no more starts. It lists
+/// 500, and runs far fewer tasks at a time than the remaining 100.
+const MAX_UNACKNOWLEDGED_ENDS: u64 = 400;
+/// Minimum number of consecutive unanswered calls before a minion counts as
+/// unresponsive. An unresponsive minion gets no starts until it answers again.
+const UNRESPONSIVE_CALLS: u32 = 3;
+/// Minimum time without an answer before a minion counts as unresponsive, in
+/// milliseconds: two consecutive starts with their timeouts.
+const UNRESPONSIVE_MS: u64 = 120;
+/// Consecutive refused connections that show that a minion has ended. A single one may
+/// have reached it just before it listened.
+const GONE_REFUSALS: u32 = 2;
 
-/// One lifetime of the minion beside an agent.
+/// One incarnation of the minion beside an agent.
 #[derive(Debug)]
 pub(crate) struct Minion {
+    /// The last report.
     pub(crate) report: MinionReport,
-    /// The agent's epoch at this lifetime; 0 while it is unknown.
+    /// The agent's epoch for this incarnation; 0 until one is taken.
     pub(crate) epoch: u64,
-    /// The minion's clock, and when it was read.
+    /// Last reading of the minion's clock.
     pub(crate) clock_ms: u64,
+    /// When the minion's clock was read, on the agent's clock.
     pub(crate) clock_read_ms: u64,
+    /// When the last report arrived.
     pub(crate) reported_ms: u64,
+    /// When the last call was answered.
     pub(crate) answered_ms: u64,
-    /// Latest end of the lease that any call asked for, on our clock.
+    /// Latest end of the lease that any call requested, on the agent's clock.
     pub(crate) lease_until_ms: u64,
-    pub(crate) finished_through: u64,
+    /// Number of the last end that was listed.
+    pub(crate) listed_through: u64,
+    /// Number of the last end that is known to be acknowledged.
     pub(crate) acknowledged_through: u64,
-    /// Whether nothing of an earlier agent is left.
-    pub(crate) is_clean: bool,
+    /// Whether no run of an earlier agent is left.
+    pub(crate) has_no_leftovers: bool,
+    /// Whether the minion, while it drained, said that it is about to end.
     pub(crate) has_left: bool,
-    /// Whether a departure was told that may have been an earlier life's.
-    pub(crate) is_doubted: bool,
+    /// Whether a notice of departure arrived that an earlier incarnation may have sent.
+    pub(crate) may_have_left: bool,
     pub(crate) pending_listings: Vec<PendingListing>,
-    /// Calls in a row without an answer.
-    pub(crate) unanswered: u32,
-    /// Connections in a row that were refused.
-    refused_in_a_row: u32,
-    /// When it was last noted whether a call was answered.
-    judged_ms: u64,
+    /// Number of unanswered or refused calls since the last answer.
+    pub(crate) consecutive_unanswered: u32,
+    /// Number of refused connections since the last other result.
+    consecutive_refusals: u32,
+    /// When the last call was answered, refused or timed out.
+    last_call_ended_ms: u64,
+    /// Fraction of unanswered calls.
     pub(crate) loss: CallLoss,
-    /// When it may be asked again.
-    pub(crate) ask_ms: u64,
-    pub(crate) leftovers: Vec<(RunKey, u64)>,
+    /// When the next listing may be requested.
+    pub(crate) next_listing_at_ms: u64,
+    /// Runs of an earlier agent, each with the time when its last stop was sent.
+    pub(crate) leftover_stops: Vec<(RunKey, u64)>,
     pub(crate) retained_ends: RetainedEnds,
 }
 
@@ -89,81 +99,82 @@
             reported_ms: now_ms,
             answered_ms: now_ms,
             lease_until_ms: now_ms,
-            finished_through: 0,
+            listed_through: 0,
             acknowledged_through: 0,
-            is_clean: false,
+            has_no_leftovers: false,
             has_left: false,
-            is_doubted: false,
+            may_have_left: false,
             pending_listings: Vec::new(),
-            unanswered: 0,
-            refused_in_a_row: 0,
-            judged_ms: now_ms,
+            consecutive_unanswered: 0,
+            consecutive_refusals: 0,
+            last_call_ended_ms: now_ms,
             loss: CallLoss::default(),
-            ask_ms: now_ms,
-            leftovers: Vec::new(),
+            next_listing_at_ms: now_ms,
+            leftover_stops: Vec::new(),
             retained_ends: RetainedEnds::new(now_ms),
         }
     }
 
     pub(crate) fn is_accepting_starts(&self) -> bool {
-        let is_staying = !self.is_leaving() && !self.is_doubted;
-        self.is_clean && is_staying && self.is_answering() && self.has_room_for_ends()
+        let is_staying = !self.is_leaving() && !self.may_have_left;
+        self.has_no_leftovers && is_staying && self.is_answering() && self.can_list_more_ends()
     }
 
-    /// Whether the minion lists the ends of all that it may still be given.
-    fn has_room_for_ends(&self) -> bool {
-        let kept = self
-            .finished_through
+    /// Whether the minion can list the ends of all runs that it may still get.
+    fn can_list_more_ends(&self) -> bool {
+        let unacknowledged = self
+            .listed_through
             .saturating_sub(self.acknowledged_through);
-        kept < ENDS_KEPT
+        unacknowledged < MAX_UNACKNOWLEDGED_ENDS
     }
 
-    /// Whether a listing that was asked for at `sent_ms` is of another life under
-    /// the same id: it tells another birth, or its clock has run back.
-    pub(crate) fn is_of_another_life(&self, sent_ms: u64, listing: &Listing) -> bool {
+    /// Whether a listing that was requested at `sent_ms` is of another incarnation with
+    /// the same id: it has another start time, or its clock has gone backwards.
+    pub(crate) fn is_of_other_incarnation(&self, sent_ms: u64, listing: &Listing) -> bool {
         let is_later = listing.clock_ms > 0 && sent_ms > self.clock_read_ms;
-        let has_run_back = is_later && listing.clock_ms < self.clock_ms;
+        let has_gone_backwards = is_later && listing.clock_ms < self.clock_ms;
         let incarnation = &self.report.incarnation;
-        has_run_back || !incarnation.can_be_from(listing.started_unix_ms)
+        has_gone_backwards || !incarnation.can_be_from(listing.started_unix_ms)
     }
 
-    /// Whether calls are answered: some may stay without an answer by chance,
-    /// but not all for a while.
+    /// Whether calls are answered. Some may stay unanswered by chance, but not all of
+    /// them for a while.
     pub(crate) fn is_answering(&self) -> bool {
-        let is_mute = self.unanswered >= UNANSWERED && self.judged_ms >= self.answered_ms + MUTE_MS;
-        !is_mute && self.refused_in_a_row < REFUSALS_OF_THE_GONE
+        let is_unresponsive = self.consecutive_unanswered >= UNRESPONSIVE_CALLS
+            && self.last_call_ended_ms >= self.answered_ms + UNRESPONSIVE_MS;
+        !is_unresponsive && self.consecutive_refusals < GONE_REFUSALS
     }
 
-    /// Notes what became of a call.
-    pub(crate) fn judge(&mut self, now_ms: u64, call_outcome: CallOutcome) {
+    /// Records the outcome of a call.
+    pub(crate) fn record_call_outcome(&mut self, now_ms: u64, call_outcome: CallOutcome) {
         let is_answered = call_outcome == CallOutcome::Answered;
-        self.loss.note(is_answered);
-        self.judged_ms = now_ms;
+        self.loss.record(is_answered);
+        self.last_call_ended_ms = now_ms;
         if is_answered {
             self.answered_ms = now_ms;
-            self.unanswered = 0;
+            self.consecutive_unanswered = 0;
         } else {
-            self.unanswered += 1;
+            self.consecutive_unanswered += 1;
         }
-        self.refused_in_a_row = match call_outcome {
-            CallOutcome::Refused => self.refused_in_a_row + 1,
+        self.consecutive_refusals = match call_outcome {
+            CallOutcome::Refused => self.consecutive_refusals + 1,
             CallOutcome::Answered | CallOutcome::Unanswered => 0,
         };
     }
 
-    /// Whether nobody takes connections at its address any more: its process has
-    /// ended, and all that ran there.
+    /// Whether nobody accepts connections at the minion's address any more: its process
+    /// has ended, and so have all runs there.
     fn is_gone(&self) -> bool {
-        self.epoch > 0 && self.refused_in_a_row >= REFUSALS_OF_THE_GONE
+        self.epoch > 0 && self.consecutive_refusals >= GONE_REFUSALS
     }
 
-    /// Whether it said that it leaves.
+    /// Whether the minion said that it is about to leave.
     pub(crate) fn is_leaving(&self) -> bool {
         self.report.is_draining || self.has_left
     }
 
-    pub(crate) fn is_clean(&self) -> bool {
-        self.is_clean
+    pub(crate) fn has_no_leftovers(&self) -> bool {
+        self.has_no_leftovers
     }
 
     pub(crate) fn capacity(&self) -> Resources {
@@ -184,25 +195,28 @@
             labels: self.report.labels.clone(),
             capacity: self.report.capacity,
             clock_ms: now_ms,
-            retained_ends: self.retained_ends.offered(),
+            retained_ends: self.retained_ends.unowned(),
             crashes,
             incarnation: self.report.incarnation.to_string().into(),
         }
     }
 
-    /// The last end that may be acknowledged, if it is not yet.
-    pub(crate) fn acknowledgeable(&self) -> Option<u64> {
-        let through = self.retained_ends.acknowledgeable(self.finished_through);
+    /// Number of the last end that may be acknowledged, if it is not acknowledged yet.
+    pub(crate) fn acknowledgeable_through(&self) -> Option<u64> {
+        let through = self
+            .retained_ends
+            .acknowledgeable_through(self.listed_through);
         (through > self.acknowledged_through).then_some(through)
     }
 
+    /// The minion's clock at `now_ms`, extrapolated from its last reading.
     fn clock_at(&self, now_ms: u64) -> u64 {
         self.clock_ms + now_ms.saturating_sub(self.clock_read_ms)
     }
 
-    /// Time that an answer with this reading of the minion's clock was on its way,
-    /// judged by the reading before, in milliseconds.
-    pub(crate) fn lag_ms(&self, now_ms: u64, clock_ms: u64) -> u64 {
+    /// Transit time of an answer with this reading of the minion's clock, estimated
+    /// from the previous reading, in milliseconds.
+    pub(crate) fn transit_ms(&self, now_ms: u64, clock_ms: u64) -> u64 {
         self.clock_at(now_ms).saturating_sub(clock_ms)
     }
 
@@ -213,6 +227,7 @@
         }
     }
 
+    /// Records that the lease is extended. Returns its new end on the minion's clock.
     pub(crate) fn extend_lease(&mut self, now_ms: u64) -> u64 {
         let margin_ms = MINION_LEASE_MS / 50;
         self.lease_until_ms = now_ms + MINION_LEASE_MS + margin_ms;
@@ -221,11 +236,11 @@
 }
 
 impl Agent {
-    /// Whether the lease may be extended: not while a stop has no answer, and
-    /// not while it must lapse.
+    /// Whether the lease may be extended: it may not while a stop has been unanswered
+    /// for [`STOP_TIMEOUT_MS`], nor while the lease must lapse.
     pub(crate) fn can_extend_lease(&self, now_ms: u64) -> bool {
         let minion = self.minion.as_ref();
-        if minion.is_some_and(|minion| minion.retained_ends.needs_lapse()) {
+        if minion.is_some_and(|minion| minion.retained_ends.needs_lease_lapse()) {
             return false;
         }
         !self.runs.iter().any(|run| match run.phase {
@@ -238,6 +253,7 @@
         })
     }
 
+    /// Stops a run, unless it is being stopped already.
     pub(crate) fn stop_run(&mut self, now_ms: u64, link: LinkId, order: OrderId) {
         let Some(run) = self.runs.get_mut(link, order) else {
             return;
@@ -260,20 +276,20 @@
                 key,
                 epoch: minion.epoch,
             };
-            let copies = std::iter::repeat_n(stop, minion.loss.copies() as usize);
-            self.actions.extend(copies);
+            let stops = std::iter::repeat_n(stop, minion.loss.hedged_calls() as usize);
+            self.actions.extend(stops);
         }
     }
 
-    /// The minion answered a stop, or did not.
+    /// Handles the result of a stop call.
     pub fn stop_answered(
         &mut self,
         now_ms: u64,
         incarnation: &Incarnation,
         key: &RunKey,
-        is_done: bool,
+        is_acknowledged: bool,
     ) {
-        if !self.serves(incarnation) || !is_done {
+        if !self.serves(incarnation) || !is_acknowledged {
             return;
         }
         let Some((link, order)) = self.runs.find(key) else {
@@ -286,35 +302,36 @@
         }
     }
 
-    /// Repeats stops without an answer, and gives the minion up when its last
-    /// lease is over.
+    /// Sends unanswered stops again. Gives the minion up when its process has ended,
+    /// when its lease is over and it has left or answers no calls, or when it has no
+    /// runs and sends no reports.
     pub(crate) fn watch_minion(&mut self, now_ms: u64) {
-        self.repeat_stops(now_ms);
+        self.retry_stops(now_ms);
         let Some(minion) = &self.minion else {
             return;
         };
-        let is_unanswered = now_ms > minion.answered_ms + SILENCE_MS;
+        let is_unanswered = now_ms > minion.answered_ms + UNLEASED_TIMEOUT_MS;
         let has_runs = self.runs.has_sent_starts();
-        let is_over = now_ms > minion.lease_until_ms;
-        let has_reports = now_ms <= minion.reported_ms + REPORTS_LOST_MS;
+        let is_lease_over = now_ms > minion.lease_until_ms;
+        let has_recent_report = now_ms <= minion.reported_ms + REPORT_TIMEOUT_MS;
         if minion.is_gone() {
-            // Its lease need not lapse first.
+            // The process has ended, so its lease need not lapse first.
             let loss = Loss::of(minion);
             self.event("minion-refuses", None, format!("loss={loss:?}"));
             self.lose_minion(now_ms, loss);
-        } else if is_over && minion.has_left {
+        } else if is_lease_over && minion.has_left {
             self.lose_minion(now_ms, Loss::Gone);
-        } else if is_over && is_unanswered && has_runs {
+        } else if is_lease_over && is_unanswered && has_runs {
             self.event("minion-silent", None, String::new());
             self.lose_minion(now_ms, Loss::Gone);
-        } else if !has_reports && !has_runs {
+        } else if !has_recent_report && !has_runs {
             self.event("minion-unreported", None, String::new());
             self.lose_minion(now_ms, Loss::Gone);
         }
     }
 
-    pub(crate) fn repeat_stops(&mut self, now_ms: u64) {
-        let mut again = Vec::new();
+    pub(crate) fn retry_stops(&mut self, now_ms: u64) {
+        let mut due = Vec::new();
         for run in self.runs.iter_mut() {
             if let Phase::Stopping {
                 acked_ms: None,
@@ -324,10 +341,10 @@
                 && now_ms >= *tried_ms + STOP_RETRY_MS
             {
                 *tried_ms = now_ms;
-                again.push(run.key.clone());
+                due.push(run.key.clone());
             }
         }
-        for key in again {
+        for key in due {
             self.send_stop(key);
         }
     }
@@ -340,11 +357,11 @@
         let listings_ms = minion
             .pending_listings
             .iter()
-            .map(|pending| pending.overdue_ms)
+            .map(|pending| pending.overdue_at_ms)
             .min();
         let has_runs = self.runs.has_sent_starts();
         let lease_ms = (has_runs || minion.has_left).then_some(minion.lease_until_ms + 1);
-        let reports_ms = Some(minion.reported_ms + REPORTS_LOST_MS + 1);
+        let reports_ms = Some(minion.reported_ms + REPORT_TIMEOUT_MS + 1);
         let stops = self.runs.iter().filter_map(|run| match run.phase {
             Phase::Stopping {
                 acked_ms: None,
@@ -353,10 +370,10 @@
             } => Some(tried_ms + STOP_RETRY_MS),
             _ => None,
         });
-        let repeats_ms = self.runs.iter().filter_map(|run| run.repeat_ms).min();
-        let next_copy = |run| Self::next_copy_ms(minion, run);
-        let copies_ms = self.runs.iter().filter_map(next_copy).min();
-        let ask_ms = Some(minion.ask_ms);
+        let retries_ms = self.runs.iter().filter_map(|run| run.retry_at_ms).min();
+        let next_hedge = |run| Self::next_hedge_ms(minion, run);
+        let hedges_ms = self.runs.iter().filter_map(next_hedge).min();
+        let next_listing_at_ms = Some(minion.next_listing_at_ms);
         let ends_ms = minion.retained_ends.due_ms(minion.lease_until_ms);
         let stops_ms = stops.min();
         let times = [
@@ -364,13 +381,13 @@
             lease_ms,
             reports_ms,
             stops_ms,
-            repeats_ms,
-            copies_ms,
-            ask_ms,
+            retries_ms,
+            hedges_ms,
+            next_listing_at_ms,
             candidate_ms,
             ends_ms,
             self.check_due_ms(),
-            self.delayed_calls.until_ms(now_ms),
+            self.delayed_calls.possible_until_ms(now_ms),
         ];
         let due_ms = times
             .into_iter()
--- a/crates/dispatch/src/agent/trial.rs
+++ b/crates/dispatch/src/agent/trial.rs
@@ -1,8 +1,9 @@
-//! Which entry may try whether a minion has recovered.
+//! Which entry may send the half-open trial of the circuit breaker.
 //!
-//! A minion that failed what it was given gets one start at a time until a run ends
-//! well. One entry is told that it may send that start, since starts of the others
-//! would be refused. The entry may have no task for this minion, so the trial passes on.
+//! A minion whose runs failed gets one start at a time until a run is successful.
+//! Starts of all entries but one would be refused, so one entry learns that it may send
+//! that start. It may have no task for this minion, so the turn passes from entry to
+//! entry.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -16,17 +17,19 @@
 /// takes a few.
 const TURN_MS: u64 = 100;
 
-/// Whose turn it is.
+/// The entry that may send the half-open trial.
 #[derive(Debug, Default)]
 pub(crate) struct Trial {
+    /// The link whose turn it is, and the time until which it is.
     turn: Option<(LinkId, u64)>,
-    /// The links that had a turn since all of them had one.
-    had_turns: BTreeSet<LinkId>,
+    /// The links that already had a turn in this round.
+    past_turns: BTreeSet<LinkId>,
 }
 
 impl Agent {
-    /// The entry whose start is admitted, if the minion must show that it has
-    /// recovered: the one with most work, and then each of the others.
+    /// The link whose starts are admitted while the breaker is half-open; `None`
+    /// otherwise. The entry with the most work gets the first turn, and then each of
+    /// the others.
     pub(crate) fn trial_link(&mut self, now_ms: u64) -> Option<LinkId> {
         if !matches!(self.breaker.state(now_ms), BreakerState::HalfOpen { .. }) {
             self.trial = Trial::default();
@@ -47,17 +50,17 @@
         }
         if links
             .iter()
-            .all(|(id, _)| self.trial.had_turns.contains(id))
+            .all(|(id, _)| self.trial.past_turns.contains(id))
         {
-            self.trial.had_turns.clear();
+            self.trial.past_turns.clear();
         }
         let rank = |(id, link): &&(LinkId, &Link)| {
             let is_waiting = link.demand.waiting_core_ms > 0;
-            let had_turn = self.trial.had_turns.contains(id);
+            let had_turn = self.trial.past_turns.contains(id);
             (Reverse(had_turn), is_waiting, link.demand.offered_milli)
         };
         let next = links.iter().max_by_key(rank).map(|(id, _)| *id)?;
-        self.trial.had_turns.insert(next);
+        self.trial.past_turns.insert(next);
         self.trial.turn = Some((next, now_ms + TURN_MS));
         Some(next)
     }
