--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -74,7 +74,7 @@
 
 impl Dispatcher {
     /// A minion crashed under a run that was ordered here.
-    pub(crate) fn crashed(
+    pub(crate) fn run_crashed(
         &mut self,
         now_ms: u64,
         order: OrderId,
@@ -100,8 +100,8 @@
     pub fn learn_crashes(&mut self, now_ms: u64, crashes: Vec<Crash>) {
         for crash in crashes {
             let id = crash.task.job.clone();
-            let is_news = self.learn_crash(now_ms, crash);
-            if is_news && self.jobs.get(&id).is_some_and(JobState::is_open) {
+            let is_new = self.learn_crash(now_ms, crash);
+            if is_new && self.jobs.get(&id).is_some_and(JobState::is_open) {
                 self.event("crash-told", Some(id.clone()), String::new());
                 self.advance_job(now_ms, &id);
             }
@@ -124,11 +124,11 @@
 
     /// Notes a crash and holds it against its task; whether it was not known.
     fn learn_crash(&mut self, now_ms: u64, crash: Crash) -> bool {
-        let is_news = self.crashes.learn(now_ms, crash.clone());
-        if is_news {
+        let is_new = self.crashes.learn(now_ms, crash.clone());
+        if is_new {
             self.apply_crash(crash);
         }
-        is_news
+        is_new
     }
 
     /// Holds a crash against its task. That of a stored task is to be recorded before the
@@ -141,7 +141,7 @@
             return;
         };
         if job.is_stored && job.is_open() {
-            job.tasks[position].await_record();
+            job.tasks[position].await_crash_record();
             self.stored_events.push(StoredEvent::Crashed {
                 position: u32::try_from(position).unwrap_or(u32::MAX),
                 crash,
--- a/crates/dispatch/src/dispatcher/ends.rs
+++ b/crates/dispatch/src/dispatcher/ends.rs
@@ -28,26 +28,26 @@
 const MOVE_COST_MS: f64 = 30.0;
 /// Times that a run is moved since its host is slow: its work may be longer
 /// than all that is known of it.
-const MOVES: u32 = 1;
+const MAX_MOVES: u32 = 1;
 /// Speed above which a minion is not slow enough for moves.
 const SLOW_SPEED: f64 = 0.6;
 /// Part of the work, as a percentage, from which its progress tells its length.
-const TOLD_PERCENT: u8 = 5;
+const MIN_PREDICTIVE_PERCENT: u8 = 5;
 /// A run that made no progress for this share of its expected time, and at
 /// least for [`HANG_MS`], stands still.
-const HANG_SHARE: f64 = 0.5;
-const HANG_MS: f64 = 150.0;
+const HANG_FRACTION: f64 = 0.5;
+const MIN_HANG_MS: f64 = 150.0;
 /// Speeds of minions whose run times are learned from: the kinds on the
 /// platform, not those that have become slow.
-const SOUND_SPEEDS: std::ops::Range<f64> = 0.6..1.8;
+const HEALTHY_SPEEDS: std::ops::Range<f64> = 0.6..1.8;
 /// Speed below which all runs on a minion stand still, and the share of its
 /// expected time for which a run must then have made no progress: minions tell
 /// progress in hundredths.
 const STALLED_SPEED: f64 = 0.3;
-const STALLED_SHARE: f64 = 0.03;
+const STALLED_FRACTION: f64 = 0.03;
 
 impl Dispatcher {
-    pub(crate) fn ended(
+    pub(crate) fn run_ended(
         &mut self,
         now_ms: u64,
         order: OrderId,
@@ -90,15 +90,15 @@
         match end {
             RunEnd::Done => {
                 task.phase = TaskPhase::Done;
-                let held_ms = now_ms.saturating_sub(state.ordered_ms);
-                job.last_end = format!(
+                let elapsed_since_order_ms = now_ms.saturating_sub(state.ordered_ms);
+                job.last_end_detail = format!(
                     "last_host={host} last_run={} last_ran_ms={ran_ms} last_transit_ms={}",
                     task.run,
-                    held_ms.saturating_sub(u64::from(ran_ms)),
+                    elapsed_since_order_ms.saturating_sub(u64::from(ran_ms)),
                 );
                 let record = self.hosts.record(&host);
                 record.record_success();
-                if SOUND_SPEEDS.contains(&speed) {
+                if HEALTHY_SPEEDS.contains(&speed) {
                     self.estimates.observe(&queue.name, declared_ms, ran_ms);
                 }
             }
@@ -114,14 +114,14 @@
                 task.avoid(&host);
                 self.hosts.record(&host).record_failure(now_ms);
                 if let Some(evidence) = crash {
-                    self.crashed(now_ms, order, &state, evidence);
+                    self.run_crashed(now_ms, order, &state, evidence);
                 }
                 self.task_event("task-unsettled", &state, &host, end, ran_ms);
             }
             RunEnd::Crashed(evidence) => {
                 task.avoid(&host);
                 self.hosts.record(&host).record_failure(now_ms);
-                self.crashed(now_ms, order, &state, evidence);
+                self.run_crashed(now_ms, order, &state, evidence);
                 self.task_event("task-crashed", &state, &host, end, ran_ms);
             }
             RunEnd::Lost
@@ -143,7 +143,7 @@
         if is_open {
             self.advance_job(now_ms, &state.job);
         } else {
-            self.clear_if_gone(&state.job);
+            self.remove_if_stopped(&state.job);
         }
     }
 
@@ -155,7 +155,7 @@
         let failed_on = |job: &JobState| {
             let mut hosts: Vec<Name> = Vec::new();
             for task in job.tasks.iter().filter(|task| task.failures > 0) {
-                hosts.extend(task.avoid.iter().cloned());
+                hosts.extend(task.avoided_hosts.iter().cloned());
             }
             hosts.sort();
             hosts.dedup();
@@ -240,7 +240,7 @@
             job.objective_ms.saturating_sub(job.received_ms),
             job.job.wait_ms,
             self.table.version,
-            job.last_end,
+            job.last_end_detail,
         );
         let orders = job.orders();
         if job.is_stored {
@@ -265,7 +265,7 @@
             reason: cause,
             took_ms: Some(took_ms),
         }));
-        self.clear_if_gone(id);
+        self.remove_if_stopped(id);
     }
 
     pub(crate) fn send_stop(&mut self, order: OrderId) {
@@ -281,24 +281,24 @@
     }
 
     /// Forgets an ended job of which nothing can run any more.
-    pub(crate) fn clear_if_gone(&mut self, id: &Name) {
+    pub(crate) fn remove_if_stopped(&mut self, id: &Name) {
         let is_gone = self
             .jobs
             .get(id)
-            .is_some_and(|job| !job.is_open() && job.is_clear());
+            .is_some_and(|job| !job.is_open() && job.has_no_runs());
         if !is_gone {
             return;
         }
         let Some(state) = self.jobs.remove(id) else {
             return;
         };
-        if let Some((caller, job, received_ms)) = state.next {
+        if let Some((caller, job, received_ms)) = state.next_submission {
             self.admit(caller, job, received_ms);
         }
     }
 
     /// Moves a run that stands still or is slow, when it gains.
-    pub(crate) fn progressed(
+    pub(crate) fn run_progressed(
         &mut self,
         now_ms: u64,
         order: OrderId,
@@ -322,40 +322,40 @@
         // Against the other minions, since all are slow while declared times
         // are too short.
         let speed = agent.speed / self.usual_speed;
-        let was_moved = self
+        let has_reached_move_limit = self
             .jobs
             .get(&state.job)
-            .is_some_and(|job| job.tasks[state.position].moves >= MOVES);
+            .is_some_and(|job| job.tasks[state.position].moves >= MAX_MOVES);
         let elapsed_ms = f64::from(elapsed_ms);
-        let patience_ms = HANG_MS.max(state.expected_ms * HANG_SHARE);
-        let stalled_ms = HANG_MS.max(state.expected_ms * STALLED_SHARE);
-        let is_hanging = f64::from(idle_ms) > patience_ms
-            || (f64::from(idle_ms) > stalled_ms && speed < STALLED_SPEED);
+        let hang_limit_ms = MIN_HANG_MS.max(state.expected_ms * HANG_FRACTION);
+        let stall_limit_ms = MIN_HANG_MS.max(state.expected_ms * STALLED_FRACTION);
+        let is_hanging = f64::from(idle_ms) > hang_limit_ms
+            || (f64::from(idle_ms) > stall_limit_ms && speed < STALLED_SPEED);
         let (remaining_ms, work_ms) = if is_hanging {
             (f64::INFINITY, state.expected_ms)
         } else if percent > 0 {
             // The work is known from its progress and the speed there.
             let total_ms = elapsed_ms * 100.0 / f64::from(percent);
-            self.lengthen(&state, percent, total_ms * speed.max(SLOW_SPEED));
+            self.extend_times(&state, percent, total_ms * speed.max(SLOW_SPEED));
             (total_ms - elapsed_ms, total_ms * speed)
         } else {
             return;
         };
-        let gains = remaining_ms > work_ms * MOVE_FACTOR + MOVE_COST_MS;
-        if is_hanging || gains && speed < SLOW_SPEED && !was_moved {
+        let saves_time = remaining_ms > work_ms * MOVE_FACTOR + MOVE_COST_MS;
+        if is_hanging || saves_time && speed < SLOW_SPEED && !has_reached_move_limit {
             self.move_run(now_ms, order, &state, &host, remaining_ms);
         }
     }
 
     /// Tells a job how long the work of a running task is, once its progress
     /// tells it well enough.
-    fn lengthen(&mut self, order: &OrderState, percent: u8, work_ms: f64) {
+    fn extend_times(&mut self, order: &OrderState, percent: u8, work_ms: f64) {
         let Some(job) = self.jobs.get_mut(&order.job) else {
             return;
         };
-        if percent >= TOLD_PERCENT {
+        if percent >= MIN_PREDICTIVE_PERCENT {
             let step = job.tasks[order.position].step;
-            job.lengthen(step, work_ms, &self.estimates);
+            job.extend_times(step, work_ms, &self.estimates);
         }
     }
 
@@ -386,31 +386,37 @@
     }
 
     pub(crate) fn release_orphans(&mut self, host: &Name) {
-        let is_back = |task: &TaskState, _| task.host.as_ref() == Some(host);
-        self.settle_orphans(is_back, TaskPhase::Waiting);
+        let is_on_host = |task: &TaskState, _| task.host.as_ref() == Some(host);
+        self.resolve_orphans(is_on_host, TaskPhase::Waiting);
     }
 
     pub(crate) fn expire_orphans(&mut self, now_ms: u64) {
-        let is_over = |_: &TaskState, until_ms| now_ms >= until_ms;
-        self.settle_orphans(is_over, TaskPhase::Noting);
+        let is_resolved = |_: &TaskState, until_ms| now_ms >= until_ms;
+        self.resolve_orphans(is_resolved, TaskPhase::AwaitingLossRecord);
     }
 
     /// Ends the wait for runs that were out of reach; `stored` is the phase of
     /// stored tasks from then on.
-    fn settle_orphans(&mut self, is_over: impl Fn(&TaskState, u64) -> bool, stored: TaskPhase) {
-        let mut touched = Vec::new();
+    fn resolve_orphans(
+        &mut self,
+        is_resolved: impl Fn(&TaskState, u64) -> bool,
+        stored_phase: TaskPhase,
+    ) {
+        let mut changed = Vec::new();
         for (id, job) in &mut self.jobs {
-            let mut is_touched = false;
+            let mut is_changed = false;
             for (position, task) in (0_u32..).zip(&mut job.tasks) {
                 if let TaskPhase::Orphaned { until_ms } = task.phase
-                    && is_over(task, until_ms)
+                    && is_resolved(task, until_ms)
                 {
                     match job.is_stored {
-                        true if stored == TaskPhase::Noting => task.phase = stored,
-                        _ => task.wait(),
+                        true if stored_phase == TaskPhase::AwaitingLossRecord => {
+                            task.phase = stored_phase
+                        }
+                        _ => task.set_waiting(),
                     }
-                    is_touched = true;
-                    if task.phase == TaskPhase::Noting {
+                    is_changed = true;
+                    if task.phase == TaskPhase::AwaitingLossRecord {
                         self.stored_events.push(StoredEvent::RunLost {
                             job: id.clone(),
                             position,
@@ -419,12 +425,12 @@
                     }
                 }
             }
-            if is_touched {
-                touched.push(id.clone());
+            if is_changed {
+                changed.push(id.clone());
             }
         }
-        for id in touched {
-            self.clear_if_gone(&id);
+        for id in changed {
+            self.remove_if_stopped(&id);
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/estimate.rs
+++ b/crates/dispatch/src/dispatcher/estimate.rs
@@ -11,7 +11,7 @@
 /// Runs that the assumption "as declared" is worth at the start.
 const PRIOR_RUNS: f64 = 12.0;
 /// Runs after which earlier ones fade, so that a shift of the work shows in seconds.
-const MEMORY_RUNS: f64 = 400.0;
+const MAX_MEMORY_RUNS: f64 = 400.0;
 /// Spread of the logarithm of declared times that is assumed at the start.
 const PRIOR_VARIANCE: f64 = 0.1;
 
@@ -25,8 +25,8 @@
 #[derive(Clone, Debug)]
 struct Regression {
     runs: f64,
-    declared: f64,
-    took: f64,
+    mean_ln_declared: f64,
+    mean_ln_ran: f64,
     variance: f64,
     covariance: f64,
 }
@@ -43,39 +43,39 @@
 
     /// Learns from a run that was done on a sound minion.
     pub(crate) fn observe(&mut self, queue: &Name, declared_ms: u64, ran_ms: u32) {
-        let declared = (declared_ms.max(1) as f64).ln();
-        let took = f64::from(ran_ms.max(1)).ln();
+        let ln_declared = (declared_ms.max(1) as f64).ln();
+        let ln_ran = f64::from(ran_ms.max(1)).ln();
         let regression = self.queues.entry(queue.clone());
-        let regression = regression.or_insert_with(|| Regression::new(declared));
-        regression.observe(declared, took);
+        let regression = regression.or_insert_with(|| Regression::new(ln_declared));
+        regression.observe(ln_declared, ln_ran);
     }
 }
 
 impl Regression {
-    fn new(declared: f64) -> Self {
+    fn new(ln_declared: f64) -> Self {
         Self {
             runs: PRIOR_RUNS,
-            declared,
-            took: declared,
+            mean_ln_declared: ln_declared,
+            mean_ln_ran: ln_declared,
             variance: PRIOR_VARIANCE,
             covariance: PRIOR_VARIANCE,
         }
     }
 
-    fn predict(&self, declared: f64) -> f64 {
+    fn predict(&self, ln_declared: f64) -> f64 {
         let slope = (self.covariance / self.variance.max(1e-6)).clamp(0.0, 1.0);
-        self.took + slope * (declared - self.declared)
+        self.mean_ln_ran + slope * (ln_declared - self.mean_ln_declared)
     }
 
-    fn observe(&mut self, declared: f64, took: f64) {
-        self.runs = (self.runs + 1.0).min(MEMORY_RUNS);
+    fn observe(&mut self, ln_declared: f64, ln_ran: f64) {
+        self.runs = (self.runs + 1.0).min(MAX_MEMORY_RUNS);
         let weight = 1.0 / self.runs;
-        let declared_off = declared - self.declared;
-        let took_off = took - self.took;
-        self.declared += weight * declared_off;
-        self.took += weight * took_off;
+        let declared_deviation = ln_declared - self.mean_ln_declared;
+        let ran_deviation = ln_ran - self.mean_ln_ran;
+        self.mean_ln_declared += weight * declared_deviation;
+        self.mean_ln_ran += weight * ran_deviation;
         let fade = 1.0 - weight;
-        self.variance = fade * (self.variance + weight * declared_off * declared_off);
-        self.covariance = fade * (self.covariance + weight * declared_off * took_off);
+        self.variance = fade * (self.variance + weight * declared_deviation * declared_deviation);
+        self.covariance = fade * (self.covariance + weight * declared_deviation * ran_deviation);
     }
 }
--- a/crates/dispatch/src/dispatcher/evacuation.rs
+++ b/crates/dispatch/src/dispatcher/evacuation.rs
@@ -18,7 +18,7 @@
 const EVACUATED_RETRY_MS: u64 = 5_000;
 /// The same after other refusals that room would not mend: an entry that starts
 /// has its configuration and its agents by then.
-const USUAL_RETRY_MS: u64 = 1_000;
+const DEFAULT_RETRY_MS: u64 = 1_000;
 
 impl Dispatcher {
     /// The zones that are being emptied, as far as is known here.
@@ -46,7 +46,7 @@
                 unknown.count()
             );
             self.event("evacuations", None, detail);
-            self.refuse_untouched(now_ms, Refusal::Evacuated, Self::is_evacuated);
+            self.refuse_never_run(now_ms, Refusal::Evacuated, Self::is_evacuated);
         }
         true
     }
@@ -81,19 +81,19 @@
 
     /// Refuses the jobs of which nothing has begun and that now fit nowhere: to
     /// wait for room would only tell their callers later.
-    pub(crate) fn refuse_untouched(
+    pub(crate) fn refuse_never_run(
         &mut self,
         now_ms: u64,
         reason: Refusal,
-        is_homeless: impl Fn(&Self, &Job) -> bool,
+        is_unplaceable: impl Fn(&Self, &Job) -> bool,
     ) {
-        let untouched = self
+        let never_run = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.is_open() && !job.is_stored && job.is_untouched());
-        let homeless = untouched.filter(|(_, job)| is_homeless(self, &job.job));
-        let homeless: Vec<Name> = homeless.map(|(id, _)| id.clone()).collect();
-        for id in homeless {
+            .filter(|(_, job)| job.is_open() && !job.is_stored && job.has_never_run());
+        let unplaceable = never_run.filter(|(_, job)| is_unplaceable(self, &job.job));
+        let unplaceable: Vec<Name> = unplaceable.map(|(id, _)| id.clone()).collect();
+        for id in unplaceable {
             let outcome = JobOutcome::Refused {
                 reason,
                 retry_after_ms: retry_after_ms(reason),
@@ -107,6 +107,6 @@
 pub(crate) fn retry_after_ms(reason: Refusal) -> u64 {
     match reason {
         Refusal::Evacuated => EVACUATED_RETRY_MS,
-        _ => USUAL_RETRY_MS,
+        _ => DEFAULT_RETRY_MS,
     }
 }
--- a/crates/dispatch/src/dispatcher/fleet.rs
+++ b/crates/dispatch/src/dispatcher/fleet.rs
@@ -22,7 +22,7 @@
 const MAX_EJECTION_MS: u64 = 2_400;
 /// Silence of an agent after which it gets no starts, in milliseconds: two
 /// keepalives.
-const QUIET_MS: u64 = 250;
+const STALE_AGENT_MS: u64 = 250;
 
 /// Speed is told in thousandths of the ordinary one.
 const PERMILLE: f64 = 1_000.0;
@@ -48,9 +48,9 @@
 
     /// A run ended badly for a reason that speaks against the host.
     pub(crate) fn record_failure(&mut self, now_ms: u64) {
-        let doubled = FIRST_EJECTION_MS << self.consecutive_failures.min(3);
+        let ejection_ms = FIRST_EJECTION_MS << self.consecutive_failures.min(3);
         self.consecutive_failures += 1;
-        self.ejected_until_ms = now_ms + doubled.min(MAX_EJECTION_MS);
+        self.ejected_until_ms = now_ms + ejection_ms.min(MAX_EJECTION_MS);
     }
 
     /// A run ended well.
@@ -76,12 +76,12 @@
     pub(crate) max_capacity: Resources,
     pub(crate) outbox: Vec<Order>,
     pub(crate) last_seen_ms: u64,
-    pub(crate) sent_ms: u64,
+    pub(crate) last_sent_ms: u64,
     pub(crate) clock_ms: u64,
     /// Speed of its minion, 1 for the ordinary one.
     pub(crate) speed: f64,
     /// Whether it has told its room since it greeted.
-    pub(crate) is_room_known: bool,
+    pub(crate) has_reported_free: bool,
     free: Resources,
     /// What all entries together told the agent of their demand.
     demand: Demand,
@@ -97,7 +97,7 @@
     /// Orders without an end, with their number on the link and their need.
     pub(crate) outstanding: BTreeMap<OrderId, (u64, Resources)>,
     /// The entries that it was told of.
-    chosen: BTreeSet<SocketAddr>,
+    chosen_entries: BTreeSet<SocketAddr>,
     /// Whether these are its choice of what all agents were last told.
     pub(crate) is_chosen_from_sent: bool,
 }
@@ -108,7 +108,7 @@
             clock_ms: hello.clock_ms,
             max_capacity: hello.capacity,
             speed: 1.0,
-            is_room_known: false,
+            has_reported_free: false,
             free: Resources::default(),
             demand: Demand::default(),
             sent_demand: Demand::default(),
@@ -118,11 +118,11 @@
             hello,
             outbox: Vec::new(),
             last_seen_ms: now_ms,
-            sent_ms: 0,
+            last_sent_ms: 0,
             starts_received: 0,
             starts_sent: 0,
             outstanding: BTreeMap::new(),
-            chosen: BTreeSet::new(),
+            chosen_entries: BTreeSet::new(),
             is_chosen_from_sent: false,
         }
     }
@@ -130,7 +130,7 @@
     pub(crate) fn update(&mut self, now_ms: u64, frame: &AgentFrame) {
         self.last_seen_ms = now_ms;
         self.clock_ms = frame.clock_ms;
-        self.is_room_known = true;
+        self.has_reported_free = true;
         self.free = frame.free;
         self.speed = f64::from(frame.speed_permille) / PERMILLE;
         self.demand = frame.demand;
@@ -140,7 +140,7 @@
     }
 
     /// The minion has other room than before.
-    pub(crate) fn resized(&mut self, capacity: Resources) {
+    pub(crate) fn set_capacity(&mut self, capacity: Resources) {
         self.hello.capacity = capacity;
         self.max_capacity = self.max_capacity.max(&capacity);
     }
@@ -173,10 +173,10 @@
     /// list that grows with the fleet, to as many agents.
     pub(crate) fn send_entries(&mut self, entries: BTreeSet<SocketAddr>) {
         let rendezvous = RendezvousHash::new(self.hello.host.clone(), MAX_LINKED_ENTRIES);
-        self.chosen = rendezvous.select(entries);
+        self.chosen_entries = rendezvous.select(entries);
         self.is_chosen_from_sent = true;
-        let chosen = self.chosen.iter().copied().collect();
-        self.outbox.push(Order::Entries(chosen));
+        let chosen_entries = self.chosen_entries.iter().copied().collect();
+        self.outbox.push(Order::Entries(chosen_entries));
     }
 
     /// The same, when these were added to those told last and others may be gone.
@@ -185,9 +185,9 @@
         entries: &BTreeSet<SocketAddr>,
         added: &[SocketAddr],
     ) {
-        if self.is_chosen_from_sent && self.chosen.is_subset(entries) {
-            let chosen = self.chosen.iter().chain(added);
-            self.send_entries(chosen.copied().collect());
+        if self.is_chosen_from_sent && self.chosen_entries.is_subset(entries) {
+            let chosen_entries = self.chosen_entries.iter().chain(added);
+            self.send_entries(chosen_entries.copied().collect());
         } else {
             self.send_entries(entries.clone());
         }
@@ -200,8 +200,10 @@
         }
     }
 
-    pub(crate) fn takes_starts(&self, now_ms: u64) -> bool {
-        self.is_accepting_starts && !self.is_evacuated && now_ms <= self.last_seen_ms + QUIET_MS
+    pub(crate) fn accepts_starts(&self, now_ms: u64) -> bool {
+        self.is_accepting_starts
+            && !self.is_evacuated
+            && now_ms <= self.last_seen_ms + STALE_AGENT_MS
     }
 
     /// Demand of the other entries on this agent.
@@ -233,7 +235,7 @@
 
 impl Hosts {
     /// Notes a greeting; a minion of another kind starts without a record.
-    pub(crate) fn greeted(&mut self, hello: &AgentHello) {
+    pub(crate) fn record_greeting(&mut self, hello: &AgentHello) {
         let record = self.record(&hello.host);
         if record.labels != hello.labels {
             *record = HostRecord::new(hello.labels.clone());
--- a/crates/dispatch/src/dispatcher/intake.rs
+++ b/crates/dispatch/src/dispatcher/intake.rs
@@ -20,7 +20,7 @@
             if earlier.is_open() {
                 earlier.callers.push(caller);
             } else {
-                earlier.next = Some((caller, job, now_ms));
+                earlier.next_submission = Some((caller, job, now_ms));
             }
             return;
         }
@@ -37,11 +37,11 @@
         };
         state.callers.retain(|other| *other != caller);
         if state
-            .next
+            .next_submission
             .as_ref()
             .is_some_and(|(next, ..)| *next == caller)
         {
-            state.next = None;
+            state.next_submission = None;
         }
         if state.callers.is_empty() && state.is_open() {
             self.finish(now_ms, &id, JobOutcome::Cancelled, "caller-left");
@@ -50,8 +50,8 @@
 
     /// A caller cancels a job; `false` if there is none.
     pub fn cancel(&mut self, now_ms: u64, id: &Name) -> bool {
-        let is_waited_for = |job: &JobState| job.is_open() && !job.is_stored;
-        let is_open = self.jobs.get(id).is_some_and(is_waited_for);
+        let has_caller = |job: &JobState| job.is_open() && !job.is_stored;
+        let is_open = self.jobs.get(id).is_some_and(has_caller);
         if is_open {
             self.finish(now_ms, id, JobOutcome::Cancelled, "cancelled");
         }
@@ -80,10 +80,10 @@
         let id = job.id.clone();
         let now_ms = self.last_tick_ms.max(received_ms);
         let state = JobState::new(received_ms, caller, job, &self.estimates);
-        let is_taken = self.policy_admits(now_ms, &state);
+        let is_admitted = self.policy_admits(now_ms, &state);
         self.jobs.insert(id.clone(), state);
         self.apply_known_crashes(&id);
-        if !is_taken {
+        if !is_admitted {
             self.refuse_overloaded(now_ms, &id, "over-share");
         } else if self.jobs.get(&id).is_some_and(JobState::crashes_minions) {
             self.advance_job(now_ms, &id);
@@ -98,7 +98,7 @@
         if !self.has_minions(service) {
             return Ok(());
         }
-        if let Some(reason) = self.unfitting(job) {
+        if let Some(reason) = self.capacity_refusal(job) {
             return Err(reason);
         }
         if self.is_evacuated(job) {
--- a/crates/dispatch/src/dispatcher/jobs.rs
+++ b/crates/dispatch/src/dispatcher/jobs.rs
@@ -22,10 +22,10 @@
 /// milliseconds; part of the objective that cannot be used.
 const TRANSIT_MS: f64 = 10.0;
 /// A job is of no use after this many times its objective.
-const LATE_FACTOR: f64 = 3.0;
+const GIVE_UP_FACTOR: f64 = 3.0;
 
 /// Hosts that a task keeps away from; more would leave none on a small site.
-const AVOIDED_HOSTS: usize = 3;
+const MAX_AVOIDED_HOSTS: usize = 3;
 
 /// Weight of the signs with which a task is given up, since each such minion is gone for
 /// seconds with all that ran there: two sure crashes, or four at most. A weak sign beside
@@ -51,10 +51,10 @@
     },
     /// Its last run may have ended unseen, and it is started anew as soon as
     /// the log tells that such an end must not count.
-    Noting,
+    AwaitingLossRecord,
     /// A minion crashed under its last run, and it is started anew as soon as the
     /// log tells of that.
-    Crashed,
+    AwaitingCrashRecord,
     /// Its work is done.
     Done,
 }
@@ -72,11 +72,11 @@
     /// Minions that crashed under it, by the number of the crash.
     pub(crate) crashes: BTreeMap<u64, CrashEvidence>,
     /// Crashes that the log does not tell of yet.
-    unrecorded: u32,
+    unrecorded_crashes: u32,
     /// Times that it was moved since its host was slow.
     pub(crate) moves: u32,
     /// Hosts on which it failed, hung or got no answer.
-    pub(crate) avoid: Vec<Name>,
+    pub(crate) avoided_hosts: Vec<Name>,
     /// The host of the last order.
     pub(crate) host: Option<Name>,
 }
@@ -88,35 +88,35 @@
     }
 
     /// A crash is to be recorded before it is started anew.
-    pub(crate) fn await_record(&mut self) {
-        self.unrecorded += 1;
+    pub(crate) fn await_crash_record(&mut self) {
+        self.unrecorded_crashes += 1;
         if self.phase == TaskPhase::Waiting {
-            self.phase = TaskPhase::Crashed;
+            self.phase = TaskPhase::AwaitingCrashRecord;
         }
     }
 
     /// A crash lies in the log.
-    pub(crate) fn recorded(&mut self) {
-        self.unrecorded = self.unrecorded.saturating_sub(1);
-        if self.phase == TaskPhase::Crashed {
-            self.wait();
+    pub(crate) fn crash_recorded(&mut self) {
+        self.unrecorded_crashes = self.unrecorded_crashes.saturating_sub(1);
+        if self.phase == TaskPhase::AwaitingCrashRecord {
+            self.set_waiting();
         }
     }
 
     /// It can be ordered, once all its crashes lie in the log.
-    pub(crate) fn wait(&mut self) {
-        self.phase = match self.unrecorded {
+    pub(crate) fn set_waiting(&mut self) {
+        self.phase = match self.unrecorded_crashes {
             0 => TaskPhase::Waiting,
-            _ => TaskPhase::Crashed,
+            _ => TaskPhase::AwaitingCrashRecord,
         };
     }
 
     /// Keeps the task from the last few hosts that served it badly.
     pub(crate) fn avoid(&mut self, host: &Name) {
-        self.avoid.retain(|other| other != host);
-        self.avoid.push(host.clone());
-        if self.avoid.len() > AVOIDED_HOSTS {
-            self.avoid.remove(0);
+        self.avoided_hosts.retain(|other| other != host);
+        self.avoided_hosts.push(host.clone());
+        if self.avoided_hosts.len() > MAX_AVOIDED_HOSTS {
+            self.avoided_hosts.remove(0);
         }
     }
 }
@@ -139,12 +139,12 @@
     /// How it ended; tasks may still be about to stop.
     pub(crate) outcome: Option<JobOutcome>,
     /// A submission of the same id that waits until this one is gone.
-    pub(crate) next: Option<(CallerId, Job, u64)>,
+    pub(crate) next_submission: Option<(CallerId, Job, u64)>,
     pub(crate) first_start_ms: Option<u64>,
     /// Until when agents know that its tasks wait.
     pub(crate) probed_until_ms: u64,
     /// Where and how long the task ran that was done last, for the log.
-    pub(crate) last_end: String,
+    pub(crate) last_end_detail: String,
     /// Whether it is kept in the job log: it has no callers, is never given up,
     /// and its ends are recorded.
     pub(crate) is_stored: bool,
@@ -186,7 +186,7 @@
     }
 
     fn without_caller(now_ms: u64, job: Job, estimates: &Estimates) -> Self {
-        let times = Times::new(&job, critical_path_ms(&job, estimates));
+        let times = JobTimes::new(&job, critical_path_ms(&job, estimates));
         let tasks = job.steps.iter().enumerate().flat_map(|(number, step)| {
             let phase = if step.after.is_empty() {
                 TaskPhase::Waiting
@@ -200,9 +200,9 @@
                 run: 0,
                 failures: 0,
                 crashes: BTreeMap::new(),
-                unrecorded: 0,
+                unrecorded_crashes: 0,
                 moves: 0,
-                avoid: Vec::new(),
+                avoided_hosts: Vec::new(),
                 host: None,
             })
         });
@@ -212,14 +212,14 @@
             callers: Vec::new(),
             received_ms: now_ms,
             objective_ms: now_ms.saturating_add(times.objective_ms),
-            give_up_at_ms: now_ms.saturating_add(times.give_up_at_ms),
+            give_up_at_ms: now_ms.saturating_add(times.give_up_after_ms),
             excess_ms: 0.0,
             may_have_run: false,
             outcome: None,
-            next: None,
+            next_submission: None,
             first_start_ms: None,
             probed_until_ms: 0,
-            last_end: String::new(),
+            last_end_detail: String::new(),
             is_stored: false,
             was_seen_running: false,
             is_paused: false,
@@ -232,7 +232,7 @@
     /// it the time that it may take. By the first guess, the few tasks that are many
     /// times longer than declared would be given up in the middle of their work,
     /// while their callers wait on.
-    pub(crate) fn lengthen(&mut self, step: usize, work_ms: f64, estimates: &Estimates) {
+    pub(crate) fn extend_times(&mut self, step: usize, work_ms: f64, estimates: &Estimates) {
         let declared_ms = self.job.steps[step].declared_ms;
         let expected_ms = estimates.expected_ms(&self.job.queue.name, declared_ms);
         let excess_ms = work_ms - expected_ms;
@@ -241,10 +241,10 @@
         }
         self.excess_ms = excess_ms;
         let critical_path_ms = critical_path_ms(&self.job, estimates) + excess_ms;
-        let times = Times::new(&self.job, critical_path_ms);
+        let times = JobTimes::new(&self.job, critical_path_ms);
         let received_ms = self.received_ms;
         self.objective_ms = self.objective_ms.max(received_ms + times.objective_ms);
-        self.give_up_at_ms = self.give_up_at_ms.max(received_ms + times.give_up_at_ms);
+        self.give_up_at_ms = self.give_up_at_ms.max(received_ms + times.give_up_after_ms);
     }
 
     pub(crate) fn is_open(&self) -> bool {
@@ -253,11 +253,11 @@
 
     /// Holds a crash against its task; the task's position if that is news.
     pub(crate) fn record_crash(&mut self, crash: &Crash) -> Option<usize> {
-        let is_its = |task: &TaskState| {
+        let is_crashed_task = |task: &TaskState| {
             u32::try_from(task.step).is_ok_and(|step| step == crash.task.step)
                 && task.index == crash.task.index
         };
-        let position = self.tasks.iter().position(is_its)?;
+        let position = self.tasks.iter().position(is_crashed_task)?;
         let known = self.tasks[position]
             .crashes
             .insert(crash.number, crash.evidence);
@@ -278,7 +278,7 @@
     }
 
     /// Whether nothing of it can run any more.
-    pub(crate) fn is_clear(&self) -> bool {
+    pub(crate) fn has_no_runs(&self) -> bool {
         !self.tasks.iter().any(|task| {
             matches!(
                 task.phase,
@@ -288,8 +288,8 @@
     }
 
     /// Whether nothing of it has run or may run.
-    pub(crate) fn is_untouched(&self) -> bool {
-        !self.may_have_run && self.is_clear()
+    pub(crate) fn has_never_run(&self) -> bool {
+        !self.may_have_run && self.has_no_runs()
     }
 
     pub(crate) fn has_waiting(&self) -> bool {
@@ -385,21 +385,21 @@
 }
 
 /// Times of a job from its receipt, in milliseconds.
-struct Times {
+struct JobTimes {
     /// Within which it should be complete.
     objective_ms: u64,
     /// After which it is of no use.
-    give_up_at_ms: u64,
+    give_up_after_ms: u64,
 }
 
-impl Times {
+impl JobTimes {
     fn new(job: &Job, critical_path_ms: f64) -> Self {
         let objective_ms =
             job.queue.stretch * critical_path_ms + job.queue.target_latency_ms as f64;
-        let late_ms = (objective_ms * LATE_FACTOR - TRANSIT_MS).max(1.0) as u64;
+        let give_up_ms = (objective_ms * GIVE_UP_FACTOR - TRANSIT_MS).max(1.0) as u64;
         Self {
             objective_ms: (objective_ms - TRANSIT_MS).max(1.0) as u64,
-            give_up_at_ms: late_ms.min(job.wait_ms.max(1)),
+            give_up_after_ms: give_up_ms.min(job.wait_ms.max(1)),
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -43,7 +43,7 @@
 use crate::dispatcher::jobs::JobState;
 use crate::dispatcher::jobs::TaskPhase;
 use crate::dispatcher::overload::MINION_WAIT_DIVISOR;
-use crate::dispatcher::overload::SHED_MS;
+use crate::dispatcher::overload::SHED_INTERVAL_MS;
 use crate::policy::BoxedPolicy;
 use crate::policy::FairShare;
 use crate::policy::WorkRate;
@@ -126,9 +126,9 @@
     pub(crate) starts_resume_at_ms: u64,
     pub(crate) policy: BoxedPolicy,
     /// Work of each service that was started of late.
-    pub(crate) started: BTreeMap<Name, WorkRate>,
-    pub(crate) shed_ms: u64,
-    pub(crate) lenient: Vec<Name>,
+    pub(crate) started_work: BTreeMap<Name, WorkRate>,
+    pub(crate) last_shed_ms: u64,
+    pub(crate) services_without_ejection: Vec<Name>,
     /// Speed that minions have at present, 1 for the ordinary one.
     pub(crate) usual_speed: f64,
     pub(crate) actions: Vec<DispatcherAction>,
@@ -164,9 +164,9 @@
             last_tick_ms: now_ms,
             starts_resume_at_ms: now_ms,
             policy,
-            started: BTreeMap::new(),
-            shed_ms: now_ms,
-            lenient: Vec::new(),
+            started_work: BTreeMap::new(),
+            last_shed_ms: now_ms,
+            services_without_ejection: Vec::new(),
             usual_speed: 1.0,
             actions: Vec::new(),
             stored_events: Vec::new(),
@@ -207,8 +207,8 @@
     /// Jobs of a queue whose callers wait, and of which nothing has started.
     #[must_use]
     pub fn pending(&self, queue: &str) -> usize {
-        let is_waited_for = |job: &JobState| job.is_open() && !job.is_stored;
-        let of_queue = |job: &&JobState| &*job.job.queue.name == queue && is_waited_for(job);
+        let has_caller = |job: &JobState| job.is_open() && !job.is_stored;
+        let of_queue = |job: &&JobState| &*job.job.queue.name == queue && has_caller(job);
         let jobs = self.jobs.values().filter(of_queue);
         jobs.filter(|job| job.first_start_ms.is_none()).count()
     }
@@ -240,7 +240,7 @@
             hello.host, hello.zone, hello.capacity
         );
         self.event("agent-up", None, detail);
-        self.hosts.greeted(&hello);
+        self.hosts.record_greeting(&hello);
         self.retained_ends_reported(link, hello.retained_ends.clone());
         self.learn_crashes(now_ms, hello.crashes.clone());
         self.learn_unseen_crashes(now_ms, &hello);
@@ -249,7 +249,7 @@
             .agents
             .iter()
             .find(|(_, agent)| agent.hello.host == host);
-        if let Some((stale, _)) = stale.map(|(link, agent)| (*link, agent.sent_ms)) {
+        if let Some((stale, _)) = stale.map(|(link, agent)| (*link, agent.last_sent_ms)) {
             self.actions.push(DispatcherAction::Close(stale));
             self.agent_down(stale, "greeted-again");
         }
@@ -270,7 +270,7 @@
             orders.len()
         );
         self.event("agent-down", None, detail);
-        let until_ms = agent.sent_ms + RUNS_GONE_AFTER_MS;
+        let until_ms = agent.last_sent_ms + RUNS_GONE_AFTER_MS;
         for order in orders {
             let Some(state) = self.orders.remove(&order) else {
                 continue;
@@ -287,7 +287,7 @@
                 state.position, agent.hello.host
             );
             self.event("task-orphaned", Some(state.job.clone()), detail);
-            self.clear_if_gone(&state.job);
+            self.remove_if_stopped(&state.job);
         }
     }
 
@@ -304,15 +304,15 @@
                     end,
                     ran_ms,
                     retained_number,
-                } => self.ended(now_ms, order, end, ran_ms, retained_number),
+                } => self.run_ended(now_ms, order, end, ran_ms, retained_number),
                 Report::RetainedEnds(ends) => self.retained_ends_reported(link, ends),
-                Report::Capacity(capacity) => self.resized(now_ms, link, capacity),
+                Report::Capacity(capacity) => self.agent_capacity_changed(now_ms, link, capacity),
                 Report::Progress {
                     order,
                     percent,
                     elapsed_ms,
                     idle_ms,
-                } => self.progressed(now_ms, order, percent, elapsed_ms, idle_ms),
+                } => self.run_progressed(now_ms, order, percent, elapsed_ms, idle_ms),
             }
         }
     }
@@ -325,14 +325,14 @@
             self.starts_resume_at_ms = now_ms + RESUME_DELAY_MS;
         }
         self.last_tick_ms = now_ms;
-        self.drop_silent(now_ms);
+        self.drop_unresponsive_agents(now_ms);
         self.expire_orphans(now_ms);
         self.crashes.expire(now_ms);
-        self.give_up(now_ms);
+        self.expire_jobs(now_ms);
         self.place(now_ms);
         self.probe(now_ms);
-        if now_ms >= self.shed_ms + SHED_MS {
-            self.shed_ms = now_ms;
+        if now_ms >= self.last_shed_ms + SHED_INTERVAL_MS {
+            self.last_shed_ms = now_ms;
             self.learn_usual_speed();
             self.shed(now_ms);
         }
@@ -344,12 +344,14 @@
         let frames = self
             .agents
             .values()
-            .map(|agent| agent.sent_ms + KEEPALIVE_MS);
+            .map(|agent| agent.last_sent_ms + KEEPALIVE_MS);
         let open = self.jobs.values().filter(|job| job.is_open());
         let jobs = open.map(|job| {
-            let part_ms = (job.objective_ms - job.received_ms) / MINION_WAIT_DIVISOR + 1;
+            let minion_wait_ms = (job.objective_ms - job.received_ms) / MINION_WAIT_DIVISOR + 1;
             match job.first_start_ms {
-                None if now_ms < job.received_ms + part_ms => job.received_ms + part_ms,
+                None if now_ms < job.received_ms + minion_wait_ms => {
+                    job.received_ms + minion_wait_ms
+                }
                 _ => job.give_up_at_ms,
             }
         });
@@ -358,23 +360,25 @@
     }
 
     /// Gives up agents that are silent for as long as a grant lasts.
-    pub(crate) fn drop_silent(&mut self, now_ms: u64) {
+    pub(crate) fn drop_unresponsive_agents(&mut self, now_ms: u64) {
         let is_lost = |agent: &AgentState| {
-            let is_unheard = now_ms > agent.last_seen_ms + GRANT_MS;
-            let is_expired = agent.sent_ms > 0 && now_ms > agent.sent_ms + GRANT_MS;
-            is_unheard || is_expired
+            let is_unresponsive = now_ms > agent.last_seen_ms + GRANT_MS;
+            let has_grant_expired =
+                agent.last_sent_ms > 0 && now_ms > agent.last_sent_ms + GRANT_MS;
+            is_unresponsive || has_grant_expired
         };
-        let silent = self.agents.iter().filter(|(_, agent)| is_lost(agent));
-        let silent: Vec<LinkId> = silent.map(|(link, _)| *link).collect();
-        for link in silent {
+        let lost = self.agents.iter().filter(|(_, agent)| is_lost(agent));
+        let lost: Vec<LinkId> = lost.map(|(link, _)| *link).collect();
+        for link in lost {
             self.actions.push(DispatcherAction::Close(link));
             self.agent_down(link, "silent");
         }
     }
 
     pub(crate) fn send_frames(&mut self, now_ms: u64) {
-        let is_due =
-            |agent: &AgentState| !agent.outbox.is_empty() || now_ms >= agent.sent_ms + KEEPALIVE_MS;
+        let is_due = |agent: &AgentState| {
+            !agent.outbox.is_empty() || now_ms >= agent.last_sent_ms + KEEPALIVE_MS
+        };
         if !self.agents.values().any(is_due) {
             return;
         }
@@ -390,28 +394,28 @@
                 demand: agent.sent_demand,
                 orders: std::mem::take(&mut agent.outbox),
             };
-            agent.sent_ms = now_ms;
+            agent.last_sent_ms = now_ms;
             self.actions.push(DispatcherAction::Send(*link, frame));
         }
     }
 
     /// Tells each agent of the entries that it is to link to.
     pub fn send_entries(&mut self, entries: &[SocketAddr]) {
-        let told: BTreeSet<SocketAddr> = entries.iter().copied().collect();
-        let added: Vec<SocketAddr> = told.difference(&self.sent_entries).copied().collect();
+        let current: BTreeSet<SocketAddr> = entries.iter().copied().collect();
+        let added: Vec<SocketAddr> = current.difference(&self.sent_entries).copied().collect();
         for agent in self.agents.values_mut() {
-            agent.send_entry_changes(&told, &added);
+            agent.send_entry_changes(&current, &added);
         }
-        self.sent_entries = told;
+        self.sent_entries = current;
     }
 
     /// Tells one agent of the entries that it is to link to.
     pub fn send_entries_to(&mut self, link: LinkId, entries: &[SocketAddr]) {
         if let Some(agent) = self.agents.get_mut(&link) {
             let entries = entries.iter().copied().collect();
-            let is_as_told = entries == self.sent_entries;
+            let is_sent_list = entries == self.sent_entries;
             agent.send_entries(entries);
-            agent.is_chosen_from_sent = is_as_told;
+            agent.is_chosen_from_sent = is_sent_list;
         }
     }
 
--- a/crates/dispatch/src/dispatcher/overload.rs
+++ b/crates/dispatch/src/dispatcher/overload.rs
@@ -16,19 +16,19 @@
 /// of its objective; agents greet within that after a restart.
 pub(crate) const MINION_WAIT_DIVISOR: u64 = 3;
 /// Pause between two looks for jobs without a prospect, in milliseconds.
-pub(crate) const SHED_MS: u64 = 10;
+pub(crate) const SHED_INTERVAL_MS: u64 = 10;
 
 impl Dispatcher {
     /// Answers jobs that cannot be of use any more.
-    pub(crate) fn give_up(&mut self, now_ms: u64) {
-        let over: Vec<Name> = self
+    pub(crate) fn expire_jobs(&mut self, now_ms: u64) {
+        let expired: Vec<Name> = self
             .jobs
             .iter()
             .filter(|(_, job)| job.is_open() && !job.is_stored)
             .filter(|(_, job)| self.is_expired(now_ms, job))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in over {
+        for id in expired {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -37,14 +37,14 @@
             } else {
                 Refusal::NoMinion
             };
-            let outcome = if !job.is_untouched() {
+            let outcome = if !job.has_never_run() {
                 JobOutcome::TooLate
             } else {
                 let view = self.service_view(now_ms, &job.job.queue.service);
-                let spread = self.rng.random::<f64>();
+                let jitter = self.rng.random::<f64>();
                 JobOutcome::Refused {
                     reason,
-                    retry_after_ms: self.policy.retry_after_ms(&view, spread),
+                    retry_after_ms: self.policy.retry_after_ms(&view, jitter),
                 }
             };
             self.finish(now_ms, &id, outcome, "too-late");
@@ -56,16 +56,16 @@
     pub(crate) fn is_expired(&self, now_ms: u64, job: &JobState) -> bool {
         let waited_ms = now_ms.saturating_sub(job.received_ms);
         let objective_ms = job.objective_ms.saturating_sub(job.received_ms);
-        let has_waited = waited_ms * MINION_WAIT_DIVISOR >= objective_ms;
-        let waits_in_vain =
-            job.is_untouched() && has_waited && !self.has_minions(&job.job.queue.service);
-        now_ms >= job.give_up_at_ms || waits_in_vain
+        let is_wait_over = waited_ms * MINION_WAIT_DIVISOR >= objective_ms;
+        let has_waited_without_minion =
+            job.has_never_run() && is_wait_over && !self.has_minions(&job.job.queue.service);
+        now_ms >= job.give_up_at_ms || has_waited_without_minion
     }
 
     /// Refuses jobs of which nothing has started and that would not be complete
     /// in time.
     pub(crate) fn shed(&mut self, now_ms: u64) {
-        for started in self.started.values_mut() {
+        for started in self.started_work.values_mut() {
             started.decay(now_ms);
         }
         let rates = self.drain_rates();
@@ -97,10 +97,10 @@
             return;
         };
         let view = self.service_view(now_ms, &job.job.queue.service);
-        let spread = self.rng.random::<f64>();
+        let jitter = self.rng.random::<f64>();
         let outcome = JobOutcome::Refused {
             reason: Refusal::Overloaded,
-            retry_after_ms: self.policy.retry_after_ms(&view, spread),
+            retry_after_ms: self.policy.retry_after_ms(&view, jitter),
         };
         self.finish(now_ms, id, outcome, cause);
     }
@@ -109,7 +109,10 @@
     /// tasks start within `wait_ms`.
     fn cannot_meet_objective(&self, now_ms: u64, job: &JobState, wait_ms: f64) -> bool {
         let service = &job.job.queue.service;
-        if !job.is_untouched() || !self.has_minions(service) || !self.is_room_known(service) {
+        if !job.has_never_run()
+            || !self.has_minions(service)
+            || !self.have_all_reported_free(service)
+        {
             return false;
         }
         let waiting = job.waiting(&self.estimates);
--- a/crates/dispatch/src/dispatcher/probes.rs
+++ b/crates/dispatch/src/dispatcher/probes.rs
@@ -18,14 +18,14 @@
 
 /// Agents that are told of each waiting task. More would cost messages and find
 /// room no sooner.
-const PROBES_A_TASK: usize = 3;
+const PROBES_PER_TASK: usize = 3;
 
 impl Dispatcher {
     /// Tells agents of the tasks that wait, and answers offers that were of no
     /// use.
     pub(crate) fn probe(&mut self, now_ms: u64) {
-        let stands_still = now_ms > self.last_tick_ms + SUSPENSION_MS;
-        if now_ms >= self.starts_resume_at_ms && !stands_still {
+        let is_suspended = now_ms > self.last_tick_ms + SUSPENSION_MS;
+        if now_ms >= self.starts_resume_at_ms && !is_suspended {
             let waiting = self
                 .jobs
                 .iter()
@@ -63,9 +63,9 @@
         let Some(context) = self.placement_context(now_ms, &job, first) else {
             return;
         };
-        let count = waiting.len() * PROBES_A_TASK;
-        let mut spread = || self.rng.random::<f64>();
-        let chosen = placement::choose_probed(&agents, &self.hosts, &context, &mut spread, count);
+        let count = waiting.len() * PROBES_PER_TASK;
+        let mut jitter = || self.rng.random::<f64>();
+        let chosen = placement::choose_probed(&agents, &self.hosts, &context, &mut jitter, count);
         // A small fleet has fewer agents than that, so each hears of more tasks.
         let tasks = count.div_ceil(chosen.len().max(1)).min(waiting.len());
         let probe = Probe {
--- a/crates/dispatch/src/dispatcher/resizes.rs
+++ b/crates/dispatch/src/dispatcher/resizes.rs
@@ -11,23 +11,28 @@
 
 impl Dispatcher {
     /// An agent told that its minion has other room than before.
-    pub(crate) fn resized(&mut self, now_ms: u64, link: LinkId, capacity: Resources) {
+    pub(crate) fn agent_capacity_changed(
+        &mut self,
+        now_ms: u64,
+        link: LinkId,
+        capacity: Resources,
+    ) {
         let Some(agent) = self.agents.get_mut(&link) else {
             return;
         };
         let former = agent.hello.capacity;
-        agent.resized(capacity);
+        agent.set_capacity(capacity);
         let detail = format!("host={} from={former:?} to={capacity:?}", agent.hello.host);
         self.event("agent-resized", None, detail);
         if !capacity.can_fit(&former) {
-            let is_homeless = |this: &Self, job: &Job| this.unfitting(job).is_some();
-            self.refuse_untouched(now_ms, Refusal::Overloaded, is_homeless);
+            let is_unplaceable = |this: &Self, job: &Job| this.capacity_refusal(job).is_some();
+            self.refuse_never_run(now_ms, Refusal::Overloaded, is_unplaceable);
         }
     }
 
     /// Why no minion can run some step of a job: none has ever had the room, or
     /// none has it at present.
-    pub(crate) fn unfitting(&self, job: &Job) -> Option<Refusal> {
+    pub(crate) fn capacity_refusal(&self, job: &Job) -> Option<Refusal> {
         let service = &job.queue.service;
         let agents = || self.agents.values();
         let fits = |step| placement::fits_somewhere(agents(), service, step);
--- a/crates/dispatch/src/dispatcher/rounds.rs
+++ b/crates/dispatch/src/dispatcher/rounds.rs
@@ -28,12 +28,12 @@
 /// Ejection ends when more than one in this many hosts would be left out.
 const MAX_EJECTED_DIVISOR: usize = 2;
 /// Jobs that find no room before a round of placement ends.
-const MISSES_A_ROUND: usize = 12;
+const MAX_MISSES_PER_ROUND: usize = 12;
 
 impl Dispatcher {
     /// Services so many of whose hosts had bad ends that the cause is
     /// elsewhere: none of their hosts is left out.
-    pub(crate) fn lenient_services(&self, now_ms: u64) -> Vec<Name> {
+    pub(crate) fn find_services_without_ejection(&self, now_ms: u64) -> Vec<Name> {
         let mut counts: BTreeMap<&Name, (usize, usize)> = BTreeMap::new();
         for agent in self.agents.values() {
             let record = self.hosts.get(&agent.hello.host);
@@ -42,9 +42,14 @@
             *all += 1;
             *ejected += usize::from(is_ejected);
         }
-        let is_lenient = |(all, ejected): &(usize, usize)| ejected * MAX_EJECTED_DIVISOR > *all;
-        let lenient = counts.iter().filter(|(_, counts)| is_lenient(counts));
-        lenient.map(|(service, _)| (*service).clone()).collect()
+        let is_without_ejection =
+            |(all, ejected): &(usize, usize)| ejected * MAX_EJECTED_DIVISOR > *all;
+        let services_without_ejection = counts
+            .iter()
+            .filter(|(_, counts)| is_without_ejection(counts));
+        services_without_ejection
+            .map(|(service, _)| (*service).clone())
+            .collect()
     }
 
     /// Orders waiting tasks, the most urgent first, while there is room.
@@ -52,17 +57,17 @@
         if now_ms < self.starts_resume_at_ms || now_ms > self.last_tick_ms + SUSPENSION_MS {
             return;
         }
-        let open = self.open_agents(now_ms);
-        if open.is_empty() {
+        let candidates = self.candidate_agents(now_ms);
+        if candidates.is_empty() {
             return;
         }
-        self.lenient = self.lenient_services(now_ms);
+        self.services_without_ejection = self.find_services_without_ejection(now_ms);
         let mut misses = 0;
         for id in self.waiting_by_urgency(now_ms) {
-            if !self.place_job(now_ms, &id, &open) {
+            if !self.place_job(now_ms, &id, &candidates) {
                 misses += 1;
             }
-            if misses >= MISSES_A_ROUND {
+            if misses >= MAX_MISSES_PER_ROUND {
                 return;
             }
         }
@@ -79,21 +84,21 @@
 
     /// Agents that may take a waiting task; in a full fleet they are few, which
     /// keeps a round cheap.
-    pub(crate) fn open_agents(&self, now_ms: u64) -> Vec<LinkId> {
+    pub(crate) fn candidate_agents(&self, now_ms: u64) -> Vec<LinkId> {
         let waiting = self
             .jobs
             .values()
             .filter(|job| job.is_open() && job.has_waiting());
         let needs = waiting.map(|job| job.job.steps[job.next_step()].needs.cpu_milli);
-        let Some(least_milli) = needs.min() else {
+        let Some(min_milli) = needs.min() else {
             return Vec::new();
         };
-        let may_take = |agent: &AgentState| {
-            let has_room = agent.free().cpu_milli >= least_milli;
-            agent.takes_starts(now_ms) && has_room
+        let can_take = |agent: &AgentState| {
+            let has_enough_cpu = agent.free().cpu_milli >= min_milli;
+            agent.accepts_starts(now_ms) && has_enough_cpu
         };
-        let open = self.agents.iter().filter(|(_, agent)| may_take(agent));
-        open.map(|(link, _)| *link).collect()
+        let candidates = self.agents.iter().filter(|(_, agent)| can_take(agent));
+        candidates.map(|(link, _)| *link).collect()
     }
 
     /// Thousandths of a core of a service that are free, as far as is known.
@@ -118,7 +123,7 @@
     }
 
     /// Orders the waiting tasks of a job; `false` if one found no room.
-    pub(crate) fn place_job(&mut self, now_ms: u64, id: &Name, open: &[LinkId]) -> bool {
+    pub(crate) fn place_job(&mut self, now_ms: u64, id: &Name, candidates: &[LinkId]) -> bool {
         let Some(state) = self.jobs.get(id) else {
             return true;
         };
@@ -126,29 +131,29 @@
         let is_waiting = |position: &usize| state.tasks[*position].phase == TaskPhase::Waiting;
         let positions: Vec<usize> = (0..state.tasks.len()).filter(is_waiting).collect();
         for position in positions {
-            let Some(link) = self.choose(now_ms, &job, position, open) else {
+            let Some(link) = self.choose_agent(now_ms, &job, position, candidates) else {
                 return false;
             };
-            self.order(now_ms, id, position, link);
+            self.order_start(now_ms, id, position, link);
         }
         true
     }
 
     /// An agent with room for a task.
-    pub(crate) fn choose(
+    pub(crate) fn choose_agent(
         &mut self,
         now_ms: u64,
         job: &Job,
         position: usize,
-        open: &[LinkId],
+        candidates: &[LinkId],
     ) -> Option<LinkId> {
         let context = self.placement_context(now_ms, job, position)?;
-        let agents: Vec<(LinkId, &AgentState)> = open
+        let agents: Vec<(LinkId, &AgentState)> = candidates
             .iter()
             .filter_map(|link| Some((*link, self.agents.get(link)?)))
             .collect();
-        let mut spread = || self.rng.random::<f64>();
-        placement::choose(&agents, &self.hosts, &context, &mut spread)
+        let mut jitter = || self.rng.random::<f64>();
+        placement::choose(&agents, &self.hosts, &context, &mut jitter)
     }
 
     /// What the choice of an agent for a task depends on.
@@ -176,28 +181,28 @@
             expected_ms: self
                 .estimates
                 .expected_ms(&job.queue.name, step.declared_ms),
-            left_ms: state.objective_ms as f64 - now_ms as f64,
-            avoid: self.avoided(&task.avoid, &job.queue.service, step),
+            time_left_ms: state.objective_ms as f64 - now_ms as f64,
+            avoided_hosts: self.hosts_to_avoid(&task.avoided_hosts, &job.queue.service, step),
             tasks_per_host,
             remote_factor: self.settings.remote_factor,
-            is_ejecting: !self.lenient.contains(&job.queue.service),
+            is_ejecting: !self.services_without_ejection.contains(&job.queue.service),
             now_ms,
         })
     }
 
     /// The hosts that a task keeps away from. Where no other could take it, a bad one
     /// is better than none.
-    fn avoided(&self, avoid: &[Name], service: &Name, step: &Step) -> Vec<Name> {
+    fn hosts_to_avoid(&self, avoided: &[Name], service: &Name, step: &Step) -> Vec<Name> {
         let is_other =
-            |agent: &&AgentState| !agent.is_evacuated && !avoid.contains(&agent.hello.host);
+            |agent: &&AgentState| !agent.is_evacuated && !avoided.contains(&agent.hello.host);
         let others = self.agents.values().filter(is_other);
         match placement::fits_somewhere(others, service, step) {
-            true => avoid.to_vec(),
+            true => avoided.to_vec(),
             false => Vec::new(),
         }
     }
 
-    pub(crate) fn order(&mut self, now_ms: u64, id: &Name, position: usize, link: LinkId) {
+    pub(crate) fn order_start(&mut self, now_ms: u64, id: &Name, position: usize, link: LinkId) {
         let order = OrderId(self.next_order);
         let (Some(state), Some(agent)) = (self.jobs.get_mut(id), self.agents.get_mut(&link)) else {
             return;
@@ -218,7 +223,7 @@
         state.first_start_ms.get_or_insert(now_ms);
         agent.add_order(order, step.needs);
         let work = expected_ms * f64::from(step.needs.cpu_milli);
-        let started = self.started.entry(job.queue.service.clone());
+        let started = self.started_work.entry(job.queue.service.clone());
         started.or_default().add(now_ms, work);
         agent.outbox.push(Order::Start(StartOrder {
             id: order,
--- a/crates/dispatch/src/dispatcher/stored_runs.rs
+++ b/crates/dispatch/src/dispatcher/stored_runs.rs
@@ -23,7 +23,7 @@
 /// this, in milliseconds, and than its whole objective twice: a job is of use
 /// until three times its objective.
 const MAX_STORED_BACKLOG_MS: f64 = 3_000.0;
-const BACKLOG_OBJECTIVES: f64 = 2.0;
+const MAX_BACKLOG_OBJECTIVES: f64 = 2.0;
 
 impl Dispatcher {
     /// What happened to stored jobs since the last call.
@@ -33,7 +33,7 @@
 
     /// Whether a stored job can be taken.
     pub(crate) fn check_stored(&self, stored: &StoredJob) -> Result<(), Refusal> {
-        let job = executable(stored);
+        let job = to_job(stored);
         self.check(&job)?;
         let service = &job.queue.service;
         if !self.has_minions(service) {
@@ -43,7 +43,7 @@
             let is_waiting = job.is_open() && job.has_waiting();
             is_waiting && job.job.queue.service == *service
         });
-        let (mut ahead, mut needed_milli) = (0.0, first_needs_milli(&job));
+        let (mut ahead, mut needed_milli) = (0.0, initial_needs_milli(&job));
         for waiting in of_service {
             ahead += waiting.waiting_work(&self.estimates);
             needed_milli += waiting.waiting_milli();
@@ -53,8 +53,8 @@
         }
         let rate = self.drain_rates().get(service).copied();
         let wait_ms = rate.map_or(0.0, |rate| ahead / rate);
-        let longest_ms = stored.objective_ms() as f64 * BACKLOG_OBJECTIVES;
-        if wait_ms > longest_ms.max(MAX_STORED_BACKLOG_MS) {
+        let objectives_ms = stored.objective_ms() as f64 * MAX_BACKLOG_OBJECTIVES;
+        if wait_ms > objectives_ms.max(MAX_STORED_BACKLOG_MS) {
             return Err(Refusal::Overloaded);
         }
         Ok(())
@@ -72,7 +72,7 @@
         if self.jobs.contains_key(&stored.id) {
             return false;
         }
-        let job = executable(stored);
+        let job = to_job(stored);
         let state = JobState::stored(now_ms, job, epoch, known, &self.estimates);
         self.jobs.insert(stored.id.clone(), state);
         self.apply_known_crashes(&stored.id);
@@ -92,7 +92,7 @@
         for order in job.orders() {
             self.send_stop(order);
         }
-        self.clear_if_gone(id);
+        self.remove_if_stopped(id);
     }
 
     /// Starts nothing more of a stored job; what runs may end.
@@ -104,7 +104,7 @@
 
     /// Whether nothing of a stored job can be running.
     pub(crate) fn has_no_stored_runs(&self, id: &Name) -> bool {
-        self.jobs.get(id).is_none_or(JobState::is_clear)
+        self.jobs.get(id).is_none_or(JobState::has_no_runs)
     }
 
     /// Whether something of a stored job is known to have begun here; a task
@@ -116,10 +116,10 @@
 
     /// An agent offers ends that wait for an owner.
     pub(crate) fn retained_ends_reported(&mut self, link: LinkId, ends: Vec<RetainedEnd>) {
-        let offers = ends
+        let events = ends
             .into_iter()
             .map(|end| StoredEvent::EndRetained(link, end));
-        self.stored_events.extend(offers);
+        self.stored_events.extend(events);
     }
 
     /// Takes over the end of a run that this entry lost sight of, or that an
@@ -138,12 +138,12 @@
             return false;
         };
         let was_started_here = !task.run.is_multiple_of(RUNS_PER_EPOCH);
-        let is_last = task.run == end.run || !was_started_here;
-        let is_over = matches!(
+        let is_current_run = task.run == end.run || !was_started_here;
+        let is_superseded = matches!(
             task.phase,
-            TaskPhase::Ordered(_) | TaskPhase::Noting | TaskPhase::Done
+            TaskPhase::Ordered(_) | TaskPhase::AwaitingLossRecord | TaskPhase::Done
         );
-        if !is_last || is_over {
+        if !is_current_run || is_superseded {
             return false;
         }
         if end.is_done {
@@ -155,7 +155,7 @@
         if job.is_open() {
             self.advance_job(now_ms, id);
         } else {
-            self.clear_if_gone(id);
+            self.remove_if_stopped(id);
         }
         true
     }
@@ -164,8 +164,8 @@
     pub(crate) fn run_loss_recorded(&mut self, id: &Name, position: u32) {
         let job = self.jobs.get_mut(id);
         let task = job.and_then(|job| job.tasks.get_mut(position as usize));
-        if let Some(task) = task.filter(|task| task.phase == TaskPhase::Noting) {
-            task.wait();
+        if let Some(task) = task.filter(|task| task.phase == TaskPhase::AwaitingLossRecord) {
+            task.set_waiting();
         }
     }
 
@@ -174,7 +174,7 @@
         let job = self.jobs.get_mut(id);
         let task = job.and_then(|job| job.tasks.get_mut(position as usize));
         if let Some(task) = task {
-            task.recorded();
+            task.crash_recorded();
         }
     }
 
@@ -188,7 +188,7 @@
 
 /// What the tasks of a job need that can start at once, in thousandths of a
 /// core.
-fn first_needs_milli(job: &Job) -> f64 {
+fn initial_needs_milli(job: &Job) -> f64 {
     let first = job.steps.iter().filter(|step| step.after.is_empty());
     first.map(needs_milli).sum()
 }
@@ -197,7 +197,7 @@
     f64::from(step.count) * f64::from(step.needs.cpu_milli)
 }
 
-fn executable(stored: &StoredJob) -> Job {
+fn to_job(stored: &StoredJob) -> Job {
     Job {
         id: stored.id.clone(),
         spec: stored.spec.clone(),
--- a/crates/dispatch/src/dispatcher/views.rs
+++ b/crates/dispatch/src/dispatcher/views.rs
@@ -16,7 +16,7 @@
 /// entries had equal shares.
 const MIN_SHARE: f64 = 0.125;
 /// Thousandths of a core in a core.
-const MILLI: f64 = 1_000.0;
+const MILLI_PER_CORE: f64 = 1_000.0;
 
 impl Dispatcher {
     /// Whether the policy takes in a job that has just come.
@@ -39,18 +39,18 @@
         let mut capacity_milli = 0.0;
         for agent in self.agents_of(service) {
             demand = demand.plus(agent.demand_of_others());
-            if agent.takes_starts(now_ms) {
+            if agent.accepts_starts(now_ms) {
                 capacity_milli += f64::from(agent.hello.capacity.cpu_milli) * agent.speed;
             }
         }
         // An entry that stood still has not heard its agents for that time, and
         // would take their room for gone.
-        let is_awake = now_ms >= self.starts_resume_at_ms && capacity_milli > 0.0;
+        let is_view_current = now_ms >= self.starts_resume_at_ms && capacity_milli > 0.0;
         ServiceView {
             capacity_milli,
             offered_milli: f64::from(demand.offered_milli),
             waiting_core_ms: f64::from(demand.waiting_core_ms),
-            is_capacity_known: is_awake && self.is_room_known(service),
+            is_capacity_known: is_view_current && self.have_all_reported_free(service),
         }
     }
 
@@ -80,7 +80,7 @@
         let waiting: f64 = waiting.map(|job| job.waiting_work(&self.estimates)).sum();
         Demand {
             offered_milli: self.policy.offered_milli(now_ms, service) as u32,
-            waiting_core_ms: (waiting / MILLI) as u32,
+            waiting_core_ms: (waiting / MILLI_PER_CORE) as u32,
         }
     }
 
@@ -91,18 +91,18 @@
 
     /// Whether all agents of a service that greeted have told their room; they
     /// do within a few milliseconds, and may have plenty.
-    pub(crate) fn is_room_known(&self, service: &Name) -> bool {
-        self.agents_of(service).all(|agent| agent.is_room_known)
+    pub(crate) fn have_all_reported_free(&self, service: &Name) -> bool {
+        self.agents_of(service).all(|agent| agent.has_reported_free)
     }
 
     /// Work that each service gets through for this entry, in thousandths of a
     /// core: what it started of late, what it has at work, or a share of all
     /// that is in use there, whichever is most.
     pub(crate) fn drain_rates(&self) -> BTreeMap<Name, f64> {
-        let mut used: BTreeMap<Name, f64> = BTreeMap::new();
+        let mut in_use: BTreeMap<Name, f64> = BTreeMap::new();
         for agent in self.agents.values() {
             let in_use_milli = agent.load() * f64::from(agent.hello.capacity.cpu_milli);
-            *used.entry(agent.hello.service.clone()).or_default() +=
+            *in_use.entry(agent.hello.service.clone()).or_default() +=
                 in_use_milli * agent.speed.min(1.0);
         }
         let mut rates: BTreeMap<Name, f64> = BTreeMap::new();
@@ -117,14 +117,14 @@
             *rates.entry(agent.hello.service.clone()).or_default() +=
                 cpu_milli * agent.speed.min(1.0);
         }
-        for (service, started) in &self.started {
+        for (service, started) in &self.started_work {
             let rate_milli = rates.entry(service.clone()).or_default();
             *rate_milli = rate_milli.max(started.rate());
         }
-        for (service, used_milli) in used {
+        for (service, used_milli) in in_use {
             let rate_milli = rates.entry(service).or_default();
-            let least_milli = used_milli * MIN_SHARE;
-            *rate_milli = rate_milli.max(least_milli).max(MIN_RATE_MILLI);
+            let min_milli = used_milli * MIN_SHARE;
+            *rate_milli = rate_milli.max(min_milli).max(MIN_RATE_MILLI);
         }
         rates
     }
--- a/crates/dispatch/src/policy/backlog.rs
+++ b/crates/dispatch/src/policy/backlog.rs
@@ -12,7 +12,7 @@
 /// jobs late.
 const MIN_BACKLOG_FRACTION: f64 = 0.1;
 /// What is left of the part when jobs waited in vain.
-const SHRINKAGE: f64 = 0.75;
+const SHRINK_FACTOR: f64 = 0.75;
 /// Pause between two shrinkages, in milliseconds: until the smaller backlog shows
 /// in what waits.
 const SHRINK_PAUSE_MS: u64 = 50;
@@ -27,25 +27,25 @@
 #[derive(Debug)]
 pub(super) struct BacklogFraction {
     fraction: f64,
-    grown_ms: u64,
-    shrunk_ms: u64,
+    last_growth_ms: u64,
+    last_shrink_ms: u64,
 }
 
 impl Default for BacklogFraction {
     fn default() -> Self {
         Self {
             fraction: MAX_BACKLOG_FRACTION,
-            grown_ms: 0,
-            shrunk_ms: 0,
+            last_growth_ms: 0,
+            last_shrink_ms: 0,
         }
     }
 }
 
 impl BacklogFraction {
     /// The part as of now.
-    pub(super) fn at(&mut self, now_ms: u64) -> f64 {
-        let passed_ms = now_ms.saturating_sub(self.grown_ms);
-        self.grown_ms = now_ms;
+    pub(super) fn fraction_at(&mut self, now_ms: u64) -> f64 {
+        let passed_ms = now_ms.saturating_sub(self.last_growth_ms);
+        self.last_growth_ms = now_ms;
         let growth = passed_ms as f64 / 1_000.0 * GROWTH_PER_S;
         self.fraction = (self.fraction + growth).min(MAX_BACKLOG_FRACTION);
         self.fraction
@@ -53,9 +53,9 @@
 
     /// A job that was taken in has waited in vain.
     pub(super) fn shrink(&mut self, now_ms: u64) {
-        if now_ms >= self.shrunk_ms + SHRINK_PAUSE_MS {
-            self.shrunk_ms = now_ms;
-            self.fraction = (self.at(now_ms) * SHRINKAGE).max(MIN_BACKLOG_FRACTION);
+        if now_ms >= self.last_shrink_ms + SHRINK_PAUSE_MS {
+            self.last_shrink_ms = now_ms;
+            self.fraction = (self.fraction_at(now_ms) * SHRINK_FACTOR).max(MIN_BACKLOG_FRACTION);
         }
     }
 }
--- a/crates/dispatch/src/policy/fair_share.rs
+++ b/crates/dispatch/src/policy/fair_share.rs
@@ -25,7 +25,7 @@
 /// news of it takes on its way through the agents.
 const CORRECTION_MS: f64 = 200.0;
 /// Credit of a queue at the start and at most, in jobs.
-const FIRST_CREDIT: f64 = 0.5;
+const INITIAL_CREDIT: f64 = 0.5;
 const MAX_CREDIT: f64 = 1.5;
 /// Time until the next try of a caller when there is no backlog, in
 /// milliseconds: a burst of sub-second tasks is worked off in that.
@@ -49,23 +49,23 @@
 struct Load {
     offered: WorkRate,
     /// Offered work by the time that it can wait, in milliseconds.
-    patience: WorkRate,
+    weighted_slack: WorkRate,
     fraction: BacklogFraction,
     /// When a job was last taken in without knowing the room.
-    blind_ms: u64,
+    last_unchecked_admit_ms: u64,
 }
 
 impl Load {
     fn add(&mut self, now_ms: u64, arrival: &Arrival<'_>) {
         self.offered.add(now_ms, arrival.work);
-        let patience = arrival.work * arrival.slack_ms.max(0.0);
-        self.patience.add(now_ms, patience);
+        let weighted_slack = arrival.work * arrival.slack_ms.max(0.0);
+        self.weighted_slack.add(now_ms, weighted_slack);
     }
 
     /// Size that the backlog may have, in milliseconds of all room.
     fn backlog_ms(&mut self, now_ms: u64) -> f64 {
-        let patience_ms = self.patience.rate() / self.offered.rate().max(1.0);
-        MIN_BACKLOG_MS + self.fraction.at(now_ms) * patience_ms
+        let mean_slack_ms = self.weighted_slack.rate() / self.offered.rate().max(1.0);
+        MIN_BACKLOG_MS + self.fraction.fraction_at(now_ms) * mean_slack_ms
     }
 }
 
@@ -75,11 +75,11 @@
         let load = self.services.entry(service.clone()).or_default();
         load.add(now_ms, arrival);
         if !view.is_capacity_known {
-            load.blind_ms = now_ms;
+            load.last_unchecked_admit_ms = now_ms;
             return true;
         }
         let share = share(view, load.backlog_ms(now_ms));
-        spend(&mut self.credits, &arrival.queue.name, share)
+        spend_credit(&mut self.credits, &arrival.queue.name, share)
     }
 
     fn offered_milli(&self, now_ms: u64, service: &Name) -> f64 {
@@ -90,7 +90,7 @@
     fn note_shed(&mut self, now_ms: u64, service: &Name, received_ms: u64) {
         let load = self.services.entry(service.clone()).or_default();
         // What was taken in before the room was known tells nothing of the backlog.
-        if received_ms > load.blind_ms {
+        if received_ms > load.last_unchecked_admit_ms {
             load.fraction.shrink(now_ms);
         }
     }
@@ -103,12 +103,12 @@
         rank::by_latest_start(now_ms, job)
     }
 
-    fn retry_after_ms(&self, view: &ServiceView, spread: f64) -> u64 {
+    fn retry_after_ms(&self, view: &ServiceView, jitter: f64) -> u64 {
         let share = share(view, MIN_BACKLOG_MS).max(MIN_SHARE);
         let pause_ms = (MIN_RETRY_MS + waiting_ms(view)) / share;
         // Spread over its own length, so that callers do not return together.
-        let spread_ms = pause_ms * (0.5 + spread);
-        spread_ms.min(MAX_RETRY_MS) as u64
+        let jittered_ms = pause_ms * (0.5 + jitter);
+        jittered_ms.min(MAX_RETRY_MS) as u64
     }
 }
 
@@ -116,8 +116,8 @@
 /// through, and what brings the backlog to its size.
 fn share(view: &ServiceView, backlog_ms: f64) -> f64 {
     let missing_ms = backlog_ms - waiting_ms(view);
-    let taken_milli = view.capacity_milli * (1.0 + missing_ms / CORRECTION_MS);
-    (taken_milli / view.offered_milli.max(1.0)).clamp(0.0, 1.0)
+    let admitted_milli = view.capacity_milli * (1.0 + missing_ms / CORRECTION_MS);
+    (admitted_milli / view.offered_milli.max(1.0)).clamp(0.0, 1.0)
 }
 
 /// Work that waits at all entries, in milliseconds of all room.
@@ -127,12 +127,12 @@
 
 /// Adds a job's share to the credit of its queue, and takes a job from it if
 /// there is one. So the share is exact over a few jobs, also of a rare queue.
-fn spend(credits: &mut BTreeMap<Name, f64>, queue: &Name, share: f64) -> bool {
-    let credit = credits.entry(queue.clone()).or_insert(FIRST_CREDIT);
+fn spend_credit(credits: &mut BTreeMap<Name, f64>, queue: &Name, share: f64) -> bool {
+    let credit = credits.entry(queue.clone()).or_insert(INITIAL_CREDIT);
     *credit = (*credit + share).min(MAX_CREDIT);
-    let is_taken = *credit >= 1.0;
-    if is_taken {
+    let is_admitted = *credit >= 1.0;
+    if is_admitted {
         *credit -= 1.0;
     }
-    is_taken
+    is_admitted
 }
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -81,7 +81,7 @@
 
     /// When a caller that is refused should come back, in milliseconds;
     /// `spread` is a number from 0 to 1, new for each caller.
-    fn retry_after_ms(&self, view: &ServiceView, spread: f64) -> u64;
+    fn retry_after_ms(&self, view: &ServiceView, jitter: f64) -> u64;
 }
 
 /// A policy that a dispatcher owns.
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -16,10 +16,10 @@
 /// so that a lost minion takes fewer tasks with it.
 const LOAD_WEIGHT: f64 = 0.1;
 /// Extra share by which equal choices of several entries are spread.
-const SPREAD: f64 = 0.04;
+const MAX_JITTER: f64 = 0.04;
 
 /// Speed from which a minion counts as sound: below that of slow kinds of hosts.
-const SOUND_SPEED: f64 = 0.55;
+const MIN_HEALTHY_SPEED: f64 = 0.55;
 /// Least speed that is reckoned with.
 const MIN_SPEED: f64 = 0.05;
 
@@ -30,8 +30,8 @@
     pub(crate) zone: Name,
     pub(crate) expected_ms: f64,
     /// Time that is left for it, in milliseconds; negative when it is late.
-    pub(crate) left_ms: f64,
-    pub(crate) avoid: Vec<Name>,
+    pub(crate) time_left_ms: f64,
+    pub(crate) avoided_hosts: Vec<Name>,
     /// Tasks of the step on each host.
     pub(crate) tasks_per_host: BTreeMap<Name, u32>,
     /// Times that a task takes longer away from its data.
@@ -47,13 +47,13 @@
     agents: &[(LinkId, &AgentState)],
     hosts: &Hosts,
     context: &PlacementContext<'_>,
-    spread: &mut dyn FnMut() -> f64,
+    jitter: &mut dyn FnMut() -> f64,
 ) -> Option<LinkId> {
-    let with_room = agents.iter().filter(|(_, agent)| {
+    let with_free = agents.iter().filter(|(_, agent)| {
         is_eligible(agent, hosts, context) && agent.free().can_fit(&context.step.needs)
     });
-    let costs = with_room.map(|(link, agent)| {
-        let cost = cost_ms(agent, context) * (1.0 + SPREAD * spread());
+    let costs = with_free.map(|(link, agent)| {
+        let cost = cost_ms(agent, context) * (1.0 + MAX_JITTER * jitter());
         (cost, *link)
     });
     let cheapest = costs.min_by(|one, other| one.0.total_cmp(&other.0));
@@ -66,15 +66,15 @@
     agents: &[(LinkId, &AgentState)],
     hosts: &Hosts,
     context: &PlacementContext<'_>,
-    spread: &mut dyn FnMut() -> f64,
+    jitter: &mut dyn FnMut() -> f64,
     count: usize,
 ) -> Vec<LinkId> {
-    let spreads = agents.iter().map(|(link, agent)| (*link, *agent, spread()));
+    let spreads = agents.iter().map(|(link, agent)| (*link, *agent, jitter()));
     let suitable = spreads.filter(|(_, agent, _)| {
         agent.hello.capacity.can_fit(&context.step.needs) && is_eligible(agent, hosts, context)
     });
     let costs =
-        suitable.map(|(link, agent, spread)| (cost_ms(agent, context) * (1.0 + spread), link));
+        suitable.map(|(link, agent, jitter)| (cost_ms(agent, context) * (1.0 + jitter), link));
     let mut costs: Vec<(f64, LinkId)> = costs.collect();
     costs.sort_unstable_by(|one, other| one.0.total_cmp(&other.0));
     costs.truncate(count);
@@ -99,34 +99,34 @@
     agents.any(|agent| fits(agent, &agent.max_capacity, service, step))
 }
 
-fn fits(agent: &AgentState, room: &Resources, service: &Name, step: &Step) -> bool {
+fn fits(agent: &AgentState, capacity: &Resources, service: &Name, step: &Step) -> bool {
     let is_of_service = agent.hello.service == *service;
-    is_of_service && room.can_fit(&step.needs) && has_required_label(agent, step)
+    is_of_service && capacity.can_fit(&step.needs) && has_required_label(agent, step)
 }
 
 fn is_eligible(agent: &AgentState, hosts: &Hosts, context: &PlacementContext<'_>) -> bool {
     let host = &agent.hello.host;
     let is_limited = context.step.max_per_minion > 0
         && context.tasks_per_host.get(host).copied().unwrap_or(0) >= context.step.max_per_minion;
-    let is_trusted = !context.is_ejecting
+    let is_admissible = !context.is_ejecting
         || hosts.get(host).is_none_or(|record| {
-            let is_on_trial = record.consecutive_failures > 0 && !agent.outstanding.is_empty();
-            context.now_ms >= record.ejected_until_ms && !is_on_trial
+            let is_trial_running = record.consecutive_failures > 0 && !agent.outstanding.is_empty();
+            context.now_ms >= record.ejected_until_ms && !is_trial_running
         });
     agent.hello.service == *context.service
         && is_fast_enough(agent, context)
-        && agent.takes_starts(context.now_ms)
+        && agent.accepts_starts(context.now_ms)
         && has_required_label(agent, context.step)
-        && !context.avoid.contains(host)
+        && !context.avoided_hosts.contains(host)
         && !is_limited
-        && is_trusted
+        && is_admissible
 }
 
 /// A minion that has become slow gets only what it can still end in time, or
 /// one task at a time to show that it has recovered.
 fn is_fast_enough(agent: &AgentState, context: &PlacementContext<'_>) -> bool {
-    agent.speed >= SOUND_SPEED
-        || context.expected_ms / agent.speed.max(MIN_SPEED) <= context.left_ms
+    agent.speed >= MIN_HEALTHY_SPEED
+        || context.expected_ms / agent.speed.max(MIN_SPEED) <= context.time_left_ms
         || agent.is_idle()
 }
 
