--- a/crates/dispatch/src/dispatcher/ends.rs
+++ b/crates/dispatch/src/dispatcher/ends.rs
@@ -152,7 +152,7 @@
         let Some(job) = self.jobs.get_mut(&order.job) else {
             return;
         };
-        let failed_on = |job: &JobState| {
+        let hosts_failed_on = |job: &JobState| {
             let mut hosts: Vec<Name> = Vec::new();
             for task in job.tasks.iter().filter(|task| task.failures > 0) {
                 hosts.extend(task.avoided_hosts.iter().cloned());
@@ -161,9 +161,9 @@
             hosts.dedup();
             hosts
         };
-        let before = failed_on(job);
+        let before = hosts_failed_on(job);
         job.tasks[order.position].avoid(host);
-        let after = failed_on(job);
+        let after = hosts_failed_on(job);
         if after.len() == 1 {
             self.hosts.record(host).record_failure(now_ms);
         } else if before.len() == 1 && after.len() == 2 {
@@ -411,7 +411,7 @@
                 {
                     match job.is_stored {
                         true if stored_phase == TaskPhase::AwaitingLossRecord => {
-                            task.phase = stored_phase
+                            task.phase = stored_phase;
                         }
                         _ => task.set_waiting(),
                     }
--- a/crates/dispatch/src/dispatcher/evacuation.rs
+++ b/crates/dispatch/src/dispatcher/evacuation.rs
@@ -58,8 +58,8 @@
         }
         if let Some(agent) = self.agents.get_mut(&link) {
             agent.is_evacuated = self.evacuations.contains(&agent.hello.zone);
-            let told = Order::Evacuations(self.evacuations.clone());
-            agent.outbox.push(told);
+            let order = Order::Evacuations(self.evacuations.clone());
+            agent.outbox.push(order);
         }
     }
 
@@ -74,8 +74,8 @@
         !self.evacuations.zones.is_empty()
             && self.has_minions(service)
             && job.steps.iter().any(|step| {
-                let left = self.agents.values().filter(|agent| !agent.is_evacuated);
-                !placement::fits_somewhere(left, service, step)
+                let remaining = self.agents.values().filter(|agent| !agent.is_evacuated);
+                !placement::fits_somewhere(remaining, service, step)
             })
     }
 
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -49,10 +49,10 @@
     context: &PlacementContext<'_>,
     jitter: &mut dyn FnMut() -> f64,
 ) -> Option<LinkId> {
-    let with_free = agents.iter().filter(|(_, agent)| {
+    let with_enough_free = agents.iter().filter(|(_, agent)| {
         is_eligible(agent, hosts, context) && agent.free().can_fit(&context.step.needs)
     });
-    let costs = with_free.map(|(link, agent)| {
+    let costs = with_enough_free.map(|(link, agent)| {
         let cost = cost_ms(agent, context) * (1.0 + MAX_JITTER * jitter());
         (cost, *link)
     });
@@ -69,8 +69,8 @@
     jitter: &mut dyn FnMut() -> f64,
     count: usize,
 ) -> Vec<LinkId> {
-    let spreads = agents.iter().map(|(link, agent)| (*link, *agent, jitter()));
-    let suitable = spreads.filter(|(_, agent, _)| {
+    let with_jitter = agents.iter().map(|(link, agent)| (*link, *agent, jitter()));
+    let suitable = with_jitter.filter(|(_, agent, _)| {
         agent.hello.capacity.can_fit(&context.step.needs) && is_eligible(agent, hosts, context)
     });
     let costs =
