--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -1,4 +1,6 @@
-//! What an entry makes of minions that crash under tasks.
+//! Crashes of minions under tasks, as an entry learns of them: agents and other
+//! entries report them, and some show when an agent greets after its
+//! predecessor was lost together with its minion.
 
 use std::collections::VecDeque;
 
@@ -17,12 +19,13 @@
 use crate::dispatcher::jobs::JobState;
 use crate::stored::StoredEvent;
 
-/// Most runs that are remembered after their agents were lost.
+/// Largest number of runs that are remembered after their agents were lost.
 const MAX_LOST_RUNS: usize = 1_024;
 
-/// A run that was out at an agent when that was lost.
+/// A run that was ordered at an agent when the agent was lost.
 #[derive(Debug)]
 struct LostRun {
+    /// Time at which the agent was lost, in milliseconds.
     lost_ms: u64,
     order: OrderId,
     run: RunKey,
@@ -31,14 +34,15 @@
     incarnation: Name,
 }
 
-/// The runs that were out at agents that were lost and have not greeted since.
+/// The runs that were ordered at agents which were lost and whose hosts have
+/// not greeted since.
 #[derive(Debug, Default)]
 pub(crate) struct LostRuns {
     runs: VecDeque<LostRun>,
 }
 
 impl LostRuns {
-    /// Remembers a run, in place of the oldest one if there are too many.
+    /// Remembers a run; forgets the oldest one if there are too many.
     pub(crate) fn add(&mut self, now_ms: u64, order: OrderId, run: RunKey, agent: &AgentHello) {
         if self.runs.len() >= MAX_LOST_RUNS {
             self.runs.pop_front();
@@ -53,8 +57,9 @@
         });
     }
 
-    /// The runs of the agent that greets in place of one that was lost, if its minion
-    /// was lost as well. An agent that is still there tells of crashes itself.
+    /// Forgets the lost runs on the host of an agent that greets, and returns
+    /// those among them whose agent was lost together with its minion, as
+    /// crashes. An agent that survived its minion reports the crash itself.
     fn lost_with_minion(&mut self, now_ms: u64, agent: &AgentHello) -> Vec<Crash> {
         self.runs
             .retain(|lost| now_ms < lost.lost_ms + CRASH_TTL_MS);
@@ -73,7 +78,7 @@
 }
 
 impl Dispatcher {
-    /// A minion crashed under a run that was ordered here.
+    /// Records that a minion crashed under a run that was ordered here.
     pub(crate) fn run_crashed(
         &mut self,
         now_ms: u64,
@@ -90,13 +95,13 @@
         self.learn_crash(now_ms, crash);
     }
 
-    /// The crashes that are known here.
+    /// Returns the known crashes.
     #[must_use]
     pub fn crashes(&self) -> &KnownCrashes {
         &self.crashes
     }
 
-    /// An agent or another entry tells of crashes.
+    /// Records crashes that an agent or another entry reported.
     pub fn learn_crashes(&mut self, now_ms: u64, crashes: Vec<Crash>) {
         for crash in crashes {
             let id = crash.task.job.clone();
@@ -108,13 +113,15 @@
         }
     }
 
-    /// An agent greets: its predecessor may have been lost together with its minion.
+    /// Records the crashes that no agent saw: the predecessor of an agent that
+    /// greets may have been lost together with its minion.
     pub(crate) fn learn_unseen_crashes(&mut self, now_ms: u64, agent: &AgentHello) {
         let crashes = self.lost_runs.lost_with_minion(now_ms, agent);
         self.learn_crashes(now_ms, crashes);
     }
 
-    /// Holds what is known of crashes against the tasks of a job that came in.
+    /// Counts the known crashes against the tasks of a job that was just
+    /// received.
     pub(crate) fn apply_known_crashes(&mut self, id: &Name) {
         let known: Vec<Crash> = self.crashes.of_job(id).cloned().collect();
         for crash in known {
@@ -122,7 +129,8 @@
         }
     }
 
-    /// Notes a crash and holds it against its task; whether it was not known.
+    /// Records a crash and counts it against its task; returns whether it was
+    /// new.
     fn learn_crash(&mut self, now_ms: u64, crash: Crash) -> bool {
         let is_new = self.crashes.learn(now_ms, crash.clone());
         if is_new {
@@ -131,8 +139,8 @@
         is_new
     }
 
-    /// Holds a crash against its task. That of a stored task is to be recorded before the
-    /// task is started anew.
+    /// Counts a crash against its task. If the task is stored, the crash must
+    /// be recorded in the log before the task is started again.
     fn apply_crash(&mut self, crash: Crash) {
         let Some(job) = self.jobs.get_mut(&crash.task.job) else {
             return;
--- a/crates/dispatch/src/dispatcher/ends.rs
+++ b/crates/dispatch/src/dispatcher/ends.rs
@@ -1,5 +1,5 @@
-//! How runs end, and what becomes of their jobs; runs that stand still or are
-//! slow are moved.
+//! Ends of runs and of jobs. Runs that make no progress or are slow are moved
+//! to another host.
 
 use std::sync::Arc;
 
@@ -22,31 +22,39 @@
 use crate::lease::MAX_CALL_DELAY_MS;
 use crate::stored::StoredEvent;
 
-/// A run is moved when what remains of it takes longer than this many times
-/// the whole run on a sound minion, and the cost of a move in milliseconds.
+/// A run is moved if its remaining time exceeds this many times the whole run
+/// on a healthy minion, plus [`MOVE_COST_MS`].
 const MOVE_FACTOR: f64 = 1.15;
+/// Cost of a move, in milliseconds.
 const MOVE_COST_MS: f64 = 30.0;
-/// Times that a run is moved since its host is slow: its work may be longer
-/// than all that is known of it.
+/// Largest number of times that a task is moved because its host is slow: its
+/// work may just be longer than all that is known of it.
 const MAX_MOVES: u32 = 1;
-/// Speed above which a minion is not slow enough for moves.
+/// Speed below which a minion is slow, so that its runs may be moved; 1 is the
+/// ordinary speed.
 const SLOW_SPEED: f64 = 0.6;
-/// Part of the work, as a percentage, from which its progress tells its length.
+/// Smallest progress of a run from which the length of its work is estimated,
+/// as a percentage.
 const MIN_PREDICTIVE_PERCENT: u8 = 5;
-/// A run that made no progress for this share of its expected time, and at
-/// least for [`HANG_MS`], stands still.
+/// A run hangs if it made no progress for this fraction of its expected time,
+/// and for at least [`MIN_HANG_MS`].
 const HANG_FRACTION: f64 = 0.5;
+/// Shortest time without progress after which a run counts as hanging, in
+/// milliseconds.
 const MIN_HANG_MS: f64 = 150.0;
-/// Speeds of minions whose run times are learned from: the kinds on the
-/// platform, not those that have become slow.
+/// Speeds of the minions from whose run times the estimates are learned: those
+/// of the kinds of hosts on the platform, without minions that have become
+/// slow.
 const HEALTHY_SPEEDS: std::ops::Range<f64> = 0.6..1.8;
-/// Speed below which all runs on a minion stand still, and the share of its
-/// expected time for which a run must then have made no progress: minions tell
-/// progress in hundredths.
+/// Speed below which all runs of a minion count as stalled.
 const STALLED_SPEED: f64 = 0.3;
+/// Fraction of its expected time for which a run on a stalled minion must have
+/// made no progress before it is moved. Minions report progress in hundredths.
 const STALLED_FRACTION: f64 = 0.03;
 
 impl Dispatcher {
+    /// Processes the end of a run: updates its task, the record of its host,
+    /// and its job.
     pub(crate) fn run_ended(
         &mut self,
         now_ms: u64,
@@ -108,7 +116,9 @@
             }
             RunEnd::Stopped => {}
             RunEnd::Unsettled { crash } => {
-                // Greeted again, the agent vouches that nothing of it is left.
+                // A delayed call may still start the run until this time. The
+                // wait ends earlier if the agent greets again, since nothing of
+                // the run is left then.
                 let until_ms = now_ms + MAX_CALL_DELAY_MS;
                 task.phase = TaskPhase::Orphaned { until_ms };
                 task.avoid(&host);
@@ -134,7 +144,7 @@
                 // An earlier submission of the job had runs there.
                 task.run += 3;
             }
-            // Another suspect may run there.
+            // The minion may be running another suspect task.
             RunEnd::NotStarted(NotStartedReason::Full) if task.crash_weight() > 0 => {
                 task.avoid(&host);
             }
@@ -147,7 +157,9 @@
         }
     }
 
-    /// Judges a failed run: the task is at fault if it failed on two hosts.
+    /// Processes a failed run. The host is at fault as long as the job has
+    /// failed on one host only; once it has failed on a second host, the job is
+    /// at fault and the failure of the first host is discounted.
     pub(crate) fn task_failed(&mut self, now_ms: u64, order: &OrderState, host: &Name) {
         let Some(job) = self.jobs.get_mut(&order.job) else {
             return;
@@ -175,7 +187,8 @@
         self.task_event("task-failed", order, host, RunEnd::Failed, 0);
     }
 
-    /// Tells the agents of hosts that a job's failures are its own.
+    /// Notifies the agents on these hosts that the failures of a job are its
+    /// own fault.
     fn send_discount(&mut self, job: &Name, hosts: &[Name]) {
         for agent in self.agents.values_mut() {
             if hosts.contains(&agent.hello.host) {
@@ -184,6 +197,7 @@
         }
     }
 
+    /// Adds an event about the run of an order on a host.
     pub(crate) fn task_event(
         &mut self,
         event: &'static str,
@@ -199,7 +213,8 @@
         self.event(event, Some(order.job.clone()), detail);
     }
 
-    /// Ends a job whose tasks are done or cannot be.
+    /// Ends a job whose tasks are all done or one of which cannot be done;
+    /// otherwise unblocks its next steps.
     pub(crate) fn advance_job(&mut self, now_ms: u64, id: &Name) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -216,7 +231,7 @@
         }
     }
 
-    /// Answers the callers of a job and stops what is left of it.
+    /// Ends a job: answers its callers and stops the runs that are left.
     pub(crate) fn finish(
         &mut self,
         now_ms: u64,
@@ -268,6 +283,7 @@
         self.remove_if_stopped(id);
     }
 
+    /// Sends a stop for an order, unless one was sent already.
     pub(crate) fn send_stop(&mut self, order: OrderId) {
         let Some(state) = self.orders.get_mut(&order) else {
             return;
@@ -280,7 +296,8 @@
         }
     }
 
-    /// Forgets an ended job of which nothing can run any more.
+    /// Removes an ended job once nothing of it can be running, and admits the
+    /// submission that waited for this.
     pub(crate) fn remove_if_stopped(&mut self, id: &Name) {
         let is_gone = self
             .jobs
@@ -297,7 +314,8 @@
         }
     }
 
-    /// Moves a run that stands still or is slow, when it gains.
+    /// Processes the progress of a run, and moves a run that hangs, or that is
+    /// slow if a move saves time.
     pub(crate) fn run_progressed(
         &mut self,
         now_ms: u64,
@@ -319,8 +337,8 @@
             return;
         }
         let host = agent.hello.host.clone();
-        // Against the other minions, since all are slow while declared times
-        // are too short.
+        // Relative to the other minions, since all of them appear slow while
+        // declared times are too short.
         let speed = agent.speed / self.usual_speed;
         let has_reached_move_limit = self
             .jobs
@@ -334,7 +352,8 @@
         let (remaining_ms, work_ms) = if is_hanging {
             (f64::INFINITY, state.expected_ms)
         } else if percent > 0 {
-            // The work is known from its progress and the speed there.
+            // The length of the work follows from its progress and the speed of
+            // the minion.
             let total_ms = elapsed_ms * 100.0 / f64::from(percent);
             self.extend_times(&state, percent, total_ms * speed.max(SLOW_SPEED));
             (total_ms - elapsed_ms, total_ms * speed)
@@ -347,8 +366,8 @@
         }
     }
 
-    /// Tells a job how long the work of a running task is, once its progress
-    /// tells it well enough.
+    /// Extends the times of a job if a running task takes longer than expected,
+    /// once its progress is large enough for an estimate.
     fn extend_times(&mut self, order: &OrderState, percent: u8, work_ms: f64) {
         let Some(job) = self.jobs.get_mut(&order.job) else {
             return;
@@ -359,6 +378,9 @@
         }
     }
 
+    /// Stops a run so that its task starts on another host. An infinite
+    /// `remaining_ms` means that the run hangs, which counts as a failure of
+    /// the host.
     pub(crate) fn move_run(
         &mut self,
         now_ms: u64,
@@ -385,18 +407,22 @@
         self.send_stop(order);
     }
 
+    /// Ends the wait for the orphaned runs on a host whose agent greeted again.
     pub(crate) fn release_orphans(&mut self, host: &Name) {
         let is_on_host = |task: &TaskState, _| task.host.as_ref() == Some(host);
         self.resolve_orphans(is_on_host, TaskPhase::Waiting);
     }
 
+    /// Ends the wait for the orphaned runs that cannot exist any more.
     pub(crate) fn expire_orphans(&mut self, now_ms: u64) {
         let is_resolved = |_: &TaskState, until_ms| now_ms >= until_ms;
         self.resolve_orphans(is_resolved, TaskPhase::AwaitingLossRecord);
     }
 
-    /// Ends the wait for runs that were out of reach; `stored` is the phase of
-    /// stored tasks from then on.
+    /// Ends the wait for the orphaned runs that `is_resolved` selects by their
+    /// task and the end of the wait in milliseconds. Their tasks become ready
+    /// again; but if `stored_phase` is [`TaskPhase::AwaitingLossRecord`],
+    /// stored tasks first await that record.
     fn resolve_orphans(
         &mut self,
         is_resolved: impl Fn(&TaskState, u64) -> bool,
@@ -435,6 +461,7 @@
     }
 }
 
+/// Returns the name of the event for an outcome.
 fn outcome_event(outcome: JobOutcome) -> &'static str {
     match outcome {
         JobOutcome::Completed => "completed",
--- a/crates/dispatch/src/dispatcher/estimate.rs
+++ b/crates/dispatch/src/dispatcher/estimate.rs
@@ -1,38 +1,45 @@
-//! Learned run times: what a declared run time is worth, for each queue.
+//! Estimates of run times from declared run times, learned for each queue.
 //!
-//! Declared times are noisy, so that the best guess lies between the declared
-//! time and the mean of the queue. A regression of the logarithms, with
-//! earlier runs fading, finds where.
+//! Declared times are noisy, so the best estimate lies between the declared
+//! time and the mean of the queue. A linear regression on the logarithms, in
+//! which the weight of earlier runs decays, finds where.
 
 use std::collections::BTreeMap;
 
 use gannetvane_wire::Name;
 
-/// Runs that the assumption "as declared" is worth at the start.
+/// Weight of the initial assumption that runs take as long as declared, as a
+/// number of runs.
 const PRIOR_RUNS: f64 = 12.0;
-/// Runs after which earlier ones fade, so that a shift of the work shows in seconds.
+/// Number of runs over which earlier runs decay, so that a change of the work
+/// shows within seconds.
 const MAX_MEMORY_RUNS: f64 = 400.0;
-/// Spread of the logarithm of declared times that is assumed at the start.
+/// Initial assumption for the variance of the logarithms of declared times.
 const PRIOR_VARIANCE: f64 = 0.1;
 
-/// How true declared run times are, for each queue.
+/// Relation of actual to declared run times, by queue.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Estimates {
     queues: BTreeMap<Name, Regression>,
 }
 
-/// Logarithm of the time that runs took, against that of the declared time.
+/// Regression of the logarithm of run times in milliseconds on that of declared
+/// times.
 #[derive(Clone, Debug)]
 struct Regression {
+    /// Number of runs that the means are based on, at most [`MAX_MEMORY_RUNS`].
     runs: f64,
     mean_ln_declared: f64,
     mean_ln_ran: f64,
+    /// Variance of the logarithms of declared times.
     variance: f64,
+    /// Covariance of the logarithms of declared times and of run times.
     covariance: f64,
 }
 
 impl Estimates {
-    /// Expected run time on a minion of ordinary speed, in milliseconds.
+    /// Returns the expected run time on a minion of ordinary speed, in
+    /// milliseconds.
     pub(crate) fn expected_ms(&self, queue: &Name, declared_ms: u64) -> f64 {
         let declared_ms = declared_ms.max(1) as f64;
         match self.queues.get(queue) {
@@ -41,7 +48,7 @@
         }
     }
 
-    /// Learns from a run that was done on a sound minion.
+    /// Learns from a run that completed on a healthy minion.
     pub(crate) fn observe(&mut self, queue: &Name, declared_ms: u64, ran_ms: u32) {
         let ln_declared = (declared_ms.max(1) as f64).ln();
         let ln_ran = f64::from(ran_ms.max(1)).ln();
--- a/crates/dispatch/src/dispatcher/evacuation.rs
+++ b/crates/dispatch/src/dispatcher/evacuation.rs
@@ -1,5 +1,6 @@
-//! What an entry does about zones that operators empty: it places nothing there,
-//! tells its agents, and refuses at once what fits nowhere else.
+//! Evacuation of availability zones at an entry: it starts nothing in evacuated
+//! zones, notifies its agents, and refuses at once the jobs that fit nowhere
+//! else.
 
 use gannetvane_wire::Name;
 
@@ -12,22 +13,24 @@
 use crate::dispatcher::Dispatcher;
 use crate::policy::placement;
 
-/// When to come back after a refusal since all that could run a job is being
-/// emptied, in milliseconds: operators empty a zone for longer than a caller of
-/// a sub-second task waits.
+/// Time until the retry of a caller that is refused because all minions that
+/// could run its job are in evacuated zones, in milliseconds. Operators
+/// evacuate a zone for longer than a caller of a sub-second task waits.
 const EVACUATED_RETRY_MS: u64 = 5_000;
-/// The same after other refusals that room would not mend: an entry that starts
-/// has its configuration and its agents by then.
+/// Time until the retry of a caller after other refusals that free resources
+/// would not prevent, in milliseconds. An entry that starts has its
+/// configuration and its agents by then.
 const DEFAULT_RETRY_MS: u64 = 1_000;
 
 impl Dispatcher {
-    /// The zones that are being emptied, as far as is known here.
+    /// Returns the evacuated availability zones that are known here.
     #[must_use]
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Operators empty other zones than before; an older picture is ignored.
+    /// Takes over newer evacuations and returns `true`; ignores older ones and
+    /// returns `false`.
     pub fn evacuate(&mut self, now_ms: u64, newer: &Evacuations) -> bool {
         let before = self.evacuations.zones.clone();
         if !self.evacuations.advance(newer) {
@@ -51,7 +54,7 @@
         true
     }
 
-    /// Tells an agent that greeted, before it gets any order.
+    /// Sends the evacuations to an agent that greeted, before any start order.
     pub(crate) fn send_evacuations(&mut self, link: LinkId) {
         if self.evacuations.log_offset == 0 {
             return;
@@ -67,8 +70,8 @@
         self.agents.values().any(|agent| agent.hello.zone == *zone)
     }
 
-    /// Whether minions that could run all steps of a job are known, but for some
-    /// step only in zones that are being emptied.
+    /// Returns whether there are minions of the job's service, but some step
+    /// fits on none of them outside the evacuated zones.
     pub(crate) fn is_evacuated(&self, job: &Job) -> bool {
         let service = &job.queue.service;
         !self.evacuations.zones.is_empty()
@@ -79,8 +82,9 @@
             })
     }
 
-    /// Refuses the jobs of which nothing has begun and that now fit nowhere: to
-    /// wait for room would only tell their callers later.
+    /// Refuses the jobs of which nothing has run and that `is_unplaceable`
+    /// selects. Waiting for resources would only delay the answer to their
+    /// callers.
     pub(crate) fn refuse_never_run(
         &mut self,
         now_ms: u64,
@@ -103,7 +107,8 @@
     }
 }
 
-/// When to come back after a refusal that room would not mend, in milliseconds.
+/// Returns the time until the retry of a caller after a refusal that free
+/// resources would not prevent, in milliseconds.
 pub(crate) fn retry_after_ms(reason: Refusal) -> u64 {
     match reason {
         Refusal::Evacuated => EVACUATED_RETRY_MS,
--- a/crates/dispatch/src/dispatcher/fleet.rs
+++ b/crates/dispatch/src/dispatcher/fleet.rs
@@ -1,4 +1,5 @@
-//! The agents that an entry knows, and what it learned of their hosts.
+//! State of the agents that are connected to an entry, and what the entry has
+//! learned about their hosts.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,24 +17,27 @@
 use crate::Resources;
 use crate::rendezvous::RendezvousHash;
 
-/// First time for which a host that failed gets no tasks, in milliseconds.
+/// Time for which a host is ejected after its first failure, in milliseconds.
+/// Each further failure doubles it.
 const FIRST_EJECTION_MS: u64 = 300;
-/// Longest such time, in milliseconds.
+/// Longest time for which a host is ejected, in milliseconds.
 const MAX_EJECTION_MS: u64 = 2_400;
-/// Silence of an agent after which it gets no starts, in milliseconds: two
-/// keepalives.
+/// Time without a frame from an agent after which it gets no starts, in
+/// milliseconds: two keepalives.
 const STALE_AGENT_MS: u64 = 250;
 
-/// Speed is told in thousandths of the ordinary one.
+/// Agents report the speed of a minion in thousandths of the ordinary speed.
 const PERMILLE: f64 = 1_000.0;
 
-/// What was learned of a host, kept while its agent is away.
+/// What the entry has learned about a host; it is kept while the agent is
+/// disconnected.
 #[derive(Clone, Debug)]
 pub(crate) struct HostRecord {
-    /// Bad ends since the last good one.
+    /// Number of failures since the last success.
     pub(crate) consecutive_failures: u32,
-    /// Until when it gets no tasks.
+    /// Time until which the host gets no tasks, in milliseconds.
     pub(crate) ejected_until_ms: u64,
+    /// Labels of its minion. A minion of another kind has other labels.
     labels: Vec<Name>,
 }
 
@@ -46,20 +50,21 @@
         }
     }
 
-    /// A run ended badly for a reason that speaks against the host.
+    /// Records a failure that may be the fault of the host, and ejects the
+    /// host.
     pub(crate) fn record_failure(&mut self, now_ms: u64) {
         let ejection_ms = FIRST_EJECTION_MS << self.consecutive_failures.min(3);
         self.consecutive_failures += 1;
         self.ejected_until_ms = now_ms + ejection_ms.min(MAX_EJECTION_MS);
     }
 
-    /// A run ended well.
+    /// Records a success, which ends the ejection.
     pub(crate) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.ejected_until_ms = 0;
     }
 
-    /// A failure turned out to be the task's own.
+    /// Removes a failure that turned out to be the fault of the task.
     pub(crate) fn discount_failure(&mut self) {
         self.consecutive_failures = self.consecutive_failures.saturating_sub(1);
         if self.consecutive_failures == 0 {
@@ -68,37 +73,45 @@
     }
 }
 
-/// An agent that greeted.
+/// An agent that greeted and is still connected.
 #[derive(Debug)]
 pub(crate) struct AgentState {
     pub(crate) hello: AgentHello,
-    /// The most room that its minion has had.
+    /// Largest capacity that its minion has had.
     pub(crate) max_capacity: Resources,
     pub(crate) outbox: Vec<Order>,
+    /// Time at which its last frame arrived, in milliseconds.
     pub(crate) last_seen_ms: u64,
+    /// Time at which the last frame was sent to it, in milliseconds; 0 before
+    /// the first.
     pub(crate) last_sent_ms: u64,
+    /// Time on the agent's clock in its last frame, in milliseconds.
     pub(crate) clock_ms: u64,
-    /// Speed of its minion, 1 for the ordinary one.
+    /// Speed of its minion; 1 is the ordinary speed.
     pub(crate) speed: f64,
-    /// Whether it has told its room since it greeted.
+    /// Whether it has reported its free resources since it greeted.
     pub(crate) has_reported_free: bool,
     free: Resources,
-    /// What all entries together told the agent of their demand.
+    /// Sum of the demands that all entries sent to the agent.
     demand: Demand,
-    /// What this entry told it last.
+    /// Demand that this entry last sent to the agent.
     pub(crate) sent_demand: Demand,
     is_accepting_starts: bool,
-    /// Whether operators are emptying its zone.
+    /// Whether its availability zone is evacuated.
     pub(crate) is_evacuated: bool,
-    /// Whether it keeps room for this entry.
+    /// Whether it reserves resources for this entry.
     has_offered: bool,
+    /// Number of start orders on this connection that the agent had received at
+    /// its last frame.
     starts_received: u64,
     starts_sent: u64,
-    /// Orders without an end, with their number on the link and their need.
+    /// Orders without an end, each with the number of its start on this
+    /// connection and the resources that its task needs.
     pub(crate) outstanding: BTreeMap<OrderId, (u64, Resources)>,
-    /// The entries that it was told of.
+    /// Entries to connect to that were last sent to the agent.
     chosen_entries: BTreeSet<SocketAddr>,
-    /// Whether these are its choice of what all agents were last told.
+    /// Whether `chosen_entries` was chosen from the list that was last sent to
+    /// all agents.
     pub(crate) is_chosen_from_sent: bool,
 }
 
@@ -127,6 +140,7 @@
         }
     }
 
+    /// Takes over the state that a frame from the agent reports.
     pub(crate) fn update(&mut self, now_ms: u64, frame: &AgentFrame) {
         self.last_seen_ms = now_ms;
         self.clock_ms = frame.clock_ms;
@@ -139,38 +153,43 @@
         self.has_offered |= frame.has_offer;
     }
 
-    /// The minion has other room than before.
+    /// Sets the present capacity of the minion.
     pub(crate) fn set_capacity(&mut self, capacity: Resources) {
         self.hello.capacity = capacity;
         self.max_capacity = self.max_capacity.max(&capacity);
     }
 
-    /// Until when a frame that is sent now lets tasks run, on the agent's
-    /// clock. The clock is taken as early as it can be.
+    /// Returns the end of the grant that a frame sent now gives, on the agent's
+    /// clock. It assumes the earliest time that this clock may show now.
     pub(crate) fn grant_until_ms(&self, now_ms: u64) -> u64 {
         self.clock_ms + now_ms.saturating_sub(self.last_seen_ms) + GRANT_MS
     }
 
+    /// Records a start order that is sent to the agent. It uses up the agent's
+    /// offer, if any.
     pub(crate) fn add_order(&mut self, order: OrderId, needs: Resources) {
         self.starts_sent += 1;
         self.has_offered = false;
         self.outstanding.insert(order, (self.starts_sent, needs));
     }
 
-    /// Room that is left after the orders that the agent had not seen.
+    /// Returns the free resources less what the orders need that the agent had
+    /// not received at its last frame.
     pub(crate) fn free(&self) -> Resources {
         let unreceived = self.unreceived();
         unreceived.fold(self.free, |free, needs| free.minus(&needs))
     }
 
+    /// Returns the needs of the start orders that the agent had not received at
+    /// its last frame.
     fn unreceived(&self) -> impl Iterator<Item = Resources> {
         let is_unreceived = |(number, _): &&(u64, Resources)| *number > self.starts_received;
         let orders = self.outstanding.values().filter(is_unreceived);
         orders.map(|(_, needs)| *needs)
     }
 
-    /// Tells the agent of those entries that it chooses. All of them would be a
-    /// list that grows with the fleet, to as many agents.
+    /// Sends the agent its choice from `entries`. The whole list would grow
+    /// with the fleet and would go to as many agents.
     pub(crate) fn send_entries(&mut self, entries: BTreeSet<SocketAddr>) {
         let rendezvous = RendezvousHash::new(self.hello.host.clone(), MAX_LINKED_ENTRIES);
         self.chosen_entries = rendezvous.select(entries);
@@ -179,7 +198,8 @@
         self.outbox.push(Order::Entries(chosen_entries));
     }
 
-    /// The same, when these were added to those told last and others may be gone.
+    /// Sends the agent its choice from `entries`, a list that gained `added`
+    /// since the last list for all agents and may have lost others.
     pub(crate) fn send_entry_changes(
         &mut self,
         entries: &BTreeSet<SocketAddr>,
@@ -193,20 +213,21 @@
         }
     }
 
-    /// Tells the agent that its offer is of no use, if it made one.
+    /// Declines the agent's offer, if it made one.
     pub(crate) fn decline_offer(&mut self) {
         if std::mem::take(&mut self.has_offered) {
             self.outbox.push(Order::DeclineOffer);
         }
     }
 
+    /// Returns whether the agent can get starts at present.
     pub(crate) fn accepts_starts(&self, now_ms: u64) -> bool {
         self.is_accepting_starts
             && !self.is_evacuated
             && now_ms <= self.last_seen_ms + STALE_AGENT_MS
     }
 
-    /// Demand of the other entries on this agent.
+    /// Returns the demand on this agent from the other entries.
     pub(crate) fn demand_of_others(&self) -> Demand {
         self.demand.minus(self.sent_demand)
     }
@@ -215,26 +236,27 @@
         self.hello.labels.contains(label)
     }
 
-    /// Whether nothing runs there, as far as is known.
+    /// Returns whether nothing runs on the minion, as far as is known.
     pub(crate) fn is_idle(&self) -> bool {
         self.free() == self.hello.capacity
     }
 
-    /// Share of the room that is in use.
+    /// Returns the fraction of the minion's processor capacity that is in use.
     pub(crate) fn load(&self) -> f64 {
         let capacity = f64::from(self.hello.capacity.cpu_milli.max(1));
         1.0 - f64::from(self.free().cpu_milli) / capacity
     }
 }
 
-/// What was learned of each host.
+/// What the entry has learned about each host.
 #[derive(Debug, Default)]
 pub(crate) struct Hosts {
     records: BTreeMap<Name, HostRecord>,
 }
 
 impl Hosts {
-    /// Notes a greeting; a minion of another kind starts without a record.
+    /// Records the greeting of an agent; the record of a host starts afresh if
+    /// its minion is of another kind.
     pub(crate) fn record_greeting(&mut self, hello: &AgentHello) {
         let record = self.record(&hello.host);
         if record.labels != hello.labels {
@@ -242,6 +264,7 @@
         }
     }
 
+    /// Returns the record of a host, which is created if there is none.
     pub(crate) fn record(&mut self, host: &Name) -> &mut HostRecord {
         let new = || HostRecord::new(Vec::new());
         self.records.entry(host.clone()).or_insert_with(new)
--- a/crates/dispatch/src/dispatcher/intake.rs
+++ b/crates/dispatch/src/dispatcher/intake.rs
@@ -1,4 +1,4 @@
-//! Jobs come in, and their callers leave or cancel them.
+//! Submission of jobs, and callers that leave or cancel.
 
 use gannetvane_wire::Name;
 
@@ -13,7 +13,9 @@
 use crate::dispatcher::jobs::JobState;
 
 impl Dispatcher {
-    /// A caller submits a job.
+    /// Takes a job from a caller. If a job with this id has no outcome yet, the
+    /// caller waits for that one; if its runs are still being stopped, the new
+    /// job waits until they are gone.
     pub fn submit(&mut self, now_ms: u64, caller: CallerId, job: Job) {
         self.callers.insert(caller, job.id.clone());
         if let Some(earlier) = self.jobs.get_mut(&job.id) {
@@ -27,7 +29,7 @@
         self.admit(caller, job, now_ms);
     }
 
-    /// A caller has gone away.
+    /// Removes a caller that has gone away. A job without callers is cancelled.
     pub fn caller_left(&mut self, now_ms: u64, caller: CallerId) {
         let Some(id) = self.callers.remove(&caller) else {
             return;
@@ -48,7 +50,7 @@
         }
     }
 
-    /// A caller cancels a job; `false` if there is none.
+    /// Cancels a job whose caller waits; returns `false` if there is none.
     pub fn cancel(&mut self, now_ms: u64, id: &Name) -> bool {
         let has_caller = |job: &JobState| job.is_open() && !job.is_stored;
         let is_open = self.jobs.get(id).is_some_and(has_caller);
@@ -58,6 +60,8 @@
         is_open
     }
 
+    /// Admits a job, or refuses it if it cannot run or the policy does not
+    /// admit it.
     pub(crate) fn admit(&mut self, caller: CallerId, job: Job, received_ms: u64) {
         if let Err(reason) = self.check(&job) {
             let retry_after_ms = retry_after_ms(reason);
@@ -90,6 +94,8 @@
         }
     }
 
+    /// Returns why a job must be refused, if it must. A job whose service has
+    /// no minions waits for one.
     pub(crate) fn check(&self, job: &Job) -> Result<(), Refusal> {
         if self.is_stopping {
             return Err(Refusal::Stopping);
@@ -107,6 +113,7 @@
         Ok(())
     }
 
+    /// Returns whether an agent of the service is connected.
     pub(crate) fn has_minions(&self, service: &Name) -> bool {
         let mut agents = self.agents.values();
         agents.any(|agent| agent.hello.service == *service)
--- a/crates/dispatch/src/dispatcher/jobs.rs
+++ b/crates/dispatch/src/dispatcher/jobs.rs
@@ -18,76 +18,86 @@
 use crate::policy::WaitingJob;
 use crate::stored::RUNS_PER_EPOCH;
 
-/// Time that messages between caller, entry and minion take, in
-/// milliseconds; part of the objective that cannot be used.
+/// Time that messages between caller, entry and minion take, in milliseconds.
+/// It is subtracted from the objective.
 const TRANSIT_MS: f64 = 10.0;
 /// A job is of no use after this many times its objective.
 const GIVE_UP_FACTOR: f64 = 3.0;
 
-/// Hosts that a task keeps away from; more would leave none on a small site.
+/// Largest number of hosts that a task avoids. A larger number would leave no
+/// host on a small site.
 const MAX_AVOIDED_HOSTS: usize = 3;
 
-/// Weight of the signs with which a task is given up, since each such minion is gone for
-/// seconds with all that ran there: two sure crashes, or four at most. A weak sign beside
-/// a sure one is not enough: a sound task may meet a crash of another cause.
+/// Crash weight at which a task is given up, since each crash takes a minion
+/// away for seconds with all that ran there. It is reached by two crashes with
+/// strong evidence, or by four crashes at most. Weak evidence beside one strong
+/// crash is not enough: a healthy task may meet a crash of another cause.
 const MAX_CRASH_WEIGHT: u32 = 4;
-/// The same for a stored task, which may meet such crashes in a longer time: three
-/// crashes, and five at most.
+/// Crash weight at which a stored task is given up. Over its longer time it may
+/// meet more crashes of another cause, so it takes three crashes, and five at
+/// most.
 const MAX_STORED_CRASH_WEIGHT: u32 = 5;
 
-/// Where a task stands.
+/// Phase of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TaskPhase {
-    /// Steps before it are not done.
+    /// Steps that it depends on are not done.
     Blocked,
-    /// It can be ordered.
+    /// It waits to be ordered.
     Waiting,
-    /// It is ordered.
+    /// It is ordered, and its run has not ended.
     Ordered(OrderId),
-    /// Its agent is out of reach; it may run until then.
+    /// The connection to its agent broke, and its run may go on until
+    /// `until_ms`.
     Orphaned {
-        /// When nothing of it runs any more, whatever happened.
+        /// Time from which no run of the task is left, whatever happened, in
+        /// milliseconds.
         until_ms: u64,
     },
-    /// Its last run may have ended unseen, and it is started anew as soon as
-    /// the log tells that such an end must not count.
+    /// Its last run may have ended without the entry learning of it. The task
+    /// is started again once the log records that such an end must not count.
     AwaitingLossRecord,
-    /// A minion crashed under its last run, and it is started anew as soon as the
-    /// log tells of that.
+    /// A minion crashed under its last run. The task is started again once the
+    /// log records the crash.
     AwaitingCrashRecord,
     /// Its work is done.
     Done,
 }
 
-/// One task.
+/// State of one task.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskState {
+    /// Index of its step in the job.
     pub(crate) step: usize,
+    /// Number of the task in its step.
     pub(crate) index: u32,
     pub(crate) phase: TaskPhase,
-    /// Number of the last run; 0 before the first.
+    /// Number of the last run. Before the first run it is 0, or a multiple of
+    /// [`RUNS_PER_EPOCH`] if the job is stored.
     pub(crate) run: u32,
-    /// Runs that failed.
+    /// Number of runs that failed.
     pub(crate) failures: u32,
-    /// Minions that crashed under it, by the number of the crash.
+    /// Evidence of the minion crashes under the task, by the number of the
+    /// crash.
     pub(crate) crashes: BTreeMap<u64, CrashEvidence>,
-    /// Crashes that the log does not tell of yet.
+    /// Number of crashes that the log does not contain yet.
     unrecorded_crashes: u32,
-    /// Times that it was moved since its host was slow.
+    /// Number of times that the task was moved because its host was slow.
     pub(crate) moves: u32,
-    /// Hosts on which it failed, hung or got no answer.
+    /// Hosts that the task avoids: it failed or hung there, or calls were
+    /// unanswered.
     pub(crate) avoided_hosts: Vec<Name>,
-    /// The host of the last order.
+    /// Host of the last order.
     pub(crate) host: Option<Name>,
 }
 
 impl TaskState {
-    /// Weight of the signs that it crashes its minions.
+    /// Returns the weight of the evidence that the task crashes its minions.
     pub(crate) fn crash_weight(&self) -> u32 {
         CrashEvidence::weight(self.crashes.values().copied())
     }
 
-    /// A crash is to be recorded before it is started anew.
+    /// Makes the task wait until a crash is recorded in the log.
     pub(crate) fn await_crash_record(&mut self) {
         self.unrecorded_crashes += 1;
         if self.phase == TaskPhase::Waiting {
@@ -95,7 +105,7 @@
         }
     }
 
-    /// A crash lies in the log.
+    /// Notes that a crash is recorded in the log.
     pub(crate) fn crash_recorded(&mut self) {
         self.unrecorded_crashes = self.unrecorded_crashes.saturating_sub(1);
         if self.phase == TaskPhase::AwaitingCrashRecord {
@@ -103,7 +113,8 @@
         }
     }
 
-    /// It can be ordered, once all its crashes lie in the log.
+    /// Makes the task ready to be ordered, or makes it wait until all its
+    /// crashes are recorded in the log.
     pub(crate) fn set_waiting(&mut self) {
         self.phase = match self.unrecorded_crashes {
             0 => TaskPhase::Waiting,
@@ -111,7 +122,8 @@
         };
     }
 
-    /// Keeps the task from the last few hosts that served it badly.
+    /// Adds a host to those that the task avoids, of which only the last few
+    /// are kept.
     pub(crate) fn avoid(&mut self, host: &Name) {
         self.avoided_hosts.retain(|other| other != host);
         self.avoided_hosts.push(host.clone());
@@ -121,48 +133,52 @@
     }
 }
 
-/// One job.
+/// State of one job.
 #[derive(Debug)]
 pub(crate) struct JobState {
     pub(crate) job: Arc<Job>,
     pub(crate) callers: Vec<CallerId>,
     pub(crate) received_ms: u64,
-    /// When it should be complete.
+    /// Time by which the job should be complete, in milliseconds.
     pub(crate) objective_ms: u64,
-    /// When it is of no use any more.
+    /// Time from which the job is of no use any more, in milliseconds.
     pub(crate) give_up_at_ms: u64,
-    /// Time by which a task works longer than was expected, in milliseconds.
+    /// Longest time by which a task exceeds its expected run time, in
+    /// milliseconds.
     excess_ms: f64,
     pub(crate) tasks: Vec<TaskState>,
-    /// Whether a minion may have run some of it.
+    /// Whether a minion may have run some of the job.
     pub(crate) may_have_run: bool,
-    /// How it ended; tasks may still be about to stop.
+    /// Outcome of the job once it has ended; its runs may still have to stop.
     pub(crate) outcome: Option<JobOutcome>,
-    /// A submission of the same id that waits until this one is gone.
+    /// Submission with the same id that waits until this job is removed: its
+    /// caller, the job, and the time of its receipt in milliseconds.
     pub(crate) next_submission: Option<(CallerId, Job, u64)>,
+    /// Time of the first start order, in milliseconds.
     pub(crate) first_start_ms: Option<u64>,
-    /// Until when agents know that its tasks wait.
+    /// Time until which the last probes for its tasks count, in milliseconds.
     pub(crate) probed_until_ms: u64,
-    /// Where and how long the task ran that was done last, for the log.
+    /// Host, run and duration of the task that completed last, as log details.
     pub(crate) last_end_detail: String,
-    /// Whether it is kept in the job log: it has no callers, is never given up,
-    /// and its ends are recorded.
+    /// Whether the job is kept in the job log: it has no callers, is never
+    /// given up, and the ends of its runs are recorded.
     pub(crate) is_stored: bool,
-    /// Whether a minion was seen to run some of it.
+    /// Whether an agent reported that its minion has run some of the job.
     pub(crate) was_seen_running: bool,
-    /// Whether nothing more of it is started here.
+    /// Whether no more tasks of the job are started here.
     pub(crate) is_paused: bool,
 }
 
 impl JobState {
-    /// A job whose caller waits.
+    /// Returns a job whose caller waits.
     pub(crate) fn new(now_ms: u64, caller: CallerId, job: Job, estimates: &Estimates) -> Self {
         let mut state = Self::without_caller(now_ms, job, estimates);
         state.callers.push(caller);
         state
     }
 
-    /// A stored job of the owner with this epoch, with what is done of it.
+    /// Returns a stored job for the owner with this epoch; `known` says what is
+    /// already done.
     pub(crate) fn stored(
         now_ms: u64,
         job: Job,
@@ -185,6 +201,7 @@
         state
     }
 
+    /// Returns a job without callers that is received at `now_ms`.
     fn without_caller(now_ms: u64, job: Job, estimates: &Estimates) -> Self {
         let times = JobTimes::new(&job, critical_path_ms(&job, estimates));
         let tasks = job.steps.iter().enumerate().flat_map(|(number, step)| {
@@ -226,12 +243,13 @@
         }
     }
 
-    /// A task of a step turned out to work this long on a minion of ordinary speed.
+    /// Extends the objective and the time allowed for the job after a task of a
+    /// step turned out to need `work_ms` on a minion of ordinary speed.
     ///
-    /// Where that is longer than was expected, so is the chain of the job and with
-    /// it the time that it may take. By the first guess, the few tasks that are many
-    /// times longer than declared would be given up in the middle of their work,
-    /// while their callers wait on.
+    /// Where that is longer than expected, the critical path is longer by as
+    /// much, and with it the time that the job may take. By the first estimate,
+    /// the few tasks that take many times as long as declared would be given up
+    /// in the middle of their work, while their callers still wait.
     pub(crate) fn extend_times(&mut self, step: usize, work_ms: f64, estimates: &Estimates) {
         let declared_ms = self.job.steps[step].declared_ms;
         let expected_ms = estimates.expected_ms(&self.job.queue.name, declared_ms);
@@ -247,11 +265,13 @@
         self.give_up_at_ms = self.give_up_at_ms.max(received_ms + times.give_up_after_ms);
     }
 
+    /// Returns whether the job has no outcome yet.
     pub(crate) fn is_open(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Holds a crash against its task; the task's position if that is news.
+    /// Counts a crash against its task; returns the index of the task if the
+    /// crash was new.
     pub(crate) fn record_crash(&mut self, crash: &Crash) -> Option<usize> {
         let is_crashed_task = |task: &TaskState| {
             u32::try_from(task.step).is_ok_and(|step| step == crash.task.step)
@@ -264,7 +284,8 @@
         known.is_none().then_some(position)
     }
 
-    /// Whether so many minions crashed under a task that it is given up.
+    /// Returns whether so many minions crashed under a task that it is given
+    /// up.
     pub(crate) fn crashes_minions(&self) -> bool {
         let limit = match self.is_stored {
             true => MAX_STORED_CRASH_WEIGHT,
@@ -273,11 +294,12 @@
         self.tasks.iter().any(|task| task.crash_weight() >= limit)
     }
 
+    /// Returns whether all tasks are done.
     pub(crate) fn is_done(&self) -> bool {
         self.tasks.iter().all(|task| task.phase == TaskPhase::Done)
     }
 
-    /// Whether nothing of it can run any more.
+    /// Returns whether no run of the job can be left.
     pub(crate) fn has_no_runs(&self) -> bool {
         !self.tasks.iter().any(|task| {
             matches!(
@@ -287,16 +309,18 @@
         })
     }
 
-    /// Whether nothing of it has run or may run.
+    /// Returns whether nothing of the job has run or may be running.
     pub(crate) fn has_never_run(&self) -> bool {
         !self.may_have_run && self.has_no_runs()
     }
 
+    /// Returns whether some task waits to be ordered.
     pub(crate) fn has_waiting(&self) -> bool {
         let mut tasks = self.tasks.iter();
         !self.is_paused && tasks.any(|task| task.phase == TaskPhase::Waiting)
     }
 
+    /// Returns the orders of the tasks that are ordered.
     pub(crate) fn orders(&self) -> Vec<OrderId> {
         let order = |task: &TaskState| match task.phase {
             TaskPhase::Ordered(order) => Some(order),
@@ -305,6 +329,7 @@
         self.tasks.iter().filter_map(order).collect()
     }
 
+    /// Returns the id of the task at an index.
     pub(crate) fn task_id(&self, position: usize) -> TaskId {
         let task = &self.tasks[position];
         TaskId {
@@ -314,7 +339,7 @@
         }
     }
 
-    /// The last run of a task.
+    /// Returns the key of the last run of the task at an index.
     pub(crate) fn run_key(&self, position: usize) -> RunKey {
         RunKey {
             task: self.task_id(position),
@@ -322,7 +347,7 @@
         }
     }
 
-    /// Makes the tasks ready whose earlier steps are done.
+    /// Makes the blocked tasks ready whose earlier steps are done.
     pub(crate) fn unblock(&mut self) {
         let steps = self.job.steps.len();
         let is_step_done = |step: usize| {
@@ -339,13 +364,14 @@
         }
     }
 
-    /// The step of the first task that waits.
+    /// Returns the step of the first waiting task, or 0 if none waits.
     pub(crate) fn next_step(&self) -> usize {
         let waiting = |task: &&TaskState| task.phase == TaskPhase::Waiting;
         self.tasks.iter().find(waiting).map_or(0, |task| task.step)
     }
 
-    /// Work of the tasks that wait: expected time by thousandths of a core.
+    /// Returns the work of the waiting tasks: expected run time in milliseconds
+    /// times thousandths of a core.
     pub(crate) fn waiting_work(&self, estimates: &Estimates) -> f64 {
         let mut counts = vec![0_u32; self.job.steps.len()];
         let waiting = |task: &&TaskState| task.phase == TaskPhase::Waiting;
@@ -360,7 +386,7 @@
         work.sum()
     }
 
-    /// Thousandths of a core that the tasks that wait need together.
+    /// Returns what the waiting tasks need together, in thousandths of a core.
     pub(crate) fn waiting_milli(&self) -> f64 {
         let waiting = |task: &&TaskState| task.phase == TaskPhase::Waiting;
         let waiting = self.tasks.iter().filter(waiting);
@@ -368,7 +394,7 @@
         needs.map(f64::from).sum()
     }
 
-    /// What the policy sees of it.
+    /// Returns the view of the job on which the policy decides.
     pub(crate) fn waiting(&self, estimates: &Estimates) -> WaitingJob {
         WaitingJob {
             objective_ms: self.objective_ms,
@@ -377,18 +403,19 @@
         }
     }
 
-    /// Time at which a task of the step must start for the job to be in time.
+    /// Returns the time by which a task of the step must start for the job to
+    /// meet its objective, in milliseconds.
     pub(crate) fn latest_start_ms(&self, step: usize, estimates: &Estimates) -> i64 {
         let remaining_ms = critical_path_from_ms(&self.job, step, estimates);
         self.objective_ms.cast_signed() - remaining_ms as i64
     }
 }
 
-/// Times of a job from its receipt, in milliseconds.
+/// Durations that a job may take from its receipt, in milliseconds.
 struct JobTimes {
-    /// Within which it should be complete.
+    /// Duration within which the job should be complete.
     objective_ms: u64,
-    /// After which it is of no use.
+    /// Duration after which the job is of no use.
     give_up_after_ms: u64,
 }
 
@@ -404,13 +431,14 @@
     }
 }
 
-/// Longest chain of expected run times, in milliseconds.
+/// Returns the longest chain of expected run times, in milliseconds.
 fn critical_path_ms(job: &Job, estimates: &Estimates) -> f64 {
     let lengths = (0..job.steps.len()).map(|step| critical_path_from_ms(job, step, estimates));
     lengths.fold(0.0, f64::max)
 }
 
-/// Expected time from the start of a step to the end of all that needs it.
+/// Returns the expected time from the start of a step to the end of all steps
+/// that depend on it, in milliseconds.
 fn critical_path_from_ms(job: &Job, step: usize, estimates: &Estimates) -> f64 {
     let own_ms = estimates.expected_ms(&job.queue.name, job.steps[step].declared_ms);
     let mut longest: BTreeMap<usize, f64> = BTreeMap::from([(step, own_ms)]);
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -1,4 +1,8 @@
-//! The core of an entry: it keeps each job for as long as its caller waits.
+//! [`Dispatcher`], the core of an entry: it keeps the jobs, orders agents to
+//! run their tasks and answers the callers.
+//!
+//! A job is kept for as long as its caller waits. Stored jobs have no waiting
+//! caller; the dispatcher runs them for the ledger.
 
 mod crashes;
 mod ends;
@@ -49,70 +53,78 @@
 use crate::policy::WorkRate;
 use crate::stored::StoredEvent;
 
-/// Pause after which this process counts as having stood still, in
-/// milliseconds; agents have then stopped what it ordered.
+/// Time since the last tick, in milliseconds, after which this process counts
+/// as suspended. Agents have stopped the runs that it ordered by then.
 pub(crate) const SUSPENSION_MS: u64 = 300;
-/// Time after standing still before anything is started, in milliseconds:
+/// Time after a suspension during which nothing is started, in milliseconds:
 /// broken connections of callers are noticed first.
 const RESUME_DELAY_MS: u64 = 40;
-/// Settings of a dispatcher.
+
+/// Settings of a [`Dispatcher`].
 #[derive(Clone, Debug)]
 pub struct DispatcherSettings {
     /// Availability zone of the entry.
     pub zone: Name,
-    /// Times that a task takes longer away from its data.
+    /// Factor by which a task takes longer away from its data.
     pub remote_factor: f64,
-    /// Seed of its choices.
+    /// Seed of the generator from which the dispatcher draws all random
+    /// numbers.
     pub seed: u64,
 }
 
-/// What a dispatcher asks the process around it to do.
+/// Action that the surrounding process carries out for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatcherAction {
-    /// Answer a caller.
+    /// Answers a caller with the outcome of its job.
     Answer(CallerId, JobOutcome),
-    /// Send a frame to an agent.
+    /// Sends a frame to an agent.
     Send(LinkId, EntryFrame),
-    /// Close the connection to an agent.
+    /// Closes the connection to an agent.
     Close(LinkId),
-    /// Log and count.
+    /// Logs and counts an event.
     Event(EntryEvent),
 }
 
-/// Something that touches a job or changes what the entry believes.
+/// Event for the log and the counters: something happened to a job, or the
+/// entry's view of other processes changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryEvent {
-    /// Name of the event; each has one meaning.
+    /// Name of the event. Each name has one meaning.
     pub event: &'static str,
-    /// The job, if it is about one.
+    /// Job that the event concerns, if any.
     pub job: Option<Name>,
-    /// What decided it, and its age.
+    /// Facts that led to the event and their age, as `key=value` pairs.
     pub detail: String,
-    /// Reason for the counter; empty where there is only one.
+    /// Reason under which the event is counted; empty if the event has only
+    /// one.
     pub reason: &'static str,
-    /// Time from receipt in milliseconds, where a job ends.
+    /// Time from the receipt of the job to its end, in milliseconds, if the
+    /// event ends a job.
     pub took_ms: Option<u64>,
 }
 
-/// An order that has not ended.
+/// A start order without a reported end.
 #[derive(Clone, Debug)]
 pub(crate) struct OrderState {
     pub(crate) job: Name,
+    /// Index of the task in [`JobState::tasks`].
     pub(crate) position: usize,
     pub(crate) link: LinkId,
+    /// Expected run time on a minion of ordinary speed, in milliseconds.
     pub(crate) expected_ms: f64,
     pub(crate) ordered_ms: u64,
     pub(crate) is_stop_sent: bool,
 }
 
-/// The core of an entry.
+/// The core of an entry. Events and the present time in milliseconds go in;
+/// [`Dispatcher::take_actions`] returns the actions to carry out.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) settings: DispatcherSettings,
     pub(crate) table: RoutingTable,
     pub(crate) evacuations: Evacuations,
     pub(crate) agents: BTreeMap<LinkId, AgentState>,
-    /// The entries that all agents were last told of.
+    /// Entries in the list that was last sent to all agents.
     sent_entries: BTreeSet<SocketAddr>,
     pub(crate) hosts: Hosts,
     pub(crate) jobs: BTreeMap<Name, JobState>,
@@ -125,11 +137,14 @@
     pub(crate) last_tick_ms: u64,
     pub(crate) starts_resume_at_ms: u64,
     pub(crate) policy: BoxedPolicy,
-    /// Work of each service that was started of late.
+    /// Rate of the work that this entry recently started, by service.
     pub(crate) started_work: BTreeMap<Name, WorkRate>,
     pub(crate) last_shed_ms: u64,
+    /// Services whose failing hosts are not ejected, because too many of them
+    /// fail.
     pub(crate) services_without_ejection: Vec<Name>,
-    /// Speed that minions have at present, 1 for the ordinary one.
+    /// Median speed of the minions that run tasks, at most 1, which is the
+    /// ordinary speed.
     pub(crate) usual_speed: f64,
     pub(crate) actions: Vec<DispatcherAction>,
     pub(crate) stored_events: Vec<StoredEvent>,
@@ -138,13 +153,15 @@
 }
 
 impl Dispatcher {
-    /// The core of an entry that just started.
+    /// Returns the dispatcher of an entry that has just started, with the
+    /// policy [`FairShare`].
     #[must_use]
     pub fn new(settings: DispatcherSettings, now_ms: u64) -> Self {
         Self::with_policy(settings, Box::new(FairShare::default()), now_ms)
     }
 
-    /// The same with another policy for times of more work than room.
+    /// Returns the dispatcher of an entry that has just started, with the given
+    /// policy for times when there is more work than capacity.
     #[must_use]
     pub fn with_policy(settings: DispatcherSettings, policy: BoxedPolicy, now_ms: u64) -> Self {
         Self {
@@ -175,36 +192,37 @@
         }
     }
 
-    /// Takes what there is to do since the last call.
+    /// Returns the actions since the last call and removes them.
     pub fn take_actions(&mut self) -> Vec<DispatcherAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The queues in force.
+    /// Returns the queues in force.
     #[must_use]
     pub fn table(&self) -> &RoutingTable {
         &self.table
     }
 
-    /// Whether the balancer may send requests here.
+    /// Returns whether the balancer may send requests to this entry.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.table.version > 0 && !self.agents.is_empty() && !self.is_stopping
     }
 
-    /// Jobs whose callers wait.
+    /// Returns the number of jobs without an outcome, stored jobs included.
     #[must_use]
     pub fn unfinished_jobs(&self) -> usize {
         self.jobs.values().filter(|job| job.is_open()).count()
     }
 
-    /// Agents that greeted.
+    /// Returns the number of connected agents.
     #[must_use]
     pub fn agents(&self) -> usize {
         self.agents.len()
     }
 
-    /// Jobs of a queue whose callers wait, and of which nothing has started.
+    /// Returns the number of jobs of a queue whose callers wait and of which no
+    /// task was ordered yet.
     #[must_use]
     pub fn pending(&self, queue: &str) -> usize {
         let has_caller = |job: &JobState| job.is_open() && !job.is_stored;
@@ -213,7 +231,8 @@
         jobs.filter(|job| job.first_start_ms.is_none()).count()
     }
 
-    /// Puts a newer configuration into force; an older one is ignored.
+    /// Puts a newer configuration into force and returns `true`; ignores an
+    /// older one and returns `false`.
     pub fn configure(&mut self, table: RoutingTable) -> bool {
         if table.version <= self.table.version {
             return false;
@@ -223,17 +242,19 @@
         true
     }
 
-    /// Takes over another factor for tasks away from their data.
+    /// Sets the factor by which a task takes longer away from its data.
     pub fn set_remote_factor(&mut self, remote_factor: f64) {
         self.settings.remote_factor = remote_factor;
     }
 
-    /// Begins a planned stop: jobs that are here are brought to their end.
+    /// Begins a planned stop: new jobs are refused, and the jobs that are here
+    /// run to their end.
     pub fn begin_stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// An agent greeted: nothing ordered earlier is left on its minion.
+    /// Adds an agent that greeted. Nothing that was ordered over its earlier
+    /// connections is left on its minion.
     pub fn agent_up(&mut self, now_ms: u64, link: LinkId, hello: AgentHello) {
         let detail = format!(
             "host={} zone={} capacity={:?}",
@@ -258,7 +279,8 @@
         self.release_orphans(&host);
     }
 
-    /// The connection to an agent broke.
+    /// Removes an agent whose connection broke. Its runs may go on for a while,
+    /// so their tasks become orphaned.
     pub fn agent_down(&mut self, link: LinkId, cause: &'static str) {
         let Some(agent) = self.agents.remove(&link) else {
             return;
@@ -291,7 +313,7 @@
         }
     }
 
-    /// A frame of an agent arrived.
+    /// Processes a frame from an agent.
     pub fn agent_frame(&mut self, now_ms: u64, link: LinkId, frame: AgentFrame) {
         let Some(agent) = self.agents.get_mut(&link) else {
             return;
@@ -317,7 +339,8 @@
         }
     }
 
-    /// Does what is due; returns when to call again at the latest.
+    /// Does what is due and returns the time by which to call again, in
+    /// milliseconds.
     pub fn tick(&mut self, now_ms: u64) -> u64 {
         if now_ms > self.last_tick_ms + SUSPENSION_MS {
             let detail = format!("pause_ms={}", now_ms - self.last_tick_ms);
@@ -340,6 +363,7 @@
         self.next_due_ms(now_ms)
     }
 
+    /// Returns the time by which to call [`Self::tick`] again, in milliseconds.
     pub(crate) fn next_due_ms(&self, now_ms: u64) -> u64 {
         let frames = self
             .agents
@@ -359,7 +383,8 @@
         due_ms.clamp(now_ms + 1, now_ms + KEEPALIVE_MS)
     }
 
-    /// Gives up agents that are silent for as long as a grant lasts.
+    /// Drops the agents from which no frame came, or to which none was sent,
+    /// for as long as a grant lasts.
     pub(crate) fn drop_unresponsive_agents(&mut self, now_ms: u64) {
         let is_lost = |agent: &AgentState| {
             let is_unresponsive = now_ms > agent.last_seen_ms + GRANT_MS;
@@ -375,6 +400,7 @@
         }
     }
 
+    /// Sends a frame to each agent for which orders or a keepalive are due.
     pub(crate) fn send_frames(&mut self, now_ms: u64) {
         let is_due = |agent: &AgentState| {
             !agent.outbox.is_empty() || now_ms >= agent.last_sent_ms + KEEPALIVE_MS
@@ -399,7 +425,7 @@
         }
     }
 
-    /// Tells each agent of the entries that it is to link to.
+    /// Sends each agent its choice from `entries` of those to connect to.
     pub fn send_entries(&mut self, entries: &[SocketAddr]) {
         let current: BTreeSet<SocketAddr> = entries.iter().copied().collect();
         let added: Vec<SocketAddr> = current.difference(&self.sent_entries).copied().collect();
@@ -409,7 +435,7 @@
         self.sent_entries = current;
     }
 
-    /// Tells one agent of the entries that it is to link to.
+    /// Sends one agent its choice from `entries` of those to connect to.
     pub fn send_entries_to(&mut self, link: LinkId, entries: &[SocketAddr]) {
         if let Some(agent) = self.agents.get_mut(&link) {
             let entries = entries.iter().copied().collect();
@@ -419,6 +445,7 @@
         }
     }
 
+    /// Adds an event without a reason and without a duration.
     pub(crate) fn event(&mut self, event: &'static str, job: Option<Name>, detail: String) {
         self.actions.push(DispatcherAction::Event(EntryEvent {
             event,
--- a/crates/dispatch/src/dispatcher/overload.rs
+++ b/crates/dispatch/src/dispatcher/overload.rs
@@ -1,5 +1,5 @@
-//! Jobs that cannot be of use any more are answered at once; those of which
-//! nothing has started are refused when the policy says so.
+//! Jobs that have expired are answered at once. Jobs of which nothing has run
+//! are refused when the policy finds that they cannot meet their objective.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +12,15 @@
 use crate::dispatcher::jobs::JobState;
 use crate::policy::MIN_RATE_MILLI;
 
-/// A job waits for the first minion of its service for one in this many parts
-/// of its objective; agents greet within that after a restart.
+/// A job waits for the first minion of its service for its objective divided by
+/// this. Agents greet within that time after a restart.
 pub(crate) const MINION_WAIT_DIVISOR: u64 = 3;
-/// Pause between two looks for jobs without a prospect, in milliseconds.
+/// Interval between two searches for jobs that cannot meet their objective, in
+/// milliseconds.
 pub(crate) const SHED_INTERVAL_MS: u64 = 10;
 
 impl Dispatcher {
-    /// Answers jobs that cannot be of use any more.
+    /// Answers the jobs that have expired.
     pub(crate) fn expire_jobs(&mut self, now_ms: u64) {
         let expired: Vec<Name> = self
             .jobs
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Whether a job is of no use any more, or has waited in vain for a minion
-    /// of its service.
+    /// Returns whether a job is of no use any more, or has waited too long for
+    /// the first minion of its service.
     pub(crate) fn is_expired(&self, now_ms: u64, job: &JobState) -> bool {
         let waited_ms = now_ms.saturating_sub(job.received_ms);
         let objective_ms = job.objective_ms.saturating_sub(job.received_ms);
@@ -62,8 +63,8 @@
         now_ms >= job.give_up_at_ms || has_waited_without_minion
     }
 
-    /// Refuses jobs of which nothing has started and that would not be complete
-    /// in time.
+    /// Refuses the jobs of which nothing has run and that cannot meet their
+    /// objective.
     pub(crate) fn shed(&mut self, now_ms: u64) {
         for started in self.started_work.values_mut() {
             started.decay(now_ms);
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Refuses a job of which nothing has run for want of room.
+    /// Refuses a job of which nothing has run because the service is
+    /// overloaded.
     pub(crate) fn refuse_overloaded(&mut self, now_ms: u64, id: &Name, cause: &'static str) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -105,8 +107,9 @@
         self.finish(now_ms, id, outcome, cause);
     }
 
-    /// Whether nothing of a job has started and it is of no use when all of its
-    /// tasks start within `wait_ms`.
+    /// Returns whether nothing of a job has run and it cannot meet its
+    /// objective if `wait_ms` milliseconds pass until all of its tasks have
+    /// started.
     fn cannot_meet_objective(&self, now_ms: u64, job: &JobState, wait_ms: f64) -> bool {
         let service = &job.job.queue.service;
         if !job.has_never_run()
--- a/crates/dispatch/src/dispatcher/probes.rs
+++ b/crates/dispatch/src/dispatcher/probes.rs
@@ -1,5 +1,5 @@
-//! Late binding at an entry: tasks that found no room are told to a few agents,
-//! which offer room when it comes up.
+//! Late binding at an entry: it sends probes for waiting tasks to a few agents,
+//! which offer resources as soon as some are free.
 
 use std::sync::Arc;
 
@@ -16,13 +16,13 @@
 use crate::dispatcher::jobs::TaskPhase;
 use crate::policy::placement;
 
-/// Agents that are told of each waiting task. More would cost messages and find
-/// room no sooner.
+/// Number of agents that are probed for each waiting task. More would cost
+/// messages and find free resources no sooner.
 const PROBES_PER_TASK: usize = 3;
 
 impl Dispatcher {
-    /// Tells agents of the tasks that wait, and answers offers that were of no
-    /// use.
+    /// Sends probes for the waiting tasks, and declines the offers that were
+    /// not used.
     pub(crate) fn probe(&mut self, now_ms: u64) {
         let is_suspended = now_ms > self.last_tick_ms + SUSPENSION_MS;
         if now_ms >= self.starts_resume_at_ms && !is_suspended {
@@ -41,6 +41,7 @@
         }
     }
 
+    /// Sends probes for the waiting tasks of one job.
     fn probe_for(&mut self, now_ms: u64, id: &Name) {
         let Some(state) = self.jobs.get_mut(id) else {
             return;
@@ -66,7 +67,8 @@
         let count = waiting.len() * PROBES_PER_TASK;
         let mut jitter = || self.rng.random::<f64>();
         let chosen = placement::choose_probed(&agents, &self.hosts, &context, &mut jitter, count);
-        // A small fleet has fewer agents than that, so each hears of more tasks.
+        // A small fleet has fewer agents than that, so each is probed for more
+        // tasks.
         let tasks = count.div_ceil(chosen.len().max(1)).min(waiting.len());
         let probe = Probe {
             needs: job.steps[step].needs,
--- a/crates/dispatch/src/dispatcher/resizes.rs
+++ b/crates/dispatch/src/dispatcher/resizes.rs
@@ -1,6 +1,6 @@
-//! What an entry does about minions whose room shrinks or grows: share, backlog
-//! and placement go by the present room, and what fits nowhere any more is refused
-//! at once.
+//! Minions whose capacity shrinks or grows: share, backlog and placement use
+//! the present capacity, and jobs that fit nowhere any more are refused at
+//! once.
 
 use crate::Job;
 use crate::LinkId;
@@ -10,7 +10,7 @@
 use crate::policy::placement;
 
 impl Dispatcher {
-    /// An agent told that its minion has other room than before.
+    /// Takes over the capacity that an agent reported for its minion.
     pub(crate) fn agent_capacity_changed(
         &mut self,
         now_ms: u64,
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Why no minion can run some step of a job: none has ever had the room, or
-    /// none has it at present.
+    /// Returns why no minion can run some step of a job, if so: none has ever
+    /// had the capacity, or none has it at present.
     pub(crate) fn capacity_refusal(&self, job: &Job) -> Option<Refusal> {
         let service = &job.queue.service;
         let agents = || self.agents.values();
--- a/crates/dispatch/src/dispatcher/rounds.rs
+++ b/crates/dispatch/src/dispatcher/rounds.rs
@@ -1,5 +1,5 @@
-//! Rounds of placement: waiting tasks go to agents with room, the most urgent
-//! first.
+//! Rounds of placement: waiting tasks go to agents with free resources, the
+//! most urgent first.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,15 +23,17 @@
 use crate::policy::placement;
 use crate::policy::placement::PlacementContext;
 
-/// Least median speed that is reckoned with.
+/// Smallest value used for the median speed of minions.
 const MIN_USUAL_SPEED: f64 = 0.2;
-/// Ejection ends when more than one in this many hosts would be left out.
+/// No host of a service is left out if more than one in this many of its hosts
+/// are ejected.
 const MAX_EJECTED_DIVISOR: usize = 2;
-/// Jobs that find no room before a round of placement ends.
+/// Number of jobs without a suitable agent after which a round of placement
+/// ends.
 const MAX_MISSES_PER_ROUND: usize = 12;
 
 impl Dispatcher {
-    /// Services so many of whose hosts had bad ends that the cause is
+    /// Returns the services so many of whose hosts failed that the cause is
     /// elsewhere: none of their hosts is left out.
     pub(crate) fn find_services_without_ejection(&self, now_ms: u64) -> Vec<Name> {
         let mut counts: BTreeMap<&Name, (usize, usize)> = BTreeMap::new();
@@ -52,7 +54,8 @@
             .collect()
     }
 
-    /// Orders waiting tasks, the most urgent first, while there is room.
+    /// Orders waiting tasks, the most urgent first, while there are free
+    /// resources.
     pub(crate) fn place(&mut self, now_ms: u64) {
         if now_ms < self.starts_resume_at_ms || now_ms > self.last_tick_ms + SUSPENSION_MS {
             return;
@@ -73,7 +76,8 @@
         }
     }
 
-    /// The median speed of the minions at work, and at most the ordinary one.
+    /// Sets the usual speed to the median speed of the minions that run tasks,
+    /// at most the ordinary speed.
     pub(crate) fn learn_usual_speed(&mut self) {
         let busy = self.agents.values().filter(|agent| agent.load() > 0.0);
         let mut speeds: Vec<f64> = busy.map(|agent| agent.speed).collect();
@@ -82,8 +86,8 @@
         self.usual_speed = median.clamp(MIN_USUAL_SPEED, 1.0);
     }
 
-    /// Agents that may take a waiting task; in a full fleet they are few, which
-    /// keeps a round cheap.
+    /// Returns the agents that may take a waiting task. In a full fleet they
+    /// are few, which keeps a round cheap.
     pub(crate) fn candidate_agents(&self, now_ms: u64) -> Vec<LinkId> {
         let waiting = self
             .jobs
@@ -101,7 +105,8 @@
         candidates.map(|(link, _)| *link).collect()
     }
 
-    /// Thousandths of a core of a service that are free, as far as is known.
+    /// Returns the free processor capacity of a service outside evacuated
+    /// zones, in thousandths of a core, as far as is known.
     pub(crate) fn free_milli(&self, service: &Name) -> f64 {
         let of_service = self.agents.values();
         let of_service =
@@ -111,6 +116,7 @@
             .sum()
     }
 
+    /// Returns the ids of the jobs with waiting tasks, the most urgent first.
     pub(crate) fn waiting_by_urgency(&self, now_ms: u64) -> Vec<Name> {
         let waiting = self
             .jobs
@@ -122,7 +128,8 @@
         waiting.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Orders the waiting tasks of a job; `false` if one found no room.
+    /// Orders the waiting tasks of a job; returns `false` if no agent could
+    /// take one of them.
     pub(crate) fn place_job(&mut self, now_ms: u64, id: &Name, candidates: &[LinkId]) -> bool {
         let Some(state) = self.jobs.get(id) else {
             return true;
@@ -139,7 +146,8 @@
         true
     }
 
-    /// An agent with room for a task.
+    /// Returns the best of the candidates for a task, if any has enough free
+    /// resources.
     pub(crate) fn choose_agent(
         &mut self,
         now_ms: u64,
@@ -156,7 +164,7 @@
         placement::choose(&agents, &self.hosts, &context, &mut jitter)
     }
 
-    /// What the choice of an agent for a task depends on.
+    /// Returns what the choice of an agent for a task depends on.
     pub(crate) fn placement_context<'a>(
         &self,
         now_ms: u64,
@@ -190,8 +198,8 @@
         })
     }
 
-    /// The hosts that a task keeps away from. Where no other could take it, a bad one
-    /// is better than none.
+    /// Returns the hosts that a task avoids. If no other host could take it,
+    /// none is avoided, since a bad host is better than none.
     fn hosts_to_avoid(&self, avoided: &[Name], service: &Name, step: &Step) -> Vec<Name> {
         let is_other =
             |agent: &&AgentState| !agent.is_evacuated && !avoided.contains(&agent.hello.host);
@@ -202,6 +210,7 @@
         }
     }
 
+    /// Orders an agent to start a task.
     pub(crate) fn order_start(&mut self, now_ms: u64, id: &Name, position: usize, link: LinkId) {
         let order = OrderId(self.next_order);
         let (Some(state), Some(agent)) = (self.jobs.get_mut(id), self.agents.get_mut(&link)) else {
--- a/crates/dispatch/src/dispatcher/stored_runs.rs
+++ b/crates/dispatch/src/dispatcher/stored_runs.rs
@@ -1,5 +1,5 @@
-//! How the dispatcher runs stored jobs: it places their tasks like all others,
-//! and tells the ledger what has to be recorded.
+//! Stored jobs in the dispatcher: it places their tasks like all others, and
+//! passes to the ledger what must be recorded.
 
 use gannetvane_wire::Name;
 
@@ -19,19 +19,21 @@
 use crate::stored::RUNS_PER_EPOCH;
 use crate::stored::StoredEvent;
 
-/// A stored job is refused when all that waits before it takes longer than
-/// this, in milliseconds, and than its whole objective twice: a job is of use
-/// until three times its objective.
+/// A stored job is refused if the work that waits before it takes longer than
+/// this, in milliseconds, and also longer than [`MAX_BACKLOG_OBJECTIVES`] of
+/// its objectives.
 const MAX_STORED_BACKLOG_MS: f64 = 3_000.0;
+/// Number of its objectives that the work before a stored job may take. A job
+/// is of use until three times its objective.
 const MAX_BACKLOG_OBJECTIVES: f64 = 2.0;
 
 impl Dispatcher {
-    /// What happened to stored jobs since the last call.
+    /// Returns the events of stored jobs since the last call and removes them.
     pub(crate) fn take_stored_events(&mut self) -> Vec<StoredEvent> {
         std::mem::take(&mut self.stored_events)
     }
 
-    /// Whether a stored job can be taken.
+    /// Returns why a stored job must be refused, if it must.
     pub(crate) fn check_stored(&self, stored: &StoredJob) -> Result<(), Refusal> {
         let job = to_job(stored);
         self.check(&job)?;
@@ -60,8 +62,8 @@
         Ok(())
     }
 
-    /// Runs what is left of a stored job; `false` while runs of an earlier time
-    /// are still being stopped here.
+    /// Runs what is left of a stored job; returns `false` while earlier runs of
+    /// the job are still being stopped here.
     pub(crate) fn run_stored(
         &mut self,
         now_ms: u64,
@@ -76,12 +78,12 @@
         let state = JobState::stored(now_ms, job, epoch, known, &self.estimates);
         self.jobs.insert(stored.id.clone(), state);
         self.apply_known_crashes(&stored.id);
-        // All of it may be done, with only the end of the job not recorded.
+        // All tasks may be done, with only the end of the job not recorded.
         self.advance_job(now_ms, &stored.id);
         true
     }
 
-    /// Stops all runs of a stored job and forgets it.
+    /// Stops all runs of a stored job and removes it as soon as they are gone.
     pub(crate) fn drop_stored(&mut self, id: &Name) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_stored) else {
             return;
@@ -95,26 +97,27 @@
         self.remove_if_stopped(id);
     }
 
-    /// Starts nothing more of a stored job; what runs may end.
+    /// Starts no more tasks of a stored job; active runs may end.
     pub(crate) fn pause_stored(&mut self, id: &Name) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_paused = true;
         }
     }
 
-    /// Whether nothing of a stored job can be running.
+    /// Returns whether no run of a stored job can be left.
     pub(crate) fn has_no_stored_runs(&self, id: &Name) -> bool {
         self.jobs.get(id).is_none_or(JobState::has_no_runs)
     }
 
-    /// Whether something of a stored job is known to have begun here; a task
-    /// that waits at an agent has not.
+    /// Returns whether some of a stored job is known to have started here. A
+    /// task that waits at an agent has not started.
     pub(crate) fn has_stored_job_started(&self, id: &Name) -> bool {
         let job = self.jobs.get(id);
         job.is_some_and(|job| job.was_seen_running)
     }
 
-    /// An agent offers ends that wait for an owner.
+    /// Passes retained ends that an agent reported to the ledger, which decides
+    /// on them if this entry is the owner.
     pub(crate) fn retained_ends_reported(&mut self, link: LinkId, ends: Vec<RetainedEnd>) {
         let events = ends
             .into_iter()
@@ -122,8 +125,9 @@
         self.stored_events.extend(events);
     }
 
-    /// Takes over the end of a run that this entry lost sight of, or that an
-    /// earlier owner started; `false` when the task was started anew since.
+    /// Applies the retained end of a run that this entry lost track of, or that
+    /// an earlier owner started. Returns `false` if the end does not count, for
+    /// instance because the task was started again since.
     pub(crate) fn apply_retained_end(
         &mut self,
         now_ms: u64,
@@ -160,7 +164,8 @@
         true
     }
 
-    /// A task whose last run was lost may be started anew.
+    /// Makes a task ready again after the loss of its last run was recorded in
+    /// the log.
     pub(crate) fn run_loss_recorded(&mut self, id: &Name, position: u32) {
         let job = self.jobs.get_mut(id);
         let task = job.and_then(|job| job.tasks.get_mut(position as usize));
@@ -169,7 +174,7 @@
         }
     }
 
-    /// A crash under a task lies in the log.
+    /// Notes that a crash under a task is recorded in the log.
     pub(crate) fn crash_recorded(&mut self, id: &Name, position: u32) {
         let job = self.jobs.get_mut(id);
         let task = job.and_then(|job| job.tasks.get_mut(position as usize));
@@ -178,7 +183,7 @@
         }
     }
 
-    /// Tells an agent what became of an end that its minion keeps.
+    /// Sends an agent the disposition of an end that its minion retains.
     pub(crate) fn send_disposition(&mut self, link: LinkId, number: u64, disposition: Disposition) {
         if let Some(agent) = self.agents.get_mut(&link) {
             agent.outbox.push(Order::Disposition(number, disposition));
@@ -186,17 +191,20 @@
     }
 }
 
-/// What the tasks of a job need that can start at once, in thousandths of a
-/// core.
+/// Returns what those tasks of a job need that can start at once, in
+/// thousandths of a core.
 fn initial_needs_milli(job: &Job) -> f64 {
     let first = job.steps.iter().filter(|step| step.after.is_empty());
     first.map(needs_milli).sum()
 }
 
+/// Returns what all tasks of a step need, in thousandths of a core.
 fn needs_milli(step: &Step) -> f64 {
     f64::from(step.count) * f64::from(step.needs.cpu_milli)
 }
 
+/// Returns a stored job in the form in which it is run: without a limit on the
+/// time that a caller waits.
 fn to_job(stored: &StoredJob) -> Job {
     Job {
         id: stored.id.clone(),
--- a/crates/dispatch/src/dispatcher/views.rs
+++ b/crates/dispatch/src/dispatcher/views.rs
@@ -1,4 +1,4 @@
-//! What the policy sees of the backlog and the fleet.
+//! Views of the backlog and the fleet on which the policy decides.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +12,14 @@
 use crate::policy::MIN_RATE_MILLI;
 use crate::policy::ServiceView;
 
-/// Share of a busy service that an entry reckons with at least: as if eight
-/// entries had equal shares.
+/// Smallest share of a busy service that an entry assumes for itself: as if
+/// eight entries had equal shares.
 const MIN_SHARE: f64 = 0.125;
-/// Thousandths of a core in a core.
+/// Thousandths of a core in one core.
 const MILLI_PER_CORE: f64 = 1_000.0;
 
 impl Dispatcher {
-    /// Whether the policy takes in a job that has just come.
+    /// Returns whether the policy admits a job that has just arrived.
     pub(crate) fn policy_admits(&mut self, now_ms: u64, job: &JobState) -> bool {
         let queue = &job.job.queue;
         let waiting = job.waiting(&self.estimates);
@@ -32,7 +32,7 @@
         self.policy.admits(now_ms, &arrival, &view)
     }
 
-    /// The service as this entry sees it.
+    /// Returns the service as this entry sees it.
     pub(crate) fn service_view(&self, now_ms: u64, service: &Name) -> ServiceView {
         let own = self.own_demand(now_ms, service);
         let mut demand = own;
@@ -43,8 +43,8 @@
                 capacity_milli += f64::from(agent.hello.capacity.cpu_milli) * agent.speed;
             }
         }
-        // An entry that stood still has not heard its agents for that time, and
-        // would take their room for gone.
+        // After a suspension, the entry has received no frames from its agents
+        // for that time, and would wrongly count their capacity as gone.
         let is_view_current = now_ms >= self.starts_resume_at_ms && capacity_milli > 0.0;
         ServiceView {
             capacity_milli,
@@ -54,8 +54,10 @@
         }
     }
 
-    /// What each agent is told of this entry's demand: as all agents of a service
-    /// add up what their entries tell, an entry knows the demand of all.
+    /// Returns the demand of this entry to send to each agent, by service: it
+    /// is divided equally among the agents. Each agent adds up what its entries
+    /// send, so that an entry learns the demand of all entries from all agents
+    /// of a service.
     pub(crate) fn demands(&self, now_ms: u64) -> BTreeMap<Name, Demand> {
         let mut counts: BTreeMap<Name, u32> = BTreeMap::new();
         for agent in self.agents.values() {
@@ -72,6 +74,7 @@
         demands.collect()
     }
 
+    /// Returns the demand of this entry alone on a service.
     fn own_demand(&self, now_ms: u64, service: &Name) -> Demand {
         let is_own = |job: &&JobState| {
             job.is_open() && job.has_waiting() && job.job.queue.service == *service
@@ -84,20 +87,22 @@
         }
     }
 
+    /// Returns the agents of a service.
     fn agents_of<'a>(&'a self, service: &'a Name) -> impl Iterator<Item = &'a AgentState> {
         let agents = self.agents.values();
         agents.filter(move |agent| agent.hello.service == *service)
     }
 
-    /// Whether all agents of a service that greeted have told their room; they
-    /// do within a few milliseconds, and may have plenty.
+    /// Returns whether all connected agents of a service have reported their
+    /// free resources. They do so within a few milliseconds, and may have
+    /// plenty.
     pub(crate) fn have_all_reported_free(&self, service: &Name) -> bool {
         self.agents_of(service).all(|agent| agent.has_reported_free)
     }
 
-    /// Work that each service gets through for this entry, in thousandths of a
-    /// core: what it started of late, what it has at work, or a share of all
-    /// that is in use there, whichever is most.
+    /// Returns the rate at which each service does work for this entry, in
+    /// thousandths of a core: the largest of what the entry recently started,
+    /// what it has running, and a share of all that is in use there.
     pub(crate) fn drain_rates(&self) -> BTreeMap<Name, f64> {
         let mut in_use: BTreeMap<Name, f64> = BTreeMap::new();
         for agent in self.agents.values() {
--- a/crates/dispatch/src/policy/backlog.rs
+++ b/crates/dispatch/src/policy/backlog.rs
@@ -1,29 +1,31 @@
-//! How much work may wait, found by what becomes of it.
+//! Limit of the backlog, adapted to what becomes of the jobs in it.
 //!
-//! The load patterns it answers: a burst of a few seconds, which a backlog bears,
-//! and an overload that lasts, in which a backlog only makes every job wait before
-//! some are refused all the same. Which of them it is shows when jobs that were
-//! taken in turn out to have waited in vain: then less may wait.
+//! A burst of a few seconds can be absorbed by a backlog. In an overload that
+//! lasts, a backlog only makes every job wait before some are refused all the
+//! same. If jobs that were admitted are shed later, this shows that an overload
+//! lasts, and the limit is lowered.
 
-/// Part of the time that jobs can wait which the backlog may take at most: a
-/// short burst is borne by waiting.
+/// Largest fraction of the jobs' slack that the backlog may take: a short burst
+/// is absorbed by waiting.
 const MAX_BACKLOG_FRACTION: f64 = 0.6;
-/// The same at least, while an overload lasts: waiting then only makes the large
-/// jobs late.
+/// Smallest fraction of the jobs' slack that the backlog may take. It is
+/// reached while an overload lasts: waiting then only makes the large jobs
+/// late.
 const MIN_BACKLOG_FRACTION: f64 = 0.1;
-/// What is left of the part when jobs waited in vain.
+/// Factor by which the fraction shrinks when admitted jobs are shed.
 const SHRINK_FACTOR: f64 = 0.75;
-/// Pause between two shrinkages, in milliseconds: until the smaller backlog shows
-/// in what waits.
+/// Shortest time between two reductions of the fraction, in milliseconds: by
+/// then the smaller backlog shows in what waits.
 const SHRINK_PAUSE_MS: u64 = 50;
-/// Growth of the part a second while no job waits in vain: two seconds and a half
-/// from least to largest, longer than a full fleet takes to work a backlog off.
+/// Growth of the fraction per second while no admitted job is shed. It takes
+/// two and a half seconds from the smallest to the largest fraction, longer
+/// than a full fleet takes to work off a backlog.
 const GROWTH_PER_S: f64 = 0.2;
 
-/// The part of the time that jobs can wait which the backlog may take.
+/// Fraction of the jobs' slack that the backlog may take.
 ///
-/// Found so, and not fixed, callers who are refused hear of it early, and large jobs
-/// are not starved by small ones.
+/// As it adapts, instead of being fixed, refused callers are answered early,
+/// and large jobs are not starved by small ones.
 #[derive(Debug)]
 pub(super) struct BacklogFraction {
     fraction: f64,
@@ -42,7 +44,7 @@
 }
 
 impl BacklogFraction {
-    /// The part as of now.
+    /// Returns the fraction at `now_ms`, after its growth since the last call.
     pub(super) fn fraction_at(&mut self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.last_growth_ms);
         self.last_growth_ms = now_ms;
@@ -51,7 +53,7 @@
         self.fraction
     }
 
-    /// A job that was taken in has waited in vain.
+    /// Lowers the fraction after an admitted job was shed.
     pub(super) fn shrink(&mut self, now_ms: u64) {
         if now_ms >= self.last_shrink_ms + SHRINK_PAUSE_MS {
             self.last_shrink_ms = now_ms;
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! Decisions on how work waits, is refused and is placed, as plain functions
 //! over small views of the backlog and the fleet: no input, output or clock.
 //!
-//! [`OverloadPolicy`] is the border: the dispatcher builds the views, asks, and
-//! carries out what is decided. Another policy can be put in its place, so that
-//! two are measured on the same load.
+//! [`OverloadPolicy`] is the interface: the dispatcher builds the views, asks
+//! for decisions and carries them out. The policy can be replaced, so that two
+//! policies can be measured under the same load.
 
 mod backlog;
 mod fair_share;
@@ -22,65 +22,70 @@
 
 use crate::Queue;
 
-/// A job that has just come.
+/// A job that has just arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// Its queue.
+    /// Queue of the job.
     pub queue: &'a Queue,
-    /// Its work, in thousandths of a core by milliseconds.
+    /// Work of the job, in thousandths of a core times milliseconds.
     pub work: f64,
-    /// Time that it can wait and still be in time, in milliseconds.
+    /// Time that the job can wait and still meet its objective, in
+    /// milliseconds.
     pub slack_ms: f64,
 }
 
-/// A job that waits for room.
+/// A job that waits for free resources.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingJob {
-    /// When it should be complete.
+    /// Time by which the job should be complete, in milliseconds.
     pub objective_ms: u64,
-    /// Expected time from the next start to its end, in milliseconds.
+    /// Expected time from the next start to the end of the job, in
+    /// milliseconds.
     pub remaining_ms: f64,
-    /// Whether some of it was started.
+    /// Whether some task of the job was started.
     pub has_started: bool,
 }
 
-/// A service as an entry sees it.
+/// A service as one entry sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceView {
-    /// Room of the minions that take starts, by their speed, in thousandths of
-    /// a core.
+    /// Capacity of the minions that accept starts, weighted by their speed, in
+    /// thousandths of a core.
     pub capacity_milli: f64,
-    /// Work that came of late to all entries, in thousandths of a core.
+    /// Rate of the recent work that arrived at all entries, in thousandths of a
+    /// core.
     pub offered_milli: f64,
-    /// Work that waits at all entries, in cores by milliseconds.
+    /// Work that waits at all entries, in cores times milliseconds.
     pub waiting_core_ms: f64,
-    /// Whether the room is known: there are agents, all of them have told their
-    /// room, and lately.
+    /// Whether the capacity is known: there are agents, and all of them have
+    /// recently reported their free resources.
     pub is_capacity_known: bool,
 }
 
-/// Decides what becomes of jobs under load.
+/// Decides what happens to jobs under load.
 pub trait OverloadPolicy: Debug {
-    /// Whether a job that has just come is taken in; otherwise it is refused
-    /// at once.
+    /// Returns whether a job that has just arrived is admitted; otherwise it is
+    /// refused at once.
     fn admits(&mut self, now_ms: u64, arrival: &Arrival<'_>, view: &ServiceView) -> bool;
 
-    /// Work that came of late to this entry, in thousandths of a core.
+    /// Returns the rate of the recent work that arrived at this entry, in
+    /// thousandths of a core.
     fn offered_milli(&self, now_ms: u64, service: &Name) -> f64;
 
-    /// Notes that a job that came then and was taken in waited in vain and is
-    /// refused.
+    /// Notes that a job which was received at `received_ms` and admitted is
+    /// refused after all, since it cannot meet its objective any more.
     fn note_shed(&mut self, now_ms: u64, service: &Name, received_ms: u64);
 
-    /// Whether a job of which nothing has started is of use when all of its
-    /// tasks start within `wait_ms`.
+    /// Returns whether a job of which nothing has run can meet its objective if
+    /// `wait_ms` milliseconds pass until all of its tasks have started.
     fn can_meet_objective(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool;
 
-    /// The place of a job among those that wait; the least goes first.
+    /// Returns the rank of a job among those that wait; the smallest goes
+    /// first.
     fn rank(&self, now_ms: u64, job: &WaitingJob) -> Rank;
 
-    /// When a caller that is refused should come back, in milliseconds;
-    /// `spread` is a number from 0 to 1, new for each caller.
+    /// Returns the time until the retry of a refused caller, in milliseconds;
+    /// `jitter` is a random number from 0 to 1, drawn for each caller.
     fn retry_after_ms(&self, view: &ServiceView, jitter: f64) -> u64;
 }
 
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Which agent a task goes to.
+//! Choice of the agent for a task.
 
 use std::collections::BTreeMap;
 
@@ -12,37 +12,41 @@
 
 /// Cost of a message to another availability zone and back, in milliseconds.
 const OTHER_ZONE_MS: f64 = 1.0;
-/// Weight of a minion's load: among equal speeds the emptier one is chosen,
-/// so that a lost minion takes fewer tasks with it.
+/// Weight of a minion's load in its cost: among minions of equal speed the less
+/// loaded one is chosen, so that the loss of a minion affects fewer tasks.
 const LOAD_WEIGHT: f64 = 0.1;
-/// Extra share by which equal choices of several entries are spread.
+/// Largest fraction that is added to a cost at random, so that several entries
+/// choose different ones of equal agents.
 const MAX_JITTER: f64 = 0.04;
 
-/// Speed from which a minion counts as sound: below that of slow kinds of hosts.
+/// Speed from which a minion counts as healthy. It is below the speed of the
+/// slow kinds of hosts, which are healthy too.
 const MIN_HEALTHY_SPEED: f64 = 0.55;
-/// Least speed that is reckoned with.
+/// Smallest speed used to calculate costs.
 const MIN_SPEED: f64 = 0.05;
 
-/// What a choice depends on.
+/// What the choice of an agent for a task depends on.
 pub(crate) struct PlacementContext<'a> {
     pub(crate) step: &'a Step,
     pub(crate) service: &'a Name,
     pub(crate) zone: Name,
     pub(crate) expected_ms: f64,
-    /// Time that is left for it, in milliseconds; negative when it is late.
+    /// Time that is left until the objective, in milliseconds; negative when
+    /// the job is late.
     pub(crate) time_left_ms: f64,
+    /// Hosts that the task avoids.
     pub(crate) avoided_hosts: Vec<Name>,
-    /// Tasks of the step on each host.
+    /// Number of ordered tasks of the step on each host.
     pub(crate) tasks_per_host: BTreeMap<Name, u32>,
-    /// Times that a task takes longer away from its data.
+    /// Factor by which a task takes longer away from its data.
     pub(crate) remote_factor: f64,
-    /// Whether hosts with bad ends are left out.
+    /// Whether ejected hosts are left out.
     pub(crate) is_ejecting: bool,
     pub(crate) now_ms: u64,
 }
 
-/// Chooses the agent with room at which the task would end soonest; `spread`
-/// gives a number from 0 to 1 a call.
+/// Returns the agent with enough free resources at which the task would end
+/// soonest; `jitter` returns a random number from 0 to 1 at each call.
 pub(crate) fn choose(
     agents: &[(LinkId, &AgentState)],
     hosts: &Hosts,
@@ -60,8 +64,8 @@
     cheapest.map(|(_, link)| link)
 }
 
-/// Chooses agents that are asked to offer room when it comes up; `spread` gives
-/// a number from 0 to 1 a call.
+/// Returns up to `count` agents to probe, which offer resources as soon as some
+/// are free; `jitter` returns a random number from 0 to 1 at each call.
 pub(crate) fn choose_probed(
     agents: &[(LinkId, &AgentState)],
     hosts: &Hosts,
@@ -81,7 +85,7 @@
     costs.into_iter().map(|(_, link)| link).collect()
 }
 
-/// Whether any of these agents could run the step if it were idle.
+/// Returns whether any of these agents could run the step if it were idle.
 pub(crate) fn fits_somewhere<'a>(
     mut agents: impl Iterator<Item = &'a AgentState>,
     service: &Name,
@@ -90,7 +94,8 @@
     agents.any(|agent| fits(agent, &agent.hello.capacity, service, step))
 }
 
-/// The same with the most room that their minions have had.
+/// Returns whether any of these agents could run the step with the largest
+/// capacity that its minion has had.
 pub(crate) fn has_fitted_somewhere<'a>(
     mut agents: impl Iterator<Item = &'a AgentState>,
     service: &Name,
@@ -99,11 +104,14 @@
     agents.any(|agent| fits(agent, &agent.max_capacity, service, step))
 }
 
+/// Returns whether an agent of the service could run the step with this
+/// capacity.
 fn fits(agent: &AgentState, capacity: &Resources, service: &Name, step: &Step) -> bool {
     let is_of_service = agent.hello.service == *service;
     is_of_service && capacity.can_fit(&step.needs) && has_required_label(agent, step)
 }
 
+/// Returns whether the agent may get the task, apart from its free resources.
 fn is_eligible(agent: &AgentState, hosts: &Hosts, context: &PlacementContext<'_>) -> bool {
     let host = &agent.hello.host;
     let is_limited = context.step.max_per_minion > 0
@@ -122,8 +130,9 @@
         && is_admissible
 }
 
-/// A minion that has become slow gets only what it can still end in time, or
-/// one task at a time to show that it has recovered.
+/// Returns whether the minion is fast enough for the task. A minion that has
+/// become slow gets only what it can still end in time, or one task at a time
+/// to show that it has recovered.
 fn is_fast_enough(agent: &AgentState, context: &PlacementContext<'_>) -> bool {
     agent.speed >= MIN_HEALTHY_SPEED
         || context.expected_ms / agent.speed.max(MIN_SPEED) <= context.time_left_ms
@@ -135,6 +144,8 @@
     label.is_none_or(|label| agent.has_label(label))
 }
 
+/// Returns the expected time until the task would end at the agent, in
+/// milliseconds, with a surcharge for the load of its minion.
 fn cost_ms(agent: &AgentState, context: &PlacementContext<'_>) -> f64 {
     let preferred = context.step.preferred_label.as_ref();
     let is_remote = preferred.is_some_and(|label| !agent.has_label(label));
