--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -1,6 +1,6 @@
-//! Crashes of minions under tasks, as an entry learns of them: agents and other
-//! entries report them, and some show when an agent greets after its
-//! predecessor was lost together with its minion.
+//! Crashes of minions under tasks at an entry: agents and other entries report
+//! them, and the entry finds those that no agent saw when an agent greets after
+//! its predecessor was lost together with its minion.
 
 use std::collections::VecDeque;
 
--- a/crates/dispatch/src/dispatcher/fleet.rs
+++ b/crates/dispatch/src/dispatcher/fleet.rs
@@ -79,6 +79,7 @@
     pub(crate) hello: AgentHello,
     /// Largest capacity that its minion has had.
     pub(crate) max_capacity: Resources,
+    /// Orders that the next frame to the agent contains.
     pub(crate) outbox: Vec<Order>,
     /// Time at which its last frame arrived, in milliseconds.
     pub(crate) last_seen_ms: u64,
@@ -104,6 +105,7 @@
     /// Number of start orders on this connection that the agent had received at
     /// its last frame.
     starts_received: u64,
+    /// Number of start orders sent on this connection.
     starts_sent: u64,
     /// Orders without an end, each with the number of its start on this
     /// connection and the resources that its task needs.
--- a/crates/dispatch/src/dispatcher/jobs.rs
+++ b/crates/dispatch/src/dispatcher/jobs.rs
@@ -137,6 +137,7 @@
 #[derive(Debug)]
 pub(crate) struct JobState {
     pub(crate) job: Arc<Job>,
+    /// Callers that wait for the outcome.
     pub(crate) callers: Vec<CallerId>,
     pub(crate) received_ms: u64,
     /// Time by which the job should be complete, in milliseconds.
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -135,6 +135,7 @@
     pub(crate) next_order: u64,
     pub(crate) is_stopping: bool,
     pub(crate) last_tick_ms: u64,
+    /// Time before which nothing is started, in milliseconds.
     pub(crate) starts_resume_at_ms: u64,
     pub(crate) policy: BoxedPolicy,
     /// Rate of the work that this entry recently started, by service.
