--- a/crates/dispatch/src/dispatcher/evacuation.rs
+++ b/crates/dispatch/src/dispatcher/evacuation.rs
@@ -1,5 +1,6 @@
-//! What an entry does about zones that operators empty: it places nothing there,
-//! tells its agents, and refuses at once what fits nowhere else.
+//! Evacuation of availability zones at an entry: it starts nothing in evacuated
+//! zones, notifies its agents, and refuses at once the jobs that fit nowhere
+//! else.
 
 use gannetvane_wire::Name;
 
@@ -12,22 +13,24 @@
 use crate::dispatcher::Dispatcher;
 use crate::policy::placement;
 
-/// When to come back after a refusal since all that could run a job is being
-/// emptied, in milliseconds: operators empty a zone for longer than a caller of
-/// a sub-second task waits.
+/// Time until the retry of a caller that is refused because all minions that
+/// could run its job are in evacuated zones, in milliseconds. Operators
+/// evacuate a zone for longer than a caller of a sub-second task waits.
 const EVACUATED_RETRY_MS: u64 = 5_000;
-/// The same after other refusals that room would not mend: an entry that starts
-/// has its configuration and its agents by then.
-const USUAL_RETRY_MS: u64 = 1_000;
+/// Time until the retry of a caller after other refusals that free resources
+/// would not prevent, in milliseconds. An entry that starts has its
+/// configuration and its agents by then.
+const DEFAULT_RETRY_MS: u64 = 1_000;
 
 impl Dispatcher {
-    /// The zones that are being emptied, as far as is known here.
+    /// Returns the evacuated availability zones that are known here.
     #[must_use]
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Operators empty other zones than before; an older picture is ignored.
+    /// Takes over newer evacuations and returns `true`; ignores older ones and
+    /// returns `false`.
     pub fn evacuate(&mut self, now_ms: u64, newer: &Evacuations) -> bool {
         let before = self.evacuations.zones.clone();
         if !self.evacuations.advance(newer) {
@@ -46,20 +49,20 @@
                 unknown.count()
             );
             self.event("evacuations", None, detail);
-            self.refuse_untouched(now_ms, Refusal::Evacuated, Self::is_evacuated);
+            self.refuse_never_run(now_ms, Refusal::Evacuated, Self::is_evacuated);
         }
         true
     }
 
-    /// Tells an agent that greeted, before it gets any order.
+    /// Sends the evacuations to an agent that greeted, before any start order.
     pub(crate) fn send_evacuations(&mut self, link: LinkId) {
         if self.evacuations.log_offset == 0 {
             return;
         }
         if let Some(agent) = self.agents.get_mut(&link) {
             agent.is_evacuated = self.evacuations.contains(&agent.hello.zone);
-            let told = Order::Evacuations(self.evacuations.clone());
-            agent.outbox.push(told);
+            let order = Order::Evacuations(self.evacuations.clone());
+            agent.outbox.push(order);
         }
     }
 
@@ -67,33 +70,34 @@
         self.agents.values().any(|agent| agent.hello.zone == *zone)
     }
 
-    /// Whether minions that could run all steps of a job are known, but for some
-    /// step only in zones that are being emptied.
+    /// Returns whether there are minions of the job's service, but some step
+    /// fits on none of them outside the evacuated zones.
     pub(crate) fn is_evacuated(&self, job: &Job) -> bool {
         let service = &job.queue.service;
         !self.evacuations.zones.is_empty()
             && self.has_minions(service)
             && job.steps.iter().any(|step| {
-                let left = self.agents.values().filter(|agent| !agent.is_evacuated);
-                !placement::fits_somewhere(left, service, step)
+                let remaining = self.agents.values().filter(|agent| !agent.is_evacuated);
+                !placement::fits_somewhere(remaining, service, step)
             })
     }
 
-    /// Refuses the jobs of which nothing has begun and that now fit nowhere: to
-    /// wait for room would only tell their callers later.
-    pub(crate) fn refuse_untouched(
+    /// Refuses the jobs of which nothing has run and that `is_unplaceable`
+    /// selects. Waiting for resources would only delay the answer to their
+    /// callers.
+    pub(crate) fn refuse_never_run(
         &mut self,
         now_ms: u64,
         reason: Refusal,
-        is_homeless: impl Fn(&Self, &Job) -> bool,
+        is_unplaceable: impl Fn(&Self, &Job) -> bool,
     ) {
-        let untouched = self
+        let never_run = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.is_open() && !job.is_stored && job.is_untouched());
-        let homeless = untouched.filter(|(_, job)| is_homeless(self, &job.job));
-        let homeless: Vec<Name> = homeless.map(|(id, _)| id.clone()).collect();
-        for id in homeless {
+            .filter(|(_, job)| job.is_open() && !job.is_stored && job.has_never_run());
+        let unplaceable = never_run.filter(|(_, job)| is_unplaceable(self, &job.job));
+        let unplaceable: Vec<Name> = unplaceable.map(|(id, _)| id.clone()).collect();
+        for id in unplaceable {
             let outcome = JobOutcome::Refused {
                 reason,
                 retry_after_ms: retry_after_ms(reason),
@@ -103,10 +107,11 @@
     }
 }
 
-/// When to come back after a refusal that room would not mend, in milliseconds.
+/// Returns the time until the retry of a caller after a refusal that free
+/// resources would not prevent, in milliseconds.
 pub(crate) fn retry_after_ms(reason: Refusal) -> u64 {
     match reason {
         Refusal::Evacuated => EVACUATED_RETRY_MS,
-        _ => USUAL_RETRY_MS,
+        _ => DEFAULT_RETRY_MS,
     }
 }
--- a/crates/dispatch/src/dispatcher/intake.rs
+++ b/crates/dispatch/src/dispatcher/intake.rs
@@ -1,4 +1,4 @@
-//! Jobs come in, and their callers leave or cancel them.
+//! Submission of jobs, and callers that leave or cancel.
 
 use gannetvane_wire::Name;
 
@@ -13,21 +13,23 @@
 use crate::dispatcher::jobs::JobState;
 
 impl Dispatcher {
-    /// A caller submits a job.
+    /// Takes a job from a caller. If a job with this id has no outcome yet, the
+    /// caller waits for that one; if its runs are still being stopped, the new
+    /// job waits until they are gone.
     pub fn submit(&mut self, now_ms: u64, caller: CallerId, job: Job) {
         self.callers.insert(caller, job.id.clone());
         if let Some(earlier) = self.jobs.get_mut(&job.id) {
             if earlier.is_open() {
                 earlier.callers.push(caller);
             } else {
-                earlier.next = Some((caller, job, now_ms));
+                earlier.next_submission = Some((caller, job, now_ms));
             }
             return;
         }
         self.admit(caller, job, now_ms);
     }
 
-    /// A caller has gone away.
+    /// Removes a caller that has gone away. A job without callers is cancelled.
     pub fn caller_left(&mut self, now_ms: u64, caller: CallerId) {
         let Some(id) = self.callers.remove(&caller) else {
             return;
@@ -37,27 +39,29 @@
         };
         state.callers.retain(|other| *other != caller);
         if state
-            .next
+            .next_submission
             .as_ref()
             .is_some_and(|(next, ..)| *next == caller)
         {
-            state.next = None;
+            state.next_submission = None;
         }
         if state.callers.is_empty() && state.is_open() {
             self.finish(now_ms, &id, JobOutcome::Cancelled, "caller-left");
         }
     }
 
-    /// A caller cancels a job; `false` if there is none.
+    /// Cancels a job whose caller waits; returns `false` if there is none.
     pub fn cancel(&mut self, now_ms: u64, id: &Name) -> bool {
-        let is_waited_for = |job: &JobState| job.is_open() && !job.is_stored;
-        let is_open = self.jobs.get(id).is_some_and(is_waited_for);
+        let has_caller = |job: &JobState| job.is_open() && !job.is_stored;
+        let is_open = self.jobs.get(id).is_some_and(has_caller);
         if is_open {
             self.finish(now_ms, id, JobOutcome::Cancelled, "cancelled");
         }
         is_open
     }
 
+    /// Admits a job, or refuses it if it cannot run or the policy does not
+    /// admit it.
     pub(crate) fn admit(&mut self, caller: CallerId, job: Job, received_ms: u64) {
         if let Err(reason) = self.check(&job) {
             let retry_after_ms = retry_after_ms(reason);
@@ -80,16 +84,18 @@
         let id = job.id.clone();
         let now_ms = self.last_tick_ms.max(received_ms);
         let state = JobState::new(received_ms, caller, job, &self.estimates);
-        let is_taken = self.policy_admits(now_ms, &state);
+        let is_admitted = self.policy_admits(now_ms, &state);
         self.jobs.insert(id.clone(), state);
         self.apply_known_crashes(&id);
-        if !is_taken {
+        if !is_admitted {
             self.refuse_overloaded(now_ms, &id, "over-share");
         } else if self.jobs.get(&id).is_some_and(JobState::crashes_minions) {
             self.advance_job(now_ms, &id);
         }
     }
 
+    /// Returns why a job must be refused, if it must. A job whose service has
+    /// no minions waits for one.
     pub(crate) fn check(&self, job: &Job) -> Result<(), Refusal> {
         if self.is_stopping {
             return Err(Refusal::Stopping);
@@ -98,7 +104,7 @@
         if !self.has_minions(service) {
             return Ok(());
         }
-        if let Some(reason) = self.unfitting(job) {
+        if let Some(reason) = self.capacity_refusal(job) {
             return Err(reason);
         }
         if self.is_evacuated(job) {
@@ -107,6 +113,7 @@
         Ok(())
     }
 
+    /// Returns whether an agent of the service is connected.
     pub(crate) fn has_minions(&self, service: &Name) -> bool {
         let mut agents = self.agents.values();
         agents.any(|agent| agent.hello.service == *service)
--- a/crates/dispatch/src/dispatcher/resizes.rs
+++ b/crates/dispatch/src/dispatcher/resizes.rs
@@ -1,6 +1,6 @@
-//! What an entry does about minions whose room shrinks or grows: share, backlog
-//! and placement go by the present room, and what fits nowhere any more is refused
-//! at once.
+//! Minions whose capacity shrinks or grows: share, backlog and placement use
+//! the present capacity, and jobs that fit nowhere any more are refused at
+//! once.
 
 use crate::Job;
 use crate::LinkId;
@@ -10,24 +10,29 @@
 use crate::policy::placement;
 
 impl Dispatcher {
-    /// An agent told that its minion has other room than before.
-    pub(crate) fn resized(&mut self, now_ms: u64, link: LinkId, capacity: Resources) {
+    /// Takes over the capacity that an agent reported for its minion.
+    pub(crate) fn agent_capacity_changed(
+        &mut self,
+        now_ms: u64,
+        link: LinkId,
+        capacity: Resources,
+    ) {
         let Some(agent) = self.agents.get_mut(&link) else {
             return;
         };
         let former = agent.hello.capacity;
-        agent.resized(capacity);
+        agent.set_capacity(capacity);
         let detail = format!("host={} from={former:?} to={capacity:?}", agent.hello.host);
         self.event("agent-resized", None, detail);
         if !capacity.can_fit(&former) {
-            let is_homeless = |this: &Self, job: &Job| this.unfitting(job).is_some();
-            self.refuse_untouched(now_ms, Refusal::Overloaded, is_homeless);
+            let is_unplaceable = |this: &Self, job: &Job| this.capacity_refusal(job).is_some();
+            self.refuse_never_run(now_ms, Refusal::Overloaded, is_unplaceable);
         }
     }
 
-    /// Why no minion can run some step of a job: none has ever had the room, or
-    /// none has it at present.
-    pub(crate) fn unfitting(&self, job: &Job) -> Option<Refusal> {
+    /// Returns why no minion can run some step of a job, if so: none has ever
+    /// had the capacity, or none has it at present.
+    pub(crate) fn capacity_refusal(&self, job: &Job) -> Option<Refusal> {
         let service = &job.queue.service;
         let agents = || self.agents.values();
         let fits = |step| placement::fits_somewhere(agents(), service, step);
--- a/crates/dispatch/src/dispatcher/views.rs
+++ b/crates/dispatch/src/dispatcher/views.rs
@@ -1,4 +1,4 @@
-//! What the policy sees of the backlog and the fleet.
+//! Views of the backlog and the fleet on which the policy decides.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +12,14 @@
 use crate::policy::MIN_RATE_MILLI;
 use crate::policy::ServiceView;
 
-/// Share of a busy service that an entry reckons with at least: as if eight
-/// entries had equal shares.
+/// Smallest share of a busy service that an entry assumes for itself: as if
+/// eight entries had equal shares.
 const MIN_SHARE: f64 = 0.125;
-/// Thousandths of a core in a core.
-const MILLI: f64 = 1_000.0;
+/// Thousandths of a core in one core.
+const MILLI_PER_CORE: f64 = 1_000.0;
 
 impl Dispatcher {
-    /// Whether the policy takes in a job that has just come.
+    /// Returns whether the policy admits a job that has just arrived.
     pub(crate) fn policy_admits(&mut self, now_ms: u64, job: &JobState) -> bool {
         let queue = &job.job.queue;
         let waiting = job.waiting(&self.estimates);
@@ -32,30 +32,32 @@
         self.policy.admits(now_ms, &arrival, &view)
     }
 
-    /// The service as this entry sees it.
+    /// Returns the service as this entry sees it.
     pub(crate) fn service_view(&self, now_ms: u64, service: &Name) -> ServiceView {
         let own = self.own_demand(now_ms, service);
         let mut demand = own;
         let mut capacity_milli = 0.0;
         for agent in self.agents_of(service) {
             demand = demand.plus(agent.demand_of_others());
-            if agent.takes_starts(now_ms) {
+            if agent.accepts_starts(now_ms) {
                 capacity_milli += f64::from(agent.hello.capacity.cpu_milli) * agent.speed;
             }
         }
-        // An entry that stood still has not heard its agents for that time, and
-        // would take their room for gone.
-        let is_awake = now_ms >= self.starts_resume_at_ms && capacity_milli > 0.0;
+        // After a suspension, the entry has received no frames from its agents
+        // for that time, and would wrongly count their capacity as gone.
+        let is_view_current = now_ms >= self.starts_resume_at_ms && capacity_milli > 0.0;
         ServiceView {
             capacity_milli,
             offered_milli: f64::from(demand.offered_milli),
             waiting_core_ms: f64::from(demand.waiting_core_ms),
-            is_capacity_known: is_awake && self.is_room_known(service),
+            is_capacity_known: is_view_current && self.have_all_reported_free(service),
         }
     }
 
-    /// What each agent is told of this entry's demand: as all agents of a service
-    /// add up what their entries tell, an entry knows the demand of all.
+    /// Returns the demand of this entry to send to each agent, by service: it
+    /// is divided equally among the agents. Each agent adds up what its entries
+    /// send, so that an entry learns the demand of all entries from all agents
+    /// of a service.
     pub(crate) fn demands(&self, now_ms: u64) -> BTreeMap<Name, Demand> {
         let mut counts: BTreeMap<Name, u32> = BTreeMap::new();
         for agent in self.agents.values() {
@@ -72,6 +74,7 @@
         demands.collect()
     }
 
+    /// Returns the demand of this entry alone on a service.
     fn own_demand(&self, now_ms: u64, service: &Name) -> Demand {
         let is_own = |job: &&JobState| {
             job.is_open() && job.has_waiting() && job.job.queue.service == *service
@@ -80,29 +83,31 @@
         let waiting: f64 = waiting.map(|job| job.waiting_work(&self.estimates)).sum();
         Demand {
             offered_milli: self.policy.offered_milli(now_ms, service) as u32,
-            waiting_core_ms: (waiting / MILLI) as u32,
+            waiting_core_ms: (waiting / MILLI_PER_CORE) as u32,
         }
     }
 
+    /// Returns the agents of a service.
     fn agents_of<'a>(&'a self, service: &'a Name) -> impl Iterator<Item = &'a AgentState> {
         let agents = self.agents.values();
         agents.filter(move |agent| agent.hello.service == *service)
     }
 
-    /// Whether all agents of a service that greeted have told their room; they
-    /// do within a few milliseconds, and may have plenty.
-    pub(crate) fn is_room_known(&self, service: &Name) -> bool {
-        self.agents_of(service).all(|agent| agent.is_room_known)
+    /// Returns whether all connected agents of a service have reported their
+    /// free resources. They do so within a few milliseconds, and may have
+    /// plenty.
+    pub(crate) fn have_all_reported_free(&self, service: &Name) -> bool {
+        self.agents_of(service).all(|agent| agent.has_reported_free)
     }
 
-    /// Work that each service gets through for this entry, in thousandths of a
-    /// core: what it started of late, what it has at work, or a share of all
-    /// that is in use there, whichever is most.
+    /// Returns the rate at which each service does work for this entry, in
+    /// thousandths of a core: the largest of what the entry recently started,
+    /// what it has running, and a share of all that is in use there.
     pub(crate) fn drain_rates(&self) -> BTreeMap<Name, f64> {
-        let mut used: BTreeMap<Name, f64> = BTreeMap::new();
+        let mut in_use: BTreeMap<Name, f64> = BTreeMap::new();
         for agent in self.agents.values() {
             let in_use_milli = agent.load() * f64::from(agent.hello.capacity.cpu_milli);
-            *used.entry(agent.hello.service.clone()).or_default() +=
+            *in_use.entry(agent.hello.service.clone()).or_default() +=
                 in_use_milli * agent.speed.min(1.0);
         }
         let mut rates: BTreeMap<Name, f64> = BTreeMap::new();
@@ -117,14 +122,14 @@
             *rates.entry(agent.hello.service.clone()).or_default() +=
                 cpu_milli * agent.speed.min(1.0);
         }
-        for (service, started) in &self.started {
+        for (service, started) in &self.started_work {
             let rate_milli = rates.entry(service.clone()).or_default();
             *rate_milli = rate_milli.max(started.rate());
         }
-        for (service, used_milli) in used {
+        for (service, used_milli) in in_use {
             let rate_milli = rates.entry(service).or_default();
-            let least_milli = used_milli * MIN_SHARE;
-            *rate_milli = rate_milli.max(least_milli).max(MIN_RATE_MILLI);
+            let min_milli = used_milli * MIN_SHARE;
+            *rate_milli = rate_milli.max(min_milli).max(MIN_RATE_MILLI);
         }
         rates
     }
