--- a/crates/node/src/agent_links.rs
+++ b/crates/node/src/agent_links.rs
@@ -29,7 +29,12 @@
             Ok((stream, _)) => {
                 let link = LinkId(next_link);
                 next_link += 1;
-                tokio::task::spawn_local(serve(link, stream, inputs.clone(), log.clone()));
+                tokio::task::spawn_local(serve_connection(
+                    link,
+                    stream,
+                    inputs.clone(),
+                    log.clone(),
+                ));
             }
             Err(error) => {
                 warn!(log, "accept-failed"; "error" => %error);
@@ -39,7 +44,12 @@
     }
 }
 
-async fn serve(link: LinkId, stream: TcpStream, inputs: UnboundedSender<Input>, log: Logger) {
+async fn serve_connection(
+    link: LinkId,
+    stream: TcpStream,
+    inputs: UnboundedSender<Input>,
+    log: Logger,
+) {
     let Ok((mut reader, sender)) = links::split(stream) else {
         return;
     };
@@ -49,16 +59,16 @@
     match decode::<Greeting>(&frame) {
         Ok(Greeting::Agent(hello)) => {
             let task = tokio::task::spawn_local(read_agent(link, reader, inputs.clone()));
-            let up = Input::AgentUp(link, hello, sender, task.abort_handle());
+            let input = Input::AgentUp(link, hello, sender, task.abort_handle());
             // Without a receiver the process is about to end.
-            let _ = inputs.send(up);
+            let _ = inputs.send(input);
         }
         Ok(Greeting::Entry(entry)) => {
-            let received = |frame| {
+            let on_frame = |frame| {
                 // Without a receiver the process is about to end.
                 let _ = inputs.send(Input::Peer(entry, frame));
             };
-            peer_links::serve(reader, sender, received).await;
+            peer_links::serve(reader, sender, on_frame).await;
         }
         Ok(Greeting::StoredCalls) => stored_calls::serve(reader, sender, inputs).await,
         Err(error) => warn!(log, "greeting-malformed"; "error" => %error),
--- a/crates/node/src/agent_node.rs
+++ b/crates/node/src/agent_node.rs
@@ -45,10 +45,10 @@
 use crate::ports::StartCall;
 
 /// Pause between two looks at the directory, in milliseconds.
-const REFRESH_MS: u64 = 500;
+const REFRESH_INTERVAL_MS: u64 = 500;
 /// Pause between two looks for entries in the store while none is reached, in
 /// milliseconds.
-const SEARCH_MS: u64 = 2_000;
+const SEARCH_INTERVAL_MS: u64 = 2_000;
 
 /// Settings of an agent's process.
 #[derive(Clone, Debug)]
@@ -67,8 +67,8 @@
     LinkDown(LinkId),
     Reported(MinionReport),
     MinionLeft(Name),
-    Started(Incarnation, RunKey, StartResult),
-    StopDone(Incarnation, RunKey, bool),
+    StartAnswered(Incarnation, RunKey, StartResult),
+    StopAnswered(Incarnation, RunKey, bool),
     Listed(Incarnation, u64, ListResult),
     Entries(Vec<SocketAddr>),
     Reload(Tunables),
@@ -125,11 +125,11 @@
     queue: UnboundedReceiver<Input>,
     links: BTreeMap<LinkId, (FrameSender, oneshot::Sender<()>)>,
     directory: SharedDirectory,
-    stop_ms: Option<u64>,
-    refreshed_ms: u64,
+    stop_began_at_ms: Option<u64>,
+    last_refresh_ms: u64,
     /// Gains of the directory when it was last looked at for entries to dial.
     dialed_discoveries: u64,
-    searched_ms: u64,
+    last_search_ms: u64,
     /// Whether a search has no answer yet.
     is_searching: bool,
 }
@@ -140,7 +140,7 @@
     }
 }
 
-type BoxedDial = dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = bool>>>;
+type DialFn = dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = bool>>>;
 
 impl AgentNode {
     /// An agent that is not serving yet.
@@ -167,10 +167,10 @@
             queue,
             links: BTreeMap::new(),
             directory: Rc::new(RefCell::new(directory)),
-            stop_ms: None,
-            refreshed_ms: 0,
+            stop_began_at_ms: None,
+            last_refresh_ms: 0,
             dialed_discoveries: 0,
-            searched_ms: 0,
+            last_search_ms: 0,
             is_searching: false,
         }
     }
@@ -189,7 +189,7 @@
         dialers.refresh();
         self.search(&store);
         let mut due_ms = 0;
-        while !self.may_end() {
+        while !self.can_end() {
             let sleep = tokio::time::sleep_until(self.clock.at(due_ms));
             let first = tokio::select! {
                 biased;
@@ -198,23 +198,25 @@
             };
             self.note_suspension();
             if let Some(input) = first {
-                self.input(input);
+                self.handle_input(input);
             }
             while let Ok(input) = self.queue.try_recv() {
-                self.input(input);
+                self.handle_input(input);
             }
             let now_ms = self.clock.now_ms();
             due_ms = self.agent.tick(now_ms);
-            self.carry_out();
+            self.execute_actions();
             let discoveries = self.directory.borrow().discoveries();
-            if now_ms >= self.refreshed_ms + REFRESH_MS || discoveries != self.dialed_discoveries {
+            if now_ms >= self.last_refresh_ms + REFRESH_INTERVAL_MS
+                || discoveries != self.dialed_discoveries
+            {
                 self.dialed_discoveries = discoveries;
-                self.refreshed_ms = now_ms;
+                self.last_refresh_ms = now_ms;
                 dialers.refresh();
                 let targets = self.directory.borrow_mut().targets(now_ms);
                 self.agent.keep_links(&targets);
             }
-            let is_due = now_ms >= self.searched_ms + SEARCH_MS;
+            let is_due = now_ms >= self.last_search_ms + SEARCH_INTERVAL_MS;
             if self.links.is_empty() && !self.is_searching && is_due {
                 self.search(&store);
             }
@@ -231,12 +233,12 @@
         }
     }
 
-    fn dialers(&self) -> Dialers<Box<BoxedDial>> {
+    fn dialers(&self) -> Dialers<Box<DialFn>> {
         let inputs = self.inputs.clone();
         let next_link = Rc::new(std::cell::Cell::new(1));
         let directory = Rc::clone(&self.directory);
         let clock = self.clock.clone();
-        let dial: Box<BoxedDial> = Box::new(move |entry| {
+        let dial: Box<DialFn> = Box::new(move |entry| {
             let link = LinkId(next_link.get());
             next_link.set(link.0 + 1);
             let inputs = inputs.clone();
@@ -248,7 +250,7 @@
 
     /// Looks for entries in the store, until it answers.
     fn search(&mut self, store: &StoreClient) {
-        self.searched_ms = self.clock.now_ms();
+        self.last_search_ms = self.clock.now_ms();
         self.is_searching = true;
         let store = store.clone();
         let inputs = self.inputs.clone();
@@ -259,7 +261,7 @@
         });
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now_ms = self.clock.now_ms();
         match input {
             Input::LinkUp(link, addr, sender, closer) => {
@@ -273,13 +275,13 @@
             }
             Input::Reported(report) => self.agent.minion_reported(now_ms, report),
             Input::MinionLeft(id) => self.agent.minion_left(&id),
-            Input::Started(incarnation, key, result) => {
+            Input::StartAnswered(incarnation, key, result) => {
                 self.agent
                     .start_answered(now_ms, &incarnation, &key, result);
             }
-            Input::StopDone(incarnation, key, is_done) => {
+            Input::StopAnswered(incarnation, key, is_acknowledged) => {
                 self.agent
-                    .stop_answered(now_ms, &incarnation, &key, is_done);
+                    .stop_answered(now_ms, &incarnation, &key, is_acknowledged);
             }
             Input::Listed(incarnation, call, result) => {
                 self.agent.listed(now_ms, &incarnation, call, result);
@@ -295,24 +297,25 @@
                 self.settings.tunables = tunables;
             }
             Input::Stop => {
-                if self.stop_ms.is_none() {
+                if self.stop_began_at_ms.is_none() {
                     info!(self.log, "stopping"; "runs" => self.agent.active_runs());
-                    self.stop_ms = Some(now_ms);
+                    self.stop_began_at_ms = Some(now_ms);
                     self.agent.begin_stop();
                 }
             }
         }
     }
 
-    fn may_end(&self) -> bool {
-        let Some(stop_ms) = self.stop_ms else {
+    fn can_end(&self) -> bool {
+        let Some(stop_began_at_ms) = self.stop_began_at_ms else {
             return false;
         };
-        let is_over = self.clock.now_ms() >= stop_ms + self.settings.tunables.stop_limit_ms;
-        is_over || self.agent.may_stop()
+        let is_stop_limit_over =
+            self.clock.now_ms() >= stop_began_at_ms + self.settings.tunables.stop_limit_ms;
+        is_stop_limit_over || self.agent.may_stop()
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for action in self.agent.take_actions() {
             match action {
                 AgentAction::Start {
@@ -358,7 +361,7 @@
                 AgentAction::Entries(entries) => {
                     let now_ms = self.clock.now_ms();
                     if self.directory.borrow_mut().learn(now_ms, &entries) {
-                        self.refreshed_ms = 0;
+                        self.last_refresh_ms = 0;
                     }
                 }
                 AgentAction::Event(event) => self.event(&event),
@@ -373,7 +376,7 @@
             let (incarnation, key) = (call.incarnation.clone(), call.key.clone());
             let result = minion.start(call).await;
             // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::Started(incarnation, key, result));
+            let _ = inputs.send(Input::StartAnswered(incarnation, key, result));
         });
     }
 
@@ -381,9 +384,9 @@
         let minion = Rc::clone(&self.minion);
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
-            let is_done = minion.stop(&incarnation, key.clone(), epoch).await;
+            let is_acknowledged = minion.stop(&incarnation, key.clone(), epoch).await;
             // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::StopDone(incarnation, key, is_done));
+            let _ = inputs.send(Input::StopAnswered(incarnation, key, is_acknowledged));
         });
     }
 
@@ -440,11 +443,11 @@
     {
         return false;
     }
-    let mut was_useful = false;
+    let mut was_answered = false;
     let read = async {
         while let Some(frame) = links::next_frame(&mut reader).await {
             directory.borrow_mut().mark_seen(clock.now_ms(), entry);
-            was_useful = true;
+            was_answered = true;
             let Ok(frame) = decode(&frame) else {
                 break;
             };
@@ -459,5 +462,5 @@
     }
     // Without a receiver the process is about to end.
     let _ = inputs.send(Input::LinkDown(link));
-    was_useful
+    was_answered
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -80,14 +80,14 @@
     pub fn observe(&self) -> Option<u64> {
         // In this order, a pause between the two readings hides some of a
         // suspension until the next call, and never makes one up.
-        let counted = self.source.elapsed().saturating_sub(self.source_start);
-        let steady = self.start.elapsed();
-        let gained = counted.saturating_sub(steady + self.suspended.get());
-        if gained < MIN_SUSPENSION {
+        let total_elapsed = self.source.elapsed().saturating_sub(self.source_start);
+        let steady_elapsed = self.start.elapsed();
+        let new_suspension = total_elapsed.saturating_sub(steady_elapsed + self.suspended.get());
+        if new_suspension < MIN_SUSPENSION {
             return None;
         }
-        self.suspended.set(self.suspended.get() + gained);
-        Some(millis(gained))
+        self.suspended.set(self.suspended.get() + new_suspension);
+        Some(millis(new_suspension))
     }
 
     /// Milliseconds since the start.
--- a/crates/node/src/dialers.rs
+++ b/crates/node/src/dialers.rs
@@ -72,8 +72,8 @@
         .targets(clock.now_ms())
         .contains(&entry)
     {
-        let was_useful = dial(entry).await;
-        pause_ms = if was_useful {
+        let was_answered = dial(entry).await;
+        pause_ms = if was_answered {
             FIRST_PAUSE_MS
         } else {
             (pause_ms * 2).min(MAX_PAUSE_MS)
--- a/crates/node/src/entry_handle.rs
+++ b/crates/node/src/entry_handle.rs
@@ -35,7 +35,7 @@
 
 /// Time in which the entries divide the job log for the first time, in
 /// milliseconds; all entries have learned of it and joined by then.
-const GROUP_FORMS_MS: u64 = 2_000;
+const GROUP_FORMATION_MS: u64 = 2_000;
 
 /// What reaches an entry from its connections and callers.
 pub(crate) enum Input {
@@ -63,7 +63,7 @@
     is_ready: Rc<Cell<bool>>,
     next_caller: Rc<Cell<u64>>,
     /// Since when it is known that there are stored jobs.
-    has_stored_jobs: Rc<Cell<Option<Instant>>>,
+    stored_jobs_known_since: Rc<Cell<Option<Instant>>>,
     stored_calls: Rc<StoredCalls>,
 }
 
@@ -102,13 +102,13 @@
             table: Rc::default(),
             is_ready: Rc::default(),
             next_caller: Rc::default(),
-            has_stored_jobs: Rc::default(),
+            stored_jobs_known_since: Rc::default(),
             stored_calls: Rc::new(stored_calls),
         }
     }
 
     pub(crate) fn set_has_stored_jobs(&self) {
-        self.has_stored_jobs.set(Some(Instant::now()));
+        self.stored_jobs_known_since.set(Some(Instant::now()));
     }
 
     pub(crate) fn set_table(&self, table: Arc<RoutingTable>) {
@@ -146,7 +146,7 @@
         let caller = CallerId(self.next_caller.get());
         self.next_caller.set(caller.0 + 1);
         let (answer, outcome) = oneshot::channel();
-        let mut presence = CallerGuard {
+        let mut guard = CallerGuard {
             caller,
             inputs: self.inputs.clone(),
             is_answered: false,
@@ -160,31 +160,31 @@
             .send(Input::Submit(caller, job, answer))
             .is_err()
         {
-            presence.is_answered = true;
+            guard.is_answered = true;
             return stopped;
         }
         // The entry answers all jobs before it ends.
         let outcome = outcome.await.unwrap_or(JobOutcome::TooLate);
-        presence.is_answered = true;
+        guard.is_answered = true;
         outcome
     }
 
     /// Submits a job that is to be kept until it has ended; the answer comes
     /// when it lies in the job log, or is refused.
     pub async fn store(&self, job: StoredJob, wait_ms: u64) -> StoredAnswer {
-        let known_since = self.has_stored_jobs.get();
+        let known_since = self.stored_jobs_known_since.get();
         if known_since.is_none() {
             // Without a receiver the process is about to end.
-            let _ = self.inputs.send(Input::Stored(StoredInput::First));
+            let _ = self.inputs.send(Input::Stored(StoredInput::FirstJob));
         }
-        let formed = Duration::from_millis(GROUP_FORMS_MS);
-        let is_forming = known_since.is_none_or(|since| since.elapsed() < formed);
+        let formation = Duration::from_millis(GROUP_FORMATION_MS);
+        let is_forming = known_since.is_none_or(|since| since.elapsed() < formation);
         self.stored_calls.submit(job, wait_ms, is_forming).await
     }
 
     /// How far a stored job is.
     pub async fn state(&self, job: Name, wait_ms: u64) -> StoredAnswer {
-        if let Some(answer) = self.answer_unused().await {
+        if let Some(answer) = self.answer_if_no_stored_jobs().await {
             return answer;
         }
         let call = StoredCall::State(job.clone());
@@ -198,7 +198,7 @@
         if is_sent && is_cancelled.await.unwrap_or(false) {
             return StoredAnswer::Cancelled;
         }
-        if let Some(answer) = self.answer_unused().await {
+        if let Some(answer) = self.answer_if_no_stored_jobs().await {
             return answer;
         }
         let call = StoredCall::Cancel(job.clone());
@@ -206,14 +206,14 @@
     }
 
     /// The answer about any job where no job is stored, or that cannot be told.
-    async fn answer_unused(&self) -> Option<StoredAnswer> {
-        if self.has_stored_jobs.get().is_some() {
+    async fn answer_if_no_stored_jobs(&self) -> Option<StoredAnswer> {
+        if self.stored_jobs_known_since.get().is_some() {
             return None;
         }
         match self.stored_calls.is_in_use().await {
             Some(true) => {
                 // Without a receiver the process is about to end.
-                let _ = self.inputs.send(Input::Stored(StoredInput::Known));
+                let _ = self.inputs.send(Input::Stored(StoredInput::JobsKnown));
                 None
             }
             Some(false) => Some(StoredAnswer::Unknown),
@@ -226,15 +226,15 @@
     pub async fn pending(&self, queue: Name) -> Option<usize> {
         let (answer, pending) = oneshot::channel();
         let is_sent = self.inputs.send(Input::Pending(queue.clone(), answer));
-        let waited_for = match is_sent {
+        let waiting_here = match is_sent {
             Ok(()) => pending.await.unwrap_or(0),
             Err(_) => 0,
         };
-        if self.has_stored_jobs.get().is_none() {
-            return Some(waited_for);
+        if self.stored_jobs_known_since.get().is_none() {
+            return Some(waiting_here);
         }
         let stored = self.stored_calls.pending(&queue).await;
-        stored.map(|stored| waited_for + stored)
+        stored.map(|stored| waiting_here + stored)
     }
 
     /// Takes over changed settings.
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -57,10 +57,10 @@
 use crate::stored_calls::StoredCalls;
 
 /// Pause between two looks at the directory, in milliseconds.
-const REFRESH_MS: u64 = 500;
+const REFRESH_INTERVAL_MS: u64 = 500;
 /// Time before the end of a planned stop from which jobs are refused, in
 /// milliseconds: most end within it.
-const STOP_LAST_JOB_MS: u64 = 2_000;
+const REFUSE_BEFORE_END_MS: u64 = 2_000;
 /// Time for the last answers to be written before the process ends, in
 /// milliseconds.
 const FLUSH_MS: u64 = 150;
@@ -103,10 +103,10 @@
     pub(crate) job_log: JobLogCalls,
     pub(crate) stored_callers: BTreeMap<StoredCaller, oneshot::Sender<StoredAnswer>>,
     pub(crate) next_stored_caller: u64,
-    pub(crate) is_announcing: bool,
+    pub(crate) is_announcing_stored_jobs: bool,
     http_stop: watch::Sender<bool>,
-    open: OpenConnections,
-    stop_ms: Option<u64>,
+    open_connections: OpenConnections,
+    stop_began_at_ms: Option<u64>,
 }
 
 impl std::fmt::Debug for EntryNode {
@@ -126,16 +126,16 @@
         clock: Clock,
     ) -> Self {
         let (inputs, queue) = unbounded_channel();
-        let own = settings.link_addr;
-        let directory = Directory::new(Some(own), settings.tunables.seeds.iter().copied())
-            .with_max_targets(own.to_string().into(), MAX_LINKED_PEERS);
+        let own_addr = settings.link_addr;
+        let directory = Directory::new(Some(own_addr), settings.tunables.seeds.iter().copied())
+            .with_max_targets(own_addr.to_string().into(), MAX_LINKED_PEERS);
         let dispatcher_settings = DispatcherSettings {
             zone: settings.zone.clone(),
             remote_factor: settings.tunables.remote_factor,
             seed: rand::random(),
         };
         let stored_calls = StoredCalls::new(
-            own,
+            own_addr,
             settings.partitions,
             inputs.clone(),
             Rc::clone(&job_log),
@@ -165,10 +165,10 @@
             job_log,
             stored_callers: BTreeMap::new(),
             next_stored_caller: 1,
-            is_announcing: false,
+            is_announcing_stored_jobs: false,
             http_stop: watch::Sender::new(false),
-            open: OpenConnections::default(),
-            stop_ms: None,
+            open_connections: OpenConnections::default(),
+            stop_began_at_ms: None,
         }
     }
 
@@ -187,7 +187,7 @@
     /// Counts the connections of callers, which a planned stop waits for.
     #[must_use]
     pub fn open_connections(&self) -> OpenConnections {
-        self.open.clone()
+        self.open_connections.clone()
     }
 
     /// Serves until a planned stop is complete.
@@ -204,13 +204,17 @@
         ));
         let gossip = self.gossip.subscribe();
         tokio::task::spawn_local(watch_store(store.clone(), gossip, self.inputs.clone()));
-        let own = self.settings.link_addr;
-        tokio::task::spawn_local(meet(store.clone(), own, self.inputs.clone()));
+        let own_addr = self.settings.link_addr;
+        tokio::task::spawn_local(announce_and_discover(
+            store.clone(),
+            own_addr,
+            self.inputs.clone(),
+        ));
         let mut dialers = self.dialers();
         dialers.refresh();
         tokio::task::spawn_local(send_refreshes(self.inputs.clone()));
         let mut due_ms = 0;
-        while !self.may_end() {
+        while !self.can_end() {
             let sleep = tokio::time::sleep_until(self.clock.at(due_ms));
             let first = tokio::select! {
                 biased;
@@ -219,10 +223,10 @@
             };
             self.note_suspension();
             if let Some(input) = first {
-                self.input(input, &store);
+                self.handle_input(input, &store);
             }
             while let Ok(input) = self.queue.try_recv() {
-                self.input(input, &store);
+                self.handle_input(input, &store);
             }
             dialers.refresh_if_due();
             if self.has_new_entries() {
@@ -232,9 +236,9 @@
             let ledger_due_ms = self.ledger.tick(now_ms, &mut self.dispatcher);
             due_ms = self.dispatcher.tick(now_ms);
             due_ms = ledger_due_ms.map_or(due_ms, |ledger_ms| ledger_ms.min(due_ms));
-            self.follow_stop();
-            self.carry_out();
-            self.carry_out_stored();
+            self.advance_stop();
+            self.execute_actions();
+            self.execute_ledger_actions();
             self.gossip_crashes();
         }
         info!(self.log, "stopped"; "open_jobs" => self.dispatcher.unfinished_jobs());
@@ -252,16 +256,16 @@
     }
 
     fn dialers(&self) -> PeerDialers {
-        let own = self.settings.link_addr;
+        let own_addr = self.settings.link_addr;
         let gossip = self.gossip.subscribe();
         let directory = Rc::clone(&self.directory);
         let clock = self.clock.clone();
-        let dial: Box<BoxedDial> = Box::new(move |entry| {
+        let dial: Box<DialFn> = Box::new(move |entry| {
             let directory = Rc::clone(&directory);
             let clock = clock.clone();
             Box::pin(peer_links::dial(
                 entry,
-                own,
+                own_addr,
                 gossip.clone(),
                 directory,
                 clock,
@@ -269,12 +273,12 @@
         });
         PeerDialers {
             dialers: Dialers::new(Rc::clone(&self.directory), self.clock.clone(), dial),
-            refreshed_ms: 0,
+            last_refresh_ms: 0,
             clock: self.clock.clone(),
         }
     }
 
-    fn input(&mut self, input: Input, store: &StoreClient) {
+    fn handle_input(&mut self, input: Input, store: &StoreClient) {
         let now_ms = self.clock.now_ms();
         match input {
             Input::AgentUp(link, hello, sender, reader) => {
@@ -290,7 +294,7 @@
             }
             Input::Peer(entry, frame) => {
                 if frame.has_stored_jobs {
-                    self.take_part(now_ms);
+                    self.activate_ledger(now_ms);
                 }
                 self.peer_frame(now_ms, entry, frame);
             }
@@ -322,7 +326,7 @@
                 self.directory.borrow_mut().learn(now_ms, &entries);
             }
             Input::Refresh => self.spread_entries(now_ms),
-            Input::Stored(stored) => self.stored_input(now_ms, stored, store),
+            Input::Stored(stored) => self.handle_stored_input(now_ms, stored, store),
             Input::Reload(tunables) => {
                 self.directory
                     .borrow_mut()
@@ -332,7 +336,7 @@
             }
             Input::Stop => self.begin_stop(now_ms),
         }
-        let is_ready = self.dispatcher.is_ready() && self.stop_ms.is_none();
+        let is_ready = self.dispatcher.is_ready() && self.stop_began_at_ms.is_none();
         self.handle.set_ready(is_ready);
     }
 
@@ -380,12 +384,12 @@
     /// are any.
     fn has_new_entries(&mut self) -> bool {
         let discoveries = self.directory.borrow().discoveries();
-        let is_gain = discoveries != self.sent_discoveries;
+        let is_changed = discoveries != self.sent_discoveries;
         self.sent_discoveries = discoveries;
-        if is_gain {
+        if is_changed {
             self.spread_entries(self.clock.now_ms());
         }
-        is_gain
+        is_changed
     }
 
     /// Tells entries and agents when the set of entries changed.
@@ -399,36 +403,37 @@
     }
 
     fn begin_stop(&mut self, now_ms: u64) {
-        if self.stop_ms.is_none() {
+        if self.stop_began_at_ms.is_none() {
             info!(self.log, "stopping"; "open_jobs" => self.dispatcher.unfinished_jobs());
-            self.stop_ms = Some(now_ms);
+            self.stop_began_at_ms = Some(now_ms);
             self.ledger.begin_stop(now_ms, &mut self.dispatcher);
         }
     }
 
-    fn follow_stop(&mut self) {
-        let Some(stop_ms) = self.stop_ms else {
+    fn advance_stop(&mut self) {
+        let Some(stop_began_at_ms) = self.stop_began_at_ms else {
             return;
         };
-        let since_ms = self.clock.now_ms().saturating_sub(stop_ms);
-        if since_ms >= self.settings.stop_notice_ms && !*self.http_stop.borrow() {
+        let stopping_for_ms = self.clock.now_ms().saturating_sub(stop_began_at_ms);
+        if stopping_for_ms >= self.settings.stop_notice_ms && !*self.http_stop.borrow() {
             self.http_stop.send_replace(true);
         }
-        if since_ms + STOP_LAST_JOB_MS >= self.settings.tunables.stop_limit_ms {
+        if stopping_for_ms + REFUSE_BEFORE_END_MS >= self.settings.tunables.stop_limit_ms {
             self.dispatcher.begin_stop();
         }
     }
 
-    fn may_end(&self) -> bool {
-        let Some(stop_ms) = self.stop_ms else {
+    fn can_end(&self) -> bool {
+        let Some(stop_began_at_ms) = self.stop_began_at_ms else {
             return false;
         };
-        let is_over = self.clock.now_ms() >= stop_ms + self.settings.tunables.stop_limit_ms;
-        let is_served = *self.http_stop.borrow() && self.open.count() == 0;
-        is_over || is_served && self.ledger.may_stop()
+        let is_stop_limit_over =
+            self.clock.now_ms() >= stop_began_at_ms + self.settings.tunables.stop_limit_ms;
+        let are_callers_gone = *self.http_stop.borrow() && self.open_connections.count() == 0;
+        is_stop_limit_over || are_callers_gone && self.ledger.may_stop()
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for action in self.dispatcher.take_actions() {
             match action {
                 DispatcherAction::Answer(caller, outcome) => {
@@ -473,23 +478,23 @@
     }
 }
 
-type BoxedDial = dyn Fn(SocketAddr) -> std::pin::Pin<Box<dyn Future<Output = bool>>>;
+type DialFn = dyn Fn(SocketAddr) -> std::pin::Pin<Box<dyn Future<Output = bool>>>;
 
 /// The connections to other entries.
 struct PeerDialers {
-    dialers: Dialers<Box<BoxedDial>>,
-    refreshed_ms: u64,
+    dialers: Dialers<Box<DialFn>>,
+    last_refresh_ms: u64,
     clock: Clock,
 }
 
 impl PeerDialers {
     fn refresh(&mut self) {
-        self.refreshed_ms = self.clock.now_ms();
+        self.last_refresh_ms = self.clock.now_ms();
         self.dialers.refresh();
     }
 
     fn refresh_if_due(&mut self) {
-        if self.clock.now_ms() >= self.refreshed_ms + REFRESH_MS {
+        if self.clock.now_ms() >= self.last_refresh_ms + REFRESH_INTERVAL_MS {
             self.refresh();
         }
     }
@@ -507,30 +512,34 @@
             entries: gossip.entries.len(),
         }
     };
-    let found = |update| {
+    let on_update = |update| {
         // Without a receiver the process is about to end.
         let _ = inputs.send(Input::Operators(update));
     };
-    store.watch(hedge_context, found).await;
+    store.watch(hedge_context, on_update).await;
 }
 
 /// Makes the entry known, and finds those that are known already.
-async fn meet(store: StoreClient, own: SocketAddr, inputs: UnboundedSender<Input>) {
+async fn announce_and_discover(
+    store: StoreClient,
+    own_addr: SocketAddr,
+    inputs: UnboundedSender<Input>,
+) {
     let announced = store.announced().await;
-    let is_known = announced.entries.contains(&own);
+    let is_announced = announced.entries.contains(&own_addr);
     // Without a receiver the process is about to end.
     let _ = inputs.send(Input::Entries(announced.entries));
     if announced.has_stored_jobs {
         // Without a receiver the process is about to end.
-        let _ = inputs.send(Input::Stored(StoredInput::Known));
+        let _ = inputs.send(Input::Stored(StoredInput::JobsKnown));
     }
-    if !is_known {
-        store.announce(own).await;
+    if !is_announced {
+        store.announce(own_addr).await;
     }
 }
 
 async fn send_refreshes(inputs: UnboundedSender<Input>) {
     while inputs.send(Input::Refresh).is_ok() {
-        tokio::time::sleep(Duration::from_millis(REFRESH_MS)).await;
+        tokio::time::sleep(Duration::from_millis(REFRESH_INTERVAL_MS)).await;
     }
 }
--- a/crates/node/src/entry_stored.rs
+++ b/crates/node/src/entry_stored.rs
@@ -21,9 +21,9 @@
     /// A call for the owner of a job's partition.
     Call(StoredCall, oneshot::Sender<StoredAnswer>),
     /// The first stored job that this entry sees.
-    First,
+    FirstJob,
     /// There are stored jobs.
-    Known,
+    JobsKnown,
     /// The answer to a join that was sent at this time, if there was one.
     Joined(u64, Option<Assignment>),
     /// The answer to an append.
@@ -38,7 +38,12 @@
 }
 
 impl EntryNode {
-    pub(crate) fn stored_input(&mut self, now_ms: u64, input: StoredInput, store: &StoreClient) {
+    pub(crate) fn handle_stored_input(
+        &mut self,
+        now_ms: u64,
+        input: StoredInput,
+        store: &StoreClient,
+    ) {
         let dispatcher = &mut self.dispatcher;
         match input {
             StoredInput::Call(call, answer) => {
@@ -47,8 +52,8 @@
                 self.stored_callers.insert(caller, answer);
                 self.ledger.call(now_ms, caller, call, dispatcher);
             }
-            StoredInput::First => self.announce_stored_jobs(store),
-            StoredInput::Known => self.take_part(now_ms),
+            StoredInput::FirstJob => self.announce_stored_jobs(store),
+            StoredInput::JobsKnown => self.activate_ledger(now_ms),
             StoredInput::Joined(sent_ms, assignment) => {
                 self.ledger.joined(now_ms, sent_ms, assignment, dispatcher);
             }
@@ -69,7 +74,7 @@
     }
 
     /// Takes part in serving stored jobs, and lets others know of them.
-    pub(crate) fn take_part(&mut self, now_ms: u64) {
+    pub(crate) fn activate_ledger(&mut self, now_ms: u64) {
         if self.ledger.activate(now_ms) {
             info!(self.log, "stored-jobs-known");
             self.handle.set_has_stored_jobs();
@@ -81,20 +86,20 @@
     /// Announces the first stored job, before it is taken: otherwise nobody
     /// would look for it if all entries were restarted.
     fn announce_stored_jobs(&mut self, store: &StoreClient) {
-        if self.ledger.is_active() || self.is_announcing {
+        if self.ledger.is_active() || self.is_announcing_stored_jobs {
             return;
         }
-        self.is_announcing = true;
+        self.is_announcing_stored_jobs = true;
         let store = store.clone();
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
             store.announce_stored_jobs().await;
             // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::Stored(StoredInput::Known));
+            let _ = inputs.send(Input::Stored(StoredInput::JobsKnown));
         });
     }
 
-    pub(crate) fn carry_out_stored(&mut self) {
+    pub(crate) fn execute_ledger_actions(&mut self) {
         for action in self.ledger.take_actions() {
             match action {
                 LedgerAction::Answer(caller, stored) => {
@@ -104,7 +109,7 @@
                     }
                 }
                 LedgerAction::Event(event) => self.event(&event),
-                call => self.job_log.begin(call),
+                call => self.job_log.start_call(call),
             }
         }
     }
--- a/crates/node/src/hedging.rs
+++ b/crates/node/src/hedging.rs
@@ -8,7 +8,7 @@
 const MIN_PAUSE_MS: u64 = 150;
 const MAX_PAUSE_MS: u64 = 450;
 /// Repeated calls of all entries together within a pause, on average.
-const CALLS_A_PAUSE: f64 = 6.0;
+const HEDGED_CALLS_PER_PAUSE: f64 = 6.0;
 
 /// What an entry knows without the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,8 +23,8 @@
     /// Whether this entry is among those that repeat the call; `draw` is a random
     /// number from 0 to 1.
     #[expect(clippy::cast_precision_loss, reason = "entries are few")]
-    fn repeats(self, draw: f64) -> bool {
-        !self.is_configured && draw * (self.entries as f64) < CALLS_A_PAUSE
+    fn should_hedge(self, draw: f64) -> bool {
+        !self.is_configured && draw * (self.entries as f64) < HEDGED_CALLS_PER_PAUSE
     }
 }
 
@@ -38,14 +38,14 @@
 {
     tokio::time::sleep(pause()).await;
     loop {
-        let end = tokio::time::sleep(pause());
-        if !hedge_context().repeats(rand::random()) {
-            end.await;
+        let pause_end = tokio::time::sleep(pause());
+        if !hedge_context().should_hedge(rand::random()) {
+            pause_end.await;
             continue;
         }
         tokio::select! {
             Ok(answer) = attempt() => return answer,
-            () = end => {}
+            () = pause_end => {}
         }
     }
 }
--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -26,19 +26,19 @@
 use tokio::time::Instant;
 
 /// Connections to one address that are kept open without a call.
-const IDLE_CONNECTIONS: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 /// Time to open a connection, in milliseconds.
-const CONNECT_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 /// Largest answer in bytes.
 const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Time without any answer after which idle connections are suspect when a call
 /// times out, in milliseconds, or the time of the call if that is less.
-const SUSPECT_MS: u64 = 250;
+const RECENT_ANSWER_MS: u64 = 250;
 
 /// Rounds of the event loop in which an answer that has arrived gets through
 /// the connection's own task to its caller.
-const YIELDS: usize = 6;
+const YIELDS_AFTER_TIMEOUT: usize = 6;
 
 /// A call without an answer. It may have been carried out.
 #[derive(Debug, Error)]
@@ -77,7 +77,7 @@
     addr: SocketAddr,
     client: Rc<RefCell<PooledClient>>,
     /// When a call was last answered.
-    answered: Rc<Cell<Option<Instant>>>,
+    last_answer_at: Rc<Cell<Option<Instant>>>,
 }
 
 impl HttpClient {
@@ -87,7 +87,7 @@
         Self {
             addr,
             client: Rc::new(RefCell::new(pooled_client())),
-            answered: Rc::default(),
+            last_answer_at: Rc::default(),
         }
     }
 
@@ -117,21 +117,21 @@
         tokio::select! {
             biased;
             reply = self.exchange(request) => {
-                self.answered.set(Some(Instant::now()));
+                self.last_answer_at.set(Some(Instant::now()));
                 reply
             }
-            () = time_out(timeout) => {
-                self.suspect_idle_connections(timeout_ms);
+            () = wait_for_timeout(timeout) => {
+                self.drop_suspect_connections(timeout_ms);
                 Err(CallError::TimedOut(timeout_ms))
             }
         }
     }
 
     /// Gives up all idle connections unless something was answered of late.
-    fn suspect_idle_connections(&self, timeout_ms: u64) {
-        let of_late = Duration::from_millis(timeout_ms.min(SUSPECT_MS));
-        let answered = self.answered.get();
-        if answered.is_none_or(|answered| answered.elapsed() >= of_late) {
+    fn drop_suspect_connections(&self, timeout_ms: u64) {
+        let recent = Duration::from_millis(timeout_ms.min(RECENT_ANSWER_MS));
+        let last_answer_at = self.last_answer_at.get();
+        if last_answer_at.is_none_or(|last_answer_at| last_answer_at.elapsed() >= recent) {
             *self.client.borrow_mut() = pooled_client();
         }
     }
@@ -171,9 +171,9 @@
 fn pooled_client() -> PooledClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(Duration::from_millis(CONNECT_MS)));
+    connector.set_connect_timeout(Some(Duration::from_millis(CONNECT_TIMEOUT_MS)));
     Client::builder(TokioExecutor::new())
-        .pool_max_idle_per_host(IDLE_CONNECTIONS)
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(None)
         .build(connector)
@@ -181,9 +181,9 @@
 
 /// Waits, and then lets answers go first that arrived while this process stood
 /// still.
-async fn time_out(timeout: Duration) {
+async fn wait_for_timeout(timeout: Duration) {
     tokio::time::sleep(timeout).await;
-    for _ in 0..YIELDS {
+    for _ in 0..YIELDS_AFTER_TIMEOUT {
         tokio::task::yield_now().await;
     }
 }
--- a/crates/node/src/http_server.rs
+++ b/crates/node/src/http_server.rs
@@ -26,7 +26,7 @@
 
 /// Longest time for the header of a request, in milliseconds. Configured
 /// limits are not below it on the users' sites.
-const HEADER_MS: u64 = 15_000;
+const HEADER_TIMEOUT_MS: u64 = 15_000;
 /// Pause after a connection could not be accepted, in milliseconds.
 const ACCEPT_PAUSE_MS: u64 = 20;
 
@@ -46,7 +46,7 @@
         self.count.get()
     }
 
-    fn enter(&self) -> OpenConnection {
+    fn register(&self) -> OpenConnection {
         self.count.set(self.count.get() + 1);
         OpenConnection(self.clone())
     }
@@ -67,7 +67,7 @@
     listener: TcpListener,
     handler: F,
     mut stop: watch::Receiver<bool>,
-    open: OpenConnections,
+    open_connections: OpenConnections,
     log: Logger,
 ) where
     F: Fn(Request<Incoming>) -> R + 'static,
@@ -81,7 +81,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let connection = open.enter();
+                let connection = open_connections.register();
                 let handler = Rc::clone(&handler);
                 let served = serve_connection(stream, handler, stop.clone(), log.clone());
                 tokio::task::spawn_local(async move {
@@ -115,7 +115,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(HEADER_MS))
+        .header_read_timeout(Duration::from_millis(HEADER_TIMEOUT_MS))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = tokio::select! {
--- a/crates/node/src/job_log.rs
+++ b/crates/node/src/job_log.rs
@@ -17,7 +17,7 @@
 use crate::ports::JobLogPort;
 
 /// Pause after a read that failed, in milliseconds.
-const LOAD_PAUSE_MS: u64 = 100;
+const LOAD_RETRY_PAUSE_MS: u64 = 100;
 
 /// Makes the calls to the job log.
 pub(crate) struct JobLogCalls {
@@ -43,7 +43,7 @@
     }
 
     /// Begins a call that the ledger asks for; its result comes as an input.
-    pub(crate) fn begin(&self, action: LedgerAction) {
+    pub(crate) fn start_call(&self, action: LedgerAction) {
         match action {
             LedgerAction::Join { generation } => self.join(generation),
             LedgerAction::Leave => self.leave(),
@@ -118,7 +118,7 @@
                 Ok(records) => Some(records),
                 Err(error) => {
                     warn!(log, "store-lost"; "call" => "newest", "error" => %error);
-                    tokio::time::sleep(Duration::from_millis(LOAD_PAUSE_MS)).await;
+                    tokio::time::sleep(Duration::from_millis(LOAD_RETRY_PAUSE_MS)).await;
                     None
                 }
             };
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -20,7 +20,7 @@
 const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 /// Time to open a connection, in milliseconds: hosts are a few apart, and one
 /// that was just switched on loses the first packet.
-const CONNECT_MS: u64 = 200;
+const CONNECT_TIMEOUT_MS: u64 = 200;
 
 /// The frames that arrive on a connection.
 pub(crate) type FrameReader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
@@ -42,7 +42,7 @@
 /// Opens a connection.
 pub(crate) async fn connect(addr: SocketAddr) -> std::io::Result<TcpStream> {
     let connecting = TcpStream::connect(addr);
-    match tokio::time::timeout(Duration::from_millis(CONNECT_MS), connecting).await {
+    match tokio::time::timeout(Duration::from_millis(CONNECT_TIMEOUT_MS), connecting).await {
         Ok(stream) => stream,
         Err(_) => Err(std::io::ErrorKind::TimedOut.into()),
     }
@@ -76,9 +76,9 @@
     let mut buffer = Vec::new();
     while let Some(frame) = frames.recv().await {
         buffer.clear();
-        append(&mut buffer, &frame);
+        append_frame(&mut buffer, &frame);
         while let Ok(frame) = frames.try_recv() {
-            append(&mut buffer, &frame);
+            append_frame(&mut buffer, &frame);
         }
         if write.write_all(&buffer).await.is_err() {
             return;
@@ -88,7 +88,7 @@
     let _ = write.shutdown().await;
 }
 
-fn append(buffer: &mut Vec<u8>, frame: &Bytes) {
+fn append_frame(buffer: &mut Vec<u8>, frame: &Bytes) {
     let length = u32::try_from(frame.len()).unwrap_or(u32::MAX);
     buffer.extend_from_slice(&length.to_be_bytes());
     buffer.extend_from_slice(frame);
--- a/crates/node/src/peer_links.rs
+++ b/crates/node/src/peer_links.rs
@@ -26,13 +26,13 @@
 /// Silence after which a connection is given up, in milliseconds. The platform
 /// counts a host as sound 3 s after its connections were disturbed; one frame
 /// may be late.
-const SILENCE_MS: u64 = 2_200;
+const IDLE_TIMEOUT_MS: u64 = 2_200;
 
 /// Tells another entry what changes, until the connection ends; whether the
 /// other one ever answered.
 pub(crate) async fn dial(
     entry: SocketAddr,
-    own: SocketAddr,
+    own_addr: SocketAddr,
     mut gossip: watch::Receiver<GossipState>,
     directory: SharedDirectory,
     clock: Clock,
@@ -43,14 +43,14 @@
     let Ok((mut reader, sender)) = links::split(stream) else {
         return false;
     };
-    let Ok(greeting) = encode(&Greeting::Entry(own)) else {
+    let Ok(greeting) = encode(&Greeting::Entry(own_addr)) else {
         return false;
     };
     sender.send(greeting);
     let mut gossip_sender = GossipSender::default();
     let mut last_seen_ms = clock.now_ms();
     let mut was_answered = false;
-    while clock.now_ms() < last_seen_ms + SILENCE_MS && is_target(entry, &directory, &clock) {
+    while clock.now_ms() < last_seen_ms + IDLE_TIMEOUT_MS && is_target(entry, &directory, &clock) {
         let now_ms = clock.now_ms();
         let known = || directory.borrow().known(now_ms);
         let frame = gossip_sender.next_frame(now_ms, &gossip.borrow_and_update(), known);
@@ -88,14 +88,14 @@
 pub(crate) async fn serve(
     mut reader: FrameReader,
     sender: FrameSender,
-    received: impl Fn(PeerFrame),
+    on_frame: impl Fn(PeerFrame),
 ) {
-    let silence = Duration::from_millis(SILENCE_MS);
-    while let Ok(Some(frame)) = timeout(silence, links::next_frame(&mut reader)).await {
+    let idle_timeout = Duration::from_millis(IDLE_TIMEOUT_MS);
+    while let Ok(Some(frame)) = timeout(idle_timeout, links::next_frame(&mut reader)).await {
         let Ok(frame) = decode(&frame) else {
             return;
         };
-        received(frame);
+        on_frame(frame);
         let Ok(bytes) = encode(&PeerAck) else {
             return;
         };
--- a/crates/node/src/store_client.rs
+++ b/crates/node/src/store_client.rs
@@ -26,7 +26,7 @@
 const FIRST_PAUSE_MS: u64 = 100;
 const MAX_PAUSE_MS: u64 = 800;
 /// Failed waits for a change after which the whole is read anew.
-const FAILURES_BEFORE_WHOLE: u32 = 2;
+const FAILURES_BEFORE_FULL_READ: u32 = 2;
 
 /// What operators want, as far as the store told it.
 #[derive(Clone, Debug)]
@@ -71,18 +71,18 @@
     pub async fn watch(
         &self,
         hedge_context: impl Fn() -> HedgeContext,
-        mut found: impl FnMut(OperatorUpdate),
+        mut on_update: impl FnMut(OperatorUpdate),
     ) {
         loop {
             let page = self.newest(&hedge_context).await;
             let mut offset = page.next_offset;
             let mut evacuations = Evacuations::default();
-            follow(&mut evacuations, &page);
+            apply_zone_records(&mut evacuations, &page);
             // Also without a zone: an older picture, from elsewhere, may have some.
             evacuations.log_offset = offset;
-            found(OperatorUpdate::new(page, &evacuations));
+            on_update(OperatorUpdate::new(page, &evacuations));
             let mut failures = 0;
-            while failures < FAILURES_BEFORE_WHOLE {
+            while failures < FAILURES_BEFORE_FULL_READ {
                 match self.store.next_operators(offset, READ_WAIT_MS).await {
                     Ok(page) => {
                         if failures > 0 {
@@ -90,8 +90,8 @@
                         }
                         failures = 0;
                         offset = page.next_offset;
-                        follow(&mut evacuations, &page);
-                        found(OperatorUpdate::new(page, &evacuations));
+                        apply_zone_records(&mut evacuations, &page);
+                        on_update(OperatorUpdate::new(page, &evacuations));
                     }
                     Err(StoreError::Gone) => break,
                     Err(error) => {
@@ -106,19 +106,19 @@
 
     /// Announces an entry, until it is done.
     pub async fn announce(&self, entry: SocketAddr) {
-        self.until_done("announce", || self.store.announce(entry))
+        self.retry_until_done("announce", || self.store.announce(entry))
             .await;
     }
 
     /// Announces that there are stored jobs, until it is done.
     pub async fn announce_stored_jobs(&self) {
-        self.until_done("announce", || self.store.announce_stored_jobs())
+        self.retry_until_done("announce", || self.store.announce_stored_jobs())
             .await;
     }
 
     /// What entries announced, as soon as the store tells it.
     pub async fn announced(&self) -> Announced {
-        self.until_done("announced", || self.store.announced())
+        self.retry_until_done("announced", || self.store.announced())
             .await
     }
 
@@ -126,7 +126,7 @@
     async fn newest(&self, hedge_context: impl Fn() -> HedgeContext) -> StorePage {
         let newest = || self.store.newest_operators();
         tokio::select! {
-            page = self.until_done("newest", newest) => page,
+            page = self.retry_until_done("newest", newest) => page,
             page = hedging::first_answer(hedge_context, newest) => {
                 info!(self.log, "store-regained"; "call" => "newest, repeated");
                 page
@@ -134,7 +134,7 @@
         }
     }
 
-    async fn until_done<T, R>(&self, call: &'static str, attempt: impl Fn() -> R) -> T
+    async fn retry_until_done<T, R>(&self, call: &'static str, attempt: impl Fn() -> R) -> T
     where
         R: Future<Output = Result<T, StoreError>>,
     {
@@ -162,7 +162,7 @@
 }
 
 /// Takes over the zones of a page.
-fn follow(evacuations: &mut Evacuations, page: &StorePage) {
+fn apply_zone_records(evacuations: &mut Evacuations, page: &StorePage) {
     for record in &page.evacuations {
         evacuations.log_offset = page.next_offset;
         if record.is_evacuated {
--- a/crates/node/src/stored_calls.rs
+++ b/crates/node/src/stored_calls.rs
@@ -41,42 +41,42 @@
 /// gives the partitions of a lost one away after 1.2 s, and a claim takes some
 /// more. A submission has less: it is refused while it can still be of use
 /// elsewhere.
-const SEARCH_MS: u64 = 2_000;
+const MAX_SEARCH_MS: u64 = 2_000;
 /// Time after which an owner's connection is given up with the calls on it, in
 /// milliseconds: the store may be 60 times slower than its usual 4 ms.
-const ATTEMPT_MS: u64 = 700;
+const ATTEMPT_TIMEOUT_MS: u64 = 700;
 /// A submission looks for an owner for one in this many parts of its objective;
 /// what is refused later counts as held back.
 const SEARCH_DIVISOR: u64 = 5;
 /// Pause between two attempts, in milliseconds.
-const RETRY_MS: u64 = 20;
+const RETRY_PAUSE_MS: u64 = 20;
 /// Greatest age of the store's word that there are no stored jobs, in
 /// milliseconds; entries tell each other of the first one within a second.
-const UNUSED_AGE_MS: u64 = 1_000;
+const MAX_UNUSED_AGE_MS: u64 = 1_000;
 /// Greatest age of the list of owners when jobs are counted at all of them, in
 /// milliseconds; a count may be 2 s old.
-const COUNTED_AGE_MS: u64 = 1_000;
+const MAX_COUNTED_OWNERS_AGE_MS: u64 = 1_000;
 /// Least age at which the list of owners is read anew, in milliseconds.
-const OWNERS_AGE_MS: u64 = 150;
+const MIN_OWNERS_AGE_MS: u64 = 150;
 
 /// Finds the owner of a job and asks it.
 pub(crate) struct StoredCalls {
-    own: SocketAddr,
+    own_addr: SocketAddr,
     partitions: u32,
     inputs: UnboundedSender<Input>,
     job_log: Rc<dyn JobLogPort>,
     log: Logger,
     owners: RefCell<BTreeMap<Partition, SocketAddr>>,
-    read_at: Cell<Option<Instant>>,
+    owners_read_at: Cell<Option<Instant>>,
     /// When the store told that there are no stored jobs.
-    unused_at: Cell<Option<Instant>>,
+    found_unused_at: Cell<Option<Instant>>,
     /// Whether the store answered when it was last asked for the owners.
-    is_store_telling: Cell<bool>,
-    peers: RefCell<BTreeMap<SocketAddr, Rc<Peer>>>,
+    is_store_answering: Cell<bool>,
+    owner_links: RefCell<BTreeMap<SocketAddr, Rc<OwnerLink>>>,
 }
 
 /// An attempt without an answer.
-enum Missed {
+enum AttemptError {
     /// Nothing was sent.
     NotSent,
     /// It may have been carried out.
@@ -85,23 +85,23 @@
 
 impl StoredCalls {
     pub(crate) fn new(
-        own: SocketAddr,
+        own_addr: SocketAddr,
         partitions: u32,
         inputs: UnboundedSender<Input>,
         job_log: Rc<dyn JobLogPort>,
         log: Logger,
     ) -> Self {
         Self {
-            own,
+            own_addr,
             partitions,
             inputs,
             job_log,
             log,
             owners: RefCell::default(),
-            read_at: Cell::default(),
-            unused_at: Cell::default(),
-            is_store_telling: Cell::new(true),
-            peers: RefCell::default(),
+            owners_read_at: Cell::default(),
+            found_unused_at: Cell::default(),
+            is_store_answering: Cell::new(true),
+            owner_links: RefCell::default(),
         }
     }
 
@@ -113,7 +113,7 @@
         is_forming: bool,
     ) -> StoredAnswer {
         let search_ms = if is_forming {
-            SEARCH_MS
+            MAX_SEARCH_MS
         } else {
             job.objective_ms() / SEARCH_DIVISOR
         };
@@ -124,7 +124,7 @@
 
     /// Asks the owner of a job's partition, for at most `wait_ms`.
     pub(crate) async fn ask(&self, id: &Name, call: StoredCall, wait_ms: u64) -> StoredAnswer {
-        self.ask_within(id, call, wait_ms, SEARCH_MS).await
+        self.ask_within(id, call, wait_ms, MAX_SEARCH_MS).await
     }
 
     async fn ask_within(
@@ -137,39 +137,39 @@
         let partition = Partition::of(id, self.partitions);
         let start = Instant::now();
         let end = start + Duration::from_millis(wait_ms.min(CALL_TIMEOUT_MS));
-        let search_end = end.min(start + Duration::from_millis(search_ms.min(SEARCH_MS)));
+        let search_end = end.min(start + Duration::from_millis(search_ms.min(MAX_SEARCH_MS)));
         let mut is_outcome_unknown = false;
         loop {
             match self.attempt(partition, &call, end).await {
-                Ok(StoredAnswer::NotOwner) | Err(Missed::NotSent) => {}
-                Ok(StoredAnswer::OutcomeUnknown) | Err(Missed::NoAnswer) => {
+                Ok(StoredAnswer::NotOwner) | Err(AttemptError::NotSent) => {}
+                Ok(StoredAnswer::OutcomeUnknown) | Err(AttemptError::NoAnswer) => {
                     is_outcome_unknown = true;
                 }
                 Ok(answer) => return answer,
             }
-            let is_known = self.read_owners(search_end).await;
-            let next = Instant::now() + Duration::from_millis(RETRY_MS);
-            if next >= search_end || !is_known {
+            let is_store_answering = self.read_owners(search_end).await;
+            let next_attempt_at = Instant::now() + Duration::from_millis(RETRY_PAUSE_MS);
+            if next_attempt_at >= search_end || !is_store_answering {
                 return if is_outcome_unknown {
                     StoredAnswer::OutcomeUnknown
                 } else {
                     StoredAnswer::NotOwner
                 };
             }
-            tokio::time::sleep_until(next).await;
+            tokio::time::sleep_until(next_attempt_at).await;
         }
     }
 
     /// Whether there are stored jobs; `None` when the store cannot tell.
     pub(crate) async fn is_in_use(&self) -> Option<bool> {
-        let is_fresh = |at: Instant| at.elapsed() < Duration::from_millis(UNUSED_AGE_MS);
-        if self.unused_at.get().is_some_and(is_fresh) {
+        let is_fresh = |at: Instant| at.elapsed() < Duration::from_millis(MAX_UNUSED_AGE_MS);
+        if self.found_unused_at.get().is_some_and(is_fresh) {
             return Some(false);
         }
         match self.job_log.is_in_use().await {
             Ok(true) => Some(true),
             Ok(false) => {
-                self.unused_at.set(Some(Instant::now()));
+                self.found_unused_at.set(Some(Instant::now()));
                 Some(false)
             }
             Err(error) => {
@@ -182,10 +182,10 @@
     /// Jobs of a queue of which nothing has started, at all owners; `None` while
     /// some partition has none that answers.
     pub(crate) async fn pending(&self, queue: &Name) -> Option<usize> {
-        let end = Instant::now() + Duration::from_millis(ATTEMPT_MS);
-        let read_at = self.read_at.get();
-        let is_old = |at: Instant| at.elapsed() >= Duration::from_millis(COUNTED_AGE_MS);
-        if read_at.is_none_or(is_old) {
+        let end = Instant::now() + Duration::from_millis(ATTEMPT_TIMEOUT_MS);
+        let owners_read_at = self.owners_read_at.get();
+        let is_old = |at: Instant| at.elapsed() >= Duration::from_millis(MAX_COUNTED_OWNERS_AGE_MS);
+        if owners_read_at.is_none_or(is_old) {
             self.read_owners(end).await;
         }
         let owners: BTreeSet<SocketAddr> = self.owners.borrow().values().copied().collect();
@@ -206,9 +206,9 @@
         partition: Partition,
         call: &StoredCall,
         end: Instant,
-    ) -> Result<StoredAnswer, Missed> {
+    ) -> Result<StoredAnswer, AttemptError> {
         let owner = self.owners.borrow().get(&partition).copied();
-        let owner = owner.ok_or(Missed::NotSent)?;
+        let owner = owner.ok_or(AttemptError::NotSent)?;
         self.ask_owner(owner, call, end).await
     }
 
@@ -217,40 +217,42 @@
         owner: SocketAddr,
         call: &StoredCall,
         end: Instant,
-    ) -> Result<StoredAnswer, Missed> {
-        if owner != self.own {
-            let peer = timeout_at(end, self.peer(owner)).await;
-            let peer = peer.ok().flatten().ok_or(Missed::NotSent)?;
-            return peer.ask(call, end).await;
+    ) -> Result<StoredAnswer, AttemptError> {
+        if owner != self.own_addr {
+            let owner_link = timeout_at(end, self.owner_link(owner)).await;
+            let owner_link = owner_link.ok().flatten().ok_or(AttemptError::NotSent)?;
+            return owner_link.ask(call, end).await;
         }
         let (answer, answered) = oneshot::channel();
         let input = Input::Stored(StoredInput::Call(call.clone(), answer));
-        self.inputs.send(input).map_err(|_| Missed::NotSent)?;
+        self.inputs.send(input).map_err(|_| AttemptError::NotSent)?;
         match timeout_at(end, answered).await {
             Ok(Ok(answer)) => Ok(answer),
-            _ => Err(Missed::NoAnswer),
+            _ => Err(AttemptError::NoAnswer),
         }
     }
 
     /// The connection to an owner, opened if there is none.
-    async fn peer(&self, owner: SocketAddr) -> Option<Rc<Peer>> {
-        let known = self.peers.borrow().get(&owner).cloned();
-        if let Some(peer) = known.filter(|peer| peer.is_open.get()) {
-            return Some(peer);
+    async fn owner_link(&self, owner: SocketAddr) -> Option<Rc<OwnerLink>> {
+        let known = self.owner_links.borrow().get(&owner).cloned();
+        if let Some(owner_link) = known.filter(|owner_link| owner_link.is_open.get()) {
+            return Some(owner_link);
         }
-        let peer = Rc::new(Peer::open(owner).await?);
-        self.peers.borrow_mut().insert(owner, Rc::clone(&peer));
-        Some(peer)
+        let owner_link = Rc::new(OwnerLink::open(owner).await?);
+        self.owner_links
+            .borrow_mut()
+            .insert(owner, Rc::clone(&owner_link));
+        Some(owner_link)
     }
 
     /// Reads who owns what, unless that was done just now; `false` when the
     /// store cannot tell.
     async fn read_owners(&self, end: Instant) -> bool {
-        let is_fresh = |at: Instant| at.elapsed() < Duration::from_millis(OWNERS_AGE_MS);
-        if !self.read_at.get().is_some_and(is_fresh) {
-            self.read_at.set(Some(Instant::now()));
+        let is_fresh = |at: Instant| at.elapsed() < Duration::from_millis(MIN_OWNERS_AGE_MS);
+        if !self.owners_read_at.get().is_some_and(is_fresh) {
+            self.owners_read_at.set(Some(Instant::now()));
             let owners = timeout_at(end, self.job_log.owners()).await;
-            let is_told = match owners {
+            let is_answered = match owners {
                 Ok(Ok(owners)) => {
                     *self.owners.borrow_mut() = owners;
                     true
@@ -261,62 +263,62 @@
                 }
                 Err(_) => false,
             };
-            self.is_store_telling.set(is_told);
+            self.is_store_answering.set(is_answered);
         }
         // A group that has just come into being has no owners yet.
-        self.is_store_telling.get()
+        self.is_store_answering.get()
     }
 }
 
 /// A connection to another entry for calls about its stored jobs.
-struct Peer {
+struct OwnerLink {
     sender: FrameSender,
-    waiting: Rc<RefCell<BTreeMap<u64, oneshot::Sender<StoredAnswer>>>>,
-    next: Cell<u64>,
+    pending_calls: Rc<RefCell<BTreeMap<u64, oneshot::Sender<StoredAnswer>>>>,
+    next_number: Cell<u64>,
     is_open: Rc<Cell<bool>>,
 }
 
-impl Peer {
+impl OwnerLink {
     async fn open(owner: SocketAddr) -> Option<Self> {
         let stream = links::connect(owner).await.ok()?;
         let (reader, sender) = links::split(stream).ok()?;
         sender.send(encode(&Greeting::StoredCalls).ok()?);
-        let peer = Self {
+        let owner_link = Self {
             sender,
-            waiting: Rc::default(),
-            next: Cell::new(1),
+            pending_calls: Rc::default(),
+            next_number: Cell::new(1),
             is_open: Rc::new(Cell::new(true)),
         };
-        let waiting = Rc::clone(&peer.waiting);
-        let is_open = Rc::clone(&peer.is_open);
+        let pending_calls = Rc::clone(&owner_link.pending_calls);
+        let is_open = Rc::clone(&owner_link.is_open);
         tokio::task::spawn_local(async move {
-            read_replies(reader, &waiting).await;
+            read_replies(reader, &pending_calls).await;
             is_open.set(false);
             // Those who wait learn that there is no answer.
-            waiting.borrow_mut().clear();
+            pending_calls.borrow_mut().clear();
         });
-        Some(peer)
+        Some(owner_link)
     }
 
-    async fn ask(&self, call: &StoredCall, end: Instant) -> Result<StoredAnswer, Missed> {
-        let number = self.next.get();
-        self.next.set(number + 1);
+    async fn ask(&self, call: &StoredCall, end: Instant) -> Result<StoredAnswer, AttemptError> {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         let request = StoredRequest {
             number,
             call: call.clone(),
         };
-        let bytes = encode(&request).map_err(|_| Missed::NotSent)?;
+        let bytes = encode(&request).map_err(|_| AttemptError::NotSent)?;
         let (answer, answered) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, answer);
+        self.pending_calls.borrow_mut().insert(number, answer);
         self.sender.send(bytes);
-        let end = end.min(Instant::now() + Duration::from_millis(ATTEMPT_MS));
+        let end = end.min(Instant::now() + Duration::from_millis(ATTEMPT_TIMEOUT_MS));
         match timeout_at(end, answered).await {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(_)) => Err(Missed::NoAnswer),
+            Ok(Err(_)) => Err(AttemptError::NoAnswer),
             Err(_) => {
                 // The connection may have gone silent for good.
                 self.is_open.set(false);
-                Err(Missed::NoAnswer)
+                Err(AttemptError::NoAnswer)
             }
         }
     }
@@ -324,13 +326,13 @@
 
 async fn read_replies(
     mut reader: FrameReader,
-    waiting: &RefCell<BTreeMap<u64, oneshot::Sender<StoredAnswer>>>,
+    pending_calls: &RefCell<BTreeMap<u64, oneshot::Sender<StoredAnswer>>>,
 ) {
     while let Some(frame) = links::next_frame(&mut reader).await {
         let Ok(reply) = decode::<StoredReply>(&frame) else {
             return;
         };
-        let answer = waiting.borrow_mut().remove(&reply.number);
+        let answer = pending_calls.borrow_mut().remove(&reply.number);
         if let Some(answer) = answer {
             // A caller that left needs no answer.
             let _ = answer.send(reply.answer);
--- a/crates/node/tests/entry.rs
+++ b/crates/node/tests/entry.rs
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_the_store_turns_away_learns_from_its_peers() {
+async fn an_entry_without_the_store_gets_the_configuration_from_a_peer() {
     on_one_thread(async {
         let (first, second) = (free_addr(), free_addr());
         let serving = FakeStore {
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_finds_the_seeds_of_reloaded_settings() {
+async fn an_entry_connects_to_the_seeds_of_reloaded_settings() {
     on_one_thread(async {
         let (first, second) = (free_addr(), free_addr());
         let serving = FakeStore {
@@ -202,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_tells_everything_anew_when_a_peer_went_silent() {
+async fn an_entry_sends_everything_again_after_a_peer_stops_answering() {
     on_one_thread(async {
         let peer = free_addr();
         let listener = TcpListener::bind(peer).await.expect("a free address");
@@ -213,7 +213,7 @@
         let entry = start(entry(free_addr(), vec![peer]), store);
         until("the configuration", || entry.table().version == 7).await;
         // The first connection stays open and is never answered.
-        let _silent = accept(&listener).await;
+        let _unanswered = accept(&listener).await;
         let mut next = accept(&listener).await;
         let greeting = decode::<Greeting>(&read_frame(&mut next).await);
         assert!(matches!(greeting, Ok(Greeting::Entry(_))), "{greeting:?}");
@@ -251,7 +251,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_tells_its_agents_at_once_of_an_entry_that_came() {
+async fn an_entry_sends_a_new_entry_to_its_agents_at_once() {
     on_one_thread(async {
         let (addr, newcomer) = (free_addr(), free_addr());
         let _entry = start(entry(addr, Vec::new()), FakeStore::default());
@@ -263,33 +263,33 @@
         write_frame(&mut peer, &PeerFrame::default()).await;
         assert!(decode::<PeerAck>(&read_frame(&mut peer).await).is_ok());
         // Frames without news come each 100 ms, looks at all entries each 500.
-        let mut told = Vec::new();
+        let mut sent = Vec::new();
         for _ in 0..2 {
             let frame = decode::<EntryFrame>(&read_frame(&mut agent).await).expect("a frame");
-            told.extend(frame.orders);
+            sent.extend(frame.orders);
         }
-        let names_newcomer = |order: &Order| match order {
+        let lists_newcomer = |order: &Order| match order {
             Order::Entries(entries) => entries.contains(&newcomer),
             _ => false,
         };
-        assert!(told.iter().any(names_newcomer), "{told:?}");
+        assert!(sent.iter().any(lists_newcomer), "{sent:?}");
     })
     .await;
 }
 
 /// What an entry tells an agent of emptied zones, up to this record.
-async fn told_until(agent: &mut TcpStream, log_offset: u64) -> Vec<Evacuations> {
+async fn evacuations_until(agent: &mut TcpStream, log_offset: u64) -> Vec<Evacuations> {
     let mut all = Vec::new();
     while all
         .last()
-        .is_none_or(|told: &Evacuations| told.log_offset < log_offset)
+        .is_none_or(|sent: &Evacuations| sent.log_offset < log_offset)
     {
         let frame = decode::<EntryFrame>(&read_frame(agent).await).expect("a frame");
-        let told = frame.orders.into_iter().filter_map(|order| match order {
-            Order::Evacuations(told) => Some(told),
+        let sent = frame.orders.into_iter().filter_map(|order| match order {
+            Order::Evacuations(sent) => Some(sent),
             _ => None,
         });
-        all.extend(told);
+        all.extend(sent);
     }
     all
 }
@@ -302,7 +302,7 @@
 }
 
 #[tokio::test]
-async fn an_agent_hears_of_emptied_zones_through_an_entry_that_the_store_turns_away() {
+async fn an_agent_learns_evacuated_zones_from_an_entry_without_the_store() {
     on_one_thread(async {
         let (first, second) = (free_addr(), free_addr());
         let serving = FakeStore {
@@ -323,25 +323,25 @@
         let mut agent = connect(second).await;
         write_frame(&mut agent, &Greeting::Agent(hello())).await;
         assert_eq!(
-            told_until(&mut agent, 1).await,
+            evacuations_until(&mut agent, 1).await,
             [evacuations(1, &["hella"])]
         );
         // It hears of newer pictures only, and one that greets later at once.
         let mut peer = connect(second).await;
         write_frame(&mut peer, &Greeting::Entry(free_addr())).await;
-        for told in [
+        for sent in [
             evacuations(9, &["selfoss"]),
             evacuations(4, &[]),
             evacuations(11, &[]),
         ] {
             let frame = PeerFrame {
-                evacuations: Some(told),
+                evacuations: Some(sent),
                 ..PeerFrame::default()
             };
             write_frame(&mut peer, &frame).await;
         }
         let newer = [evacuations(9, &["selfoss"]), evacuations(11, &[])];
-        assert_eq!(told_until(&mut agent, 11).await, newer);
+        assert_eq!(evacuations_until(&mut agent, 11).await, newer);
         let mut later = connect(second).await;
         let hello = AgentHello {
             host: "host-2".into(),
@@ -349,14 +349,14 @@
         };
         write_frame(&mut later, &Greeting::Agent(hello)).await;
         let frame = decode::<EntryFrame>(&read_frame(&mut later).await).expect("a frame");
-        let told = Order::Evacuations(evacuations(11, &[]));
-        assert!(frame.orders.contains(&told), "{frame:?}");
+        let sent = Order::Evacuations(evacuations(11, &[]));
+        assert!(frame.orders.contains(&sent), "{frame:?}");
     })
     .await;
 }
 
 #[tokio::test]
-async fn an_entry_answers_its_peers_and_ends_a_connection_that_went_silent() {
+async fn an_entry_acknowledges_frames_and_closes_an_idle_connection() {
     on_one_thread(async {
         let addr = free_addr();
         let entry = start(entry(addr, Vec::new()), FakeStore::default());
@@ -379,7 +379,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_waits_for_the_request_that_is_served() {
+async fn a_planned_stop_waits_for_the_request_in_progress() {
     on_one_thread(async {
         let node = entry(free_addr(), Vec::new());
         let handle = node.handle();
@@ -411,7 +411,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_cannot_learn_whether_jobs_are_stored_denies_none() {
+async fn an_entry_without_the_store_does_not_deny_that_a_job_exists() {
     on_one_thread(async {
         let entry = start(entry(free_addr(), Vec::new()), FakeStore::default());
         let id: gannetvane_wire::Name = "00000000000000e1".into();
--- a/crates/node/tests/fakes/mod.rs
+++ b/crates/node/tests/fakes/mod.rs
@@ -28,7 +28,7 @@
 use tokio::task::LocalSet;
 
 /// Longest wait for what the other end does.
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
 /// A store that serves or refuses everything.
 #[derive(Default)]
@@ -99,9 +99,9 @@
     Logger::root(Discard, o!())
 }
 
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub async fn until(what: &str, mut is_true: impl FnMut() -> bool) {
     for _ in 0..2_000 {
-        if holds() {
+        if is_true() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -121,7 +121,7 @@
         stream.read_exact(&mut frame).await.expect("a whole frame");
         frame
     };
-    let read = tokio::time::timeout(PATIENCE, read).await;
+    let read = tokio::time::timeout(WAIT_LIMIT, read).await;
     read.expect("a frame in time")
 }
 
@@ -133,7 +133,7 @@
 }
 
 pub async fn accept(listener: &TcpListener) -> TcpStream {
-    let accepted = tokio::time::timeout(PATIENCE, listener.accept());
+    let accepted = tokio::time::timeout(WAIT_LIMIT, listener.accept());
     let (stream, _) = accepted.await.expect("a connection").expect("a stream");
     stream
 }
--- a/crates/node/tests/hedging.rs
+++ b/crates/node/tests/hedging.rs
@@ -24,25 +24,25 @@
 /// of its own within a test, so that all further ones are repeated ones.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Usual time of an answer.
-const ANSWER: Duration = Duration::from_millis(4);
+const ANSWER_TIME: Duration = Duration::from_millis(4);
 /// Longest time from the store's return to the first answer.
-const LEARNED_WITHIN: Duration = Duration::from_millis(700);
+const MAX_LEARN_TIME: Duration = Duration::from_millis(700);
 
 /// A store that answers nothing that it is asked before it is back.
-struct AwayStore {
-    back: Instant,
+struct UnavailableStore {
+    available_at: Instant,
     calls: Rc<Cell<usize>>,
 }
 
 #[async_trait(?Send)]
-impl StorePort for AwayStore {
+impl StorePort for UnavailableStore {
     async fn newest_operators(&self) -> Result<StorePage, StoreError> {
         self.calls.set(self.calls.get() + 1);
-        if Instant::now() < self.back {
+        if Instant::now() < self.available_at {
             sleep(CALL_TIMEOUT).await;
             return Err(StoreError::Unreachable("no answer".to_owned()));
         }
-        sleep(ANSWER).await;
+        sleep(ANSWER_TIME).await;
         Ok(StorePage {
             table: Some(RoutingTable {
                 version: 7,
@@ -71,63 +71,63 @@
 
 /// Starts entries that know each other; the time from the store's return to the
 /// first answer, and the calls up to then.
-async fn start(entries: usize, away: Duration) -> (Duration, usize) {
-    let back = Instant::now() + away;
+async fn start(entries: usize, outage: Duration) -> (Duration, usize) {
+    let available_at = Instant::now() + outage;
     let calls = Rc::new(Cell::new(0));
-    let learned = Rc::new(Cell::new(None));
+    let learned_at = Rc::new(Cell::new(None));
     for _ in 0..entries {
-        let store = AwayStore {
-            back,
+        let store = UnavailableStore {
+            available_at,
             calls: Rc::clone(&calls),
         };
         let store_client = StoreClient::new(Rc::new(store), log());
-        let learned = Rc::clone(&learned);
+        let learned_at = Rc::clone(&learned_at);
         tokio::task::spawn_local(async move {
             let hedge_context = || HedgeContext {
-                is_configured: learned.get().is_some(),
+                is_configured: learned_at.get().is_some(),
                 entries,
             };
-            let found = |_| {
-                if learned.get().is_none() {
-                    learned.set(Some(Instant::now()));
+            let on_update = |_| {
+                if learned_at.get().is_none() {
+                    learned_at.set(Some(Instant::now()));
                 }
             };
-            store_client.watch(hedge_context, found).await;
+            store_client.watch(hedge_context, on_update).await;
         });
     }
     loop {
-        if let Some(learned) = learned.get() {
-            return (learned - back, calls.get());
+        if let Some(learned_at) = learned_at.get() {
+            return (learned_at - available_at, calls.get());
         }
         sleep(Duration::from_millis(1)).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_configuration_is_learned_soon_after_the_store_is_back_at_any_size() {
+async fn a_configuration_is_read_soon_after_the_store_is_back_for_any_number_of_entries() {
     on_one_thread(async {
         for entries in [1, 2, 10, 20, 1_000, 2_000] {
             let (took, _) = start(entries, Duration::from_millis(200)).await;
-            assert!(took < LEARNED_WITHIN, "{entries} entries: {took:?}");
+            assert!(took < MAX_LEARN_TIME, "{entries} entries: {took:?}");
         }
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn entries_share_their_repeated_calls_out() {
+async fn all_entries_together_send_a_limited_number_of_hedged_calls() {
     on_one_thread(async {
         for entries in [10, 1_000, 2_000] {
             let (_, calls) = start(entries, Duration::from_millis(1_400)).await;
-            let repeated = calls - entries;
-            assert!(repeated < 70, "{entries} entries: {repeated} calls");
+            let hedged_calls = calls - entries;
+            assert!(hedged_calls < 70, "{entries} entries: {hedged_calls} calls");
         }
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_without_others_repeats_a_call_a_few_times_a_second() {
+async fn a_single_entry_sends_a_few_hedged_calls_a_second() {
     on_one_thread(async {
         let (_, calls) = start(1, Duration::from_millis(1_400)).await;
         assert!((3..12).contains(&calls), "{calls} calls");
--- a/crates/node/tests/searching.rs
+++ b/crates/node/tests/searching.rs
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_agent_asks_no_more_often_the_longer_the_store_is_away() {
+async fn an_agent_does_not_search_more_often_during_a_long_store_outage() {
     on_one_thread(async {
         let calls = Rc::new(Cell::new(0));
         start_agent(&calls);
--- a/crates/node/tests/suspension.rs
+++ b/crates/node/tests/suspension.rs
@@ -204,11 +204,11 @@
     let handle = node.handle();
     let store_client = StoreClient::new(Rc::new(FakeStore::default()), log());
     tokio::task::spawn_local(node.run(store_client));
-    tokio::task::spawn_local(report_for_ever(handle));
+    tokio::task::spawn_local(report_repeatedly(handle));
 }
 
 /// The minion reports itself more often than a real one, so that tests are short.
-async fn report_for_ever(handle: AgentHandle) {
+async fn report_repeatedly(handle: AgentHandle) {
     let mut sequence = 1;
     while handle.reported(report(sequence)) {
         sequence += 1;
@@ -297,14 +297,17 @@
 /// Nothing arrives after the host wakes: what the last grant let run ends by the
 /// agent's own timer, which may be late by one pause between keepalives.
 #[tokio::test]
-async fn an_agent_that_wakes_to_silence_extends_no_lease_for_long() {
+async fn an_agent_without_frames_after_a_suspension_soon_stops_its_runs() {
     on_one_thread(async {
         let mut host = Host::start().await;
         host.run_task("a").await;
         host.time.suspended_ms.set(2_000);
-        let woke = Instant::now();
+        let resumed_at = Instant::now();
         until("the stop", || host.has_stopped("a")).await;
-        assert!(woke.elapsed() < Duration::from_millis(150), "{woke:?}");
+        assert!(
+            resumed_at.elapsed() < Duration::from_millis(150),
+            "{resumed_at:?}"
+        );
     })
     .await;
 }
@@ -344,8 +347,11 @@
         let clock = Clock::with_source(Rc::clone(&time) as Rc<dyn TimeSource>);
         tokio::time::advance(Duration::from_millis(40)).await;
         time.suspended_ms.set(suspended_ms);
-        let gap_ms = clock.observe();
-        assert_eq!(gap_ms, Some(suspended_ms).filter(|gap_ms| *gap_ms > 0));
+        let observed_ms = clock.observe();
+        assert_eq!(
+            observed_ms,
+            Some(suspended_ms).filter(|observed_ms| *observed_ms > 0)
+        );
         assert_eq!(clock.observe(), None, "it is counted once");
         assert_eq!(clock.now_ms(), 40 + suspended_ms);
         // What is due later is waited for on the clock of the runtime.
@@ -356,7 +362,7 @@
 }
 
 #[test]
-fn the_clock_of_the_host_goes_on() {
+fn boot_time_advances() {
     let before = BootTime.elapsed();
     std::thread::sleep(Duration::from_millis(5));
     let passed = BootTime.elapsed() - before;
