--- a/crates/node/src/agent_links.rs
+++ b/crates/node/src/agent_links.rs
@@ -1,4 +1,4 @@
-//! Connections that other processes open to an entry.
+//! Connections that agents and other entries open to an entry.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 use crate::peer_links;
 use crate::stored_calls;
 
-/// Pause after a connection that could not be accepted, in milliseconds: the
-/// process is out of descriptors, and some are about to be free.
+/// Pause after a failed accept, in milliseconds: the process has run out of file
+/// descriptors, and some will soon be free.
 const ACCEPT_PAUSE_MS: u64 = 20;
 
-/// Accepts connections of agents and other entries, for ever.
+/// Accepts connections of agents and other entries; never returns.
 pub(crate) async fn accept(listener: TcpListener, inputs: UnboundedSender<Input>, log: Logger) {
     let mut next_link = 1;
     loop {
@@ -44,6 +44,7 @@
     }
 }
 
+/// Reads the greeting of a connection, and serves what it asks for.
 async fn serve_connection(
     link: LinkId,
     stream: TcpStream,
@@ -60,12 +61,12 @@
         Ok(Greeting::Agent(hello)) => {
             let task = tokio::task::spawn_local(read_agent(link, reader, inputs.clone()));
             let input = Input::AgentUp(link, hello, sender, task.abort_handle());
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(input);
         }
         Ok(Greeting::Entry(entry)) => {
             let on_frame = |frame| {
-                // Without a receiver the process is about to end.
+                // The send only fails when the process is about to end.
                 let _ = inputs.send(Input::Peer(entry, frame));
             };
             peer_links::serve(reader, sender, on_frame).await;
@@ -75,6 +76,7 @@
     }
 }
 
+/// Passes on an agent's frames until its connection ends.
 async fn read_agent(link: LinkId, mut reader: FrameReader, inputs: UnboundedSender<Input>) {
     while let Some(frame) = links::next_frame(&mut reader).await {
         let Ok(frame) = decode(&frame) else {
@@ -84,6 +86,6 @@
             return;
         }
     }
-    // Without a receiver the process is about to end.
+    // The send only fails when the process is about to end.
     let _ = inputs.send(Input::LinkDown(link));
 }
--- a/crates/node/src/agent_node.rs
+++ b/crates/node/src/agent_node.rs
@@ -1,4 +1,5 @@
-//! The process around an agent's decisions.
+//! The agent process: runs the decision core [`Agent`] with its connections to
+//! entries and its calls to the minion.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -44,38 +45,53 @@
 use crate::ports::MinionPort;
 use crate::ports::StartCall;
 
-/// Pause between two looks at the directory, in milliseconds.
-const REFRESH_INTERVAL_MS: u64 = 500;
-/// Pause between two looks for entries in the store while none is reached, in
+/// Time between two checks of the directory for entries to connect to, in
 /// milliseconds.
+const REFRESH_INTERVAL_MS: u64 = 500;
+/// Time between two searches for entries in the store while no entry is
+/// connected, in milliseconds.
 const SEARCH_INTERVAL_MS: u64 = 2_000;
 
 /// Settings of an agent's process.
 #[derive(Clone, Debug)]
 pub struct AgentNodeSettings {
-    /// Who it is.
+    /// Node id, host and availability zone of the agent.
     pub identity: AgentIdentity,
-    /// Longest lease that the minion grants, in milliseconds.
+    /// Length of the longest lease that the minion grants, in milliseconds.
     pub longest_lease_ms: u64,
-    /// What may change while it runs.
+    /// Settings that can change without a restart.
     pub tunables: Tunables,
 }
 
+/// An input of the agent's event loop.
 enum Input {
+    /// A connection to the entry at this address is open. Dropping the last field
+    /// ends it.
     LinkUp(LinkId, SocketAddr, FrameSender, oneshot::Sender<()>),
+    /// An entry sent a frame.
     Frame(LinkId, EntryFrame),
+    /// A connection to an entry ended.
     LinkDown(LinkId),
+    /// The minion reported itself.
     Reported(MinionReport),
+    /// The minion with this id announced its end.
     MinionLeft(Name),
+    /// A call to start a run ended.
     StartAnswered(Incarnation, RunKey, StartResult),
+    /// A call to stop a run ended; true if the minion acknowledged it.
     StopAnswered(Incarnation, RunKey, bool),
+    /// The listing call with this number ended.
     Listed(Incarnation, u64, ListResult),
+    /// A search in the store found these entries.
     Entries(Vec<SocketAddr>),
+    /// The settings changed.
     Reload(Tunables),
+    /// A planned stop begins.
     Stop,
 }
 
-/// How the minion's reports reach the agent.
+/// Sends the minion's reports, changed settings and the order to stop to a
+/// running agent.
 #[derive(Clone, Debug)]
 pub struct AgentHandle {
     inputs: UnboundedSender<Input>,
@@ -88,32 +104,34 @@
 }
 
 impl AgentHandle {
-    /// The minion reported itself; false when the process is about to end.
+    /// Passes on a report of the minion. Returns false if the agent process is
+    /// about to end.
     #[must_use]
     pub fn reported(&self, report: MinionReport) -> bool {
         self.inputs.send(Input::Reported(report)).is_ok()
     }
 
-    /// The minion with this id is about to end; false when the process is, too.
+    /// Passes on that the minion with this id is about to end. Returns false if the
+    /// agent process is about to end as well.
     #[must_use]
     pub fn left(&self, id: Name) -> bool {
         self.inputs.send(Input::MinionLeft(id)).is_ok()
     }
 
-    /// Takes over changed settings.
+    /// Applies changed settings.
     pub fn reload(&self, tunables: Tunables) {
-        // Without a receiver the process is about to end.
+        // The send only fails when the process is about to end.
         let _ = self.inputs.send(Input::Reload(tunables));
     }
 
     /// Begins a planned stop.
     pub fn stop(&self) {
-        // Without a receiver the process is about to end.
+        // The send only fails when the process is about to end.
         let _ = self.inputs.send(Input::Stop);
     }
 }
 
-/// An agent with its connections.
+/// An agent with its connections to entries and its calls to the minion.
 pub struct AgentNode {
     settings: AgentNodeSettings,
     agent: Agent,
@@ -123,14 +141,17 @@
     minion: Rc<dyn MinionPort>,
     inputs: UnboundedSender<Input>,
     queue: UnboundedReceiver<Input>,
+    /// For each connection to an entry, the queue of its frames and the sender
+    /// that ends it when dropped.
     links: BTreeMap<LinkId, (FrameSender, oneshot::Sender<()>)>,
     directory: SharedDirectory,
+    /// When a planned stop began.
     stop_began_at_ms: Option<u64>,
     last_refresh_ms: u64,
-    /// Gains of the directory when it was last looked at for entries to dial.
+    /// Number of discoveries in the directory when entries were last dialed.
     dialed_discoveries: u64,
     last_search_ms: u64,
-    /// Whether a search has no answer yet.
+    /// Whether a search for entries in the store is in progress.
     is_searching: bool,
 }
 
@@ -140,10 +161,12 @@
     }
 }
 
+/// Connects to an entry and serves the connection to its end. Returns whether
+/// the entry sent a frame.
 type DialFn = dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = bool>>>;
 
 impl AgentNode {
-    /// An agent that is not serving yet.
+    /// Creates an agent that connects to entries once [`run`](Self::run) is called.
     #[must_use]
     pub fn new(
         settings: AgentNodeSettings,
@@ -175,7 +198,7 @@
         }
     }
 
-    /// The interface for the minion's reports.
+    /// Returns a handle that passes reports and orders to this agent.
     #[must_use]
     pub fn handle(&self) -> AgentHandle {
         AgentHandle {
@@ -183,7 +206,7 @@
         }
     }
 
-    /// Serves until a planned stop is complete.
+    /// Runs the agent until a planned stop is complete.
     pub async fn run(mut self, store: StoreClient) {
         let mut dialers = self.dialers();
         dialers.refresh();
@@ -224,8 +247,8 @@
         info!(self.log, "stopped"; "runs" => self.agent.active_runs());
     }
 
-    /// Counts the time in which the host was suspended before anything that arrived
-    /// meanwhile is looked at.
+    /// Adds the time of a suspension of the host to the clock. Called before inputs
+    /// that arrived meanwhile are handled.
     fn note_suspension(&self) {
         if let Some(for_ms) = self.clock.observe() {
             self.metrics.event("host-suspended");
@@ -248,7 +271,8 @@
         Dialers::new(Rc::clone(&self.directory), self.clock.clone(), dial)
     }
 
-    /// Looks for entries in the store, until it answers.
+    /// Starts a search for entries in the store, which is retried until the store
+    /// answers.
     fn search(&mut self, store: &StoreClient) {
         self.last_search_ms = self.clock.now_ms();
         self.is_searching = true;
@@ -256,7 +280,7 @@
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
             let announced = store.announced().await;
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::Entries(announced.entries));
         });
     }
@@ -375,7 +399,7 @@
         tokio::task::spawn_local(async move {
             let (incarnation, key) = (call.incarnation.clone(), call.key.clone());
             let result = minion.start(call).await;
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::StartAnswered(incarnation, key, result));
         });
     }
@@ -385,7 +409,7 @@
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
             let is_acknowledged = minion.stop(&incarnation, key.clone(), epoch).await;
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::StopAnswered(incarnation, key, is_acknowledged));
         });
     }
@@ -396,7 +420,7 @@
         tokio::task::spawn_local(async move {
             let incarnation = call.incarnation.clone();
             let result = minion.list(call).await;
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::Listed(incarnation, number, result));
         });
     }
@@ -422,7 +446,8 @@
     }
 }
 
-/// Connects to an entry and reads its frames until the connection ends.
+/// Connects to an entry and reads its frames until the connection ends. Returns
+/// whether the entry sent a frame.
 async fn dial_entry(
     link: LinkId,
     entry: SocketAddr,
@@ -460,7 +485,7 @@
         () = read => {}
         _ = closed => {}
     }
-    // Without a receiver the process is about to end.
+    // The send only fails when the process is about to end.
     let _ = inputs.send(Input::LinkDown(link));
     was_answered
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,14 +1,15 @@
-//! The clock that decisions are made by, in milliseconds.
+//! A clock in milliseconds that includes the time in which the host is suspended.
 //!
-//! The steady clock of the runtime stands still while the host is suspended. A
-//! process that wakes would take its links, grants, leases and listings for as
-//! fresh as they were before, and an agent would start what its entry has long
-//! ordered elsewhere. So decisions go by a clock that counts that time: a
-//! suspension looks like any other time in which the process stood still.
+//! The monotonic clock of the runtime does not advance during a suspension. With
+//! it alone, a process would consider its links, grants, leases and listings as
+//! fresh after a suspension as before, and an agent would start tasks that its
+//! entry has since ordered elsewhere. Decisions therefore use a clock that
+//! includes suspensions: to the core, a suspension looks like any other time in
+//! which the process did not run.
 //!
-//! The time that was slept away is read at each turn of a process's loop, before
-//! anything that arrived is looked at. Timers of the runtime do not count it: one
-//! that was set before fires that much late.
+//! Each iteration of a process's event loop reads the time of a suspension before
+//! it handles inputs that arrived meanwhile. Timers of the runtime do not include
+//! it: one that was set before a suspension fires later by the suspension's length.
 
 use std::cell::Cell;
 use std::fmt;
@@ -19,17 +20,18 @@
 use rustix::time::clock_gettime;
 use tokio::time::Instant;
 
-/// Least difference of the two clocks that counts as a suspension: shorter ones do
-/// no harm, and the two do not run at quite the same rate.
+/// Smallest difference between the two clocks that counts as a suspension. Shorter
+/// suspensions do no harm, and the clocks run at slightly different rates.
 const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Where the time comes from that also counts suspensions.
+/// A time source that includes suspensions of the host.
 pub trait TimeSource {
-    /// Time since some moment before the process began. It never runs back.
+    /// Returns the time since a fixed moment before the process started. It never
+    /// decreases.
     fn elapsed(&self) -> Duration;
 }
 
-/// The time since the host was switched on, also that in which it was suspended.
+/// The time since the host booted, including the time in which it was suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootTime;
 
@@ -42,7 +44,7 @@
     }
 }
 
-/// A clock that begins at zero; clones share what they learned of suspensions.
+/// A clock that starts at zero. Clones share the suspensions that were observed.
 #[derive(Clone)]
 pub struct Clock {
     start: Instant,
@@ -58,13 +60,13 @@
 }
 
 impl Clock {
-    /// A clock of the host that starts now.
+    /// Creates a clock that starts now and uses [`BootTime`].
     #[must_use]
     pub fn start() -> Self {
         Self::with_source(Rc::new(BootTime))
     }
 
-    /// The same with another source of time.
+    /// Creates a clock that starts now and uses `source`.
     #[must_use]
     pub fn with_source(source: Rc<dyn TimeSource>) -> Self {
         Self {
@@ -75,11 +77,12 @@
         }
     }
 
-    /// Looks whether the host was suspended since the last call; for how long, in
-    /// milliseconds, if it was.
+    /// Checks whether the host was suspended since the last call, and adds the time
+    /// to the clock. Returns the length of the suspension in milliseconds.
     pub fn observe(&self) -> Option<u64> {
-        // In this order, a pause between the two readings hides some of a
-        // suspension until the next call, and never makes one up.
+        // In this order, a delay between the two readings can hide a part of a
+        // suspension until the next call, but can never report one that did not
+        // happen.
         let total_elapsed = self.source.elapsed().saturating_sub(self.source_start);
         let steady_elapsed = self.start.elapsed();
         let new_suspension = total_elapsed.saturating_sub(steady_elapsed + self.suspended.get());
@@ -90,14 +93,15 @@
         Some(millis(new_suspension))
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the clock started, including the suspensions
+    /// that were observed.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         millis(self.start.elapsed() + self.suspended.get())
     }
 
-    /// When a timer of the runtime fires for a time in milliseconds since the
-    /// start, if the host is not suspended until then.
+    /// Returns the runtime's instant for a time in milliseconds since the start,
+    /// provided that the host is not suspended until then.
     #[must_use]
     pub fn at(&self, time_ms: u64) -> Instant {
         let steady = Duration::from_millis(time_ms).saturating_sub(self.suspended.get());
--- a/crates/node/src/dialers.rs
+++ b/crates/node/src/dialers.rs
@@ -1,4 +1,4 @@
-//! The connections that a process opens to the entries it knows.
+//! Connections that a process opens to the target entries of its directory.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,14 +11,17 @@
 
 use crate::Clock;
 
-/// First and longest pause before an entry is tried again, in milliseconds.
+/// Pause before an entry is dialed again, in milliseconds. It doubles after each
+/// attempt in which the entry sent nothing.
 const FIRST_PAUSE_MS: u64 = 25;
+/// Longest pause before an entry is dialed again, in milliseconds.
 const MAX_PAUSE_MS: u64 = 100;
 
-/// The directory of a process, shared by its tasks on one thread.
+/// The directory of a process, shared by its asynchronous tasks on one thread.
 pub(crate) type SharedDirectory = Rc<RefCell<Directory>>;
 
-/// Keeps one task that dials each entry of the directory.
+/// Keeps one asynchronous task for each target entry of the directory, which dials
+/// the entry again whenever its connection ends.
 pub(crate) struct Dialers<F> {
     directory: SharedDirectory,
     clock: Clock,
@@ -31,8 +34,8 @@
     F: Fn(SocketAddr) -> R + 'static,
     R: Future<Output = bool> + 'static,
 {
-    /// `dial` opens a connection, serves it to its end, and tells whether it
-    /// was of use.
+    /// Creates dialers without tasks. `dial` opens a connection, serves it to its
+    /// end, and returns whether the entry sent anything.
     pub(crate) fn new(directory: SharedDirectory, clock: Clock, dial: F) -> Self {
         Self {
             directory,
@@ -42,7 +45,7 @@
         }
     }
 
-    /// Starts a task for each entry that has none.
+    /// Starts a task for each target entry that has none.
     pub(crate) fn refresh(&mut self) {
         self.tasks.retain(|_, task| !task.is_finished());
         let targets = self.directory.borrow_mut().targets(self.clock.now_ms());
@@ -57,6 +60,7 @@
     }
 }
 
+/// Dials an entry again and again while it is a target.
 async fn keep_dialing<F, R>(
     entry: SocketAddr,
     directory: SharedDirectory,
--- a/crates/node/src/entry_handle.rs
+++ b/crates/node/src/entry_handle.rs
@@ -1,4 +1,5 @@
-//! How the interface for callers reaches an entry.
+//! The inputs of an entry, and the handle through which the HTTP interface for
+//! callers reaches the entry.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -33,36 +34,53 @@
 use crate::links::FrameSender;
 use crate::stored_calls::StoredCalls;
 
-/// Time in which the entries divide the job log for the first time, in
-/// milliseconds; all entries have learned of it and joined by then.
+/// Time in which the entries divide the job log among themselves for the first
+/// time, in milliseconds: all entries have learned of the first stored job and
+/// joined the group of owners by then.
 const GROUP_FORMATION_MS: u64 = 2_000;
 
-/// What reaches an entry from its connections and callers.
+/// An input of an entry's event loop.
 pub(crate) enum Input {
+    /// An agent connected. The last field stops the task that reads its frames.
     AgentUp(LinkId, AgentHello, FrameSender, AbortHandle),
+    /// An agent sent a frame.
     AgentFrame(LinkId, AgentFrame),
+    /// The connection of an agent ended.
     LinkDown(LinkId),
+    /// The entry at this address sent a frame.
     Peer(SocketAddr, PeerFrame),
+    /// A caller submits a job and waits for its outcome.
     Submit(CallerId, Job, oneshot::Sender<JobOutcome>),
+    /// A caller left before its job was answered.
     CallerLeft(CallerId),
+    /// Cancels the job with this id if its caller waits here; the answer is whether it
+    /// was cancelled.
     Cancel(Name, oneshot::Sender<bool>),
+    /// Asks for the number of jobs of this queue whose callers wait here and of
+    /// which nothing has started.
     Pending(Name, oneshot::Sender<usize>),
+    /// The store has new records of the operators.
     Operators(OperatorUpdate),
+    /// Entries that announced themselves in the store.
     Entries(Vec<SocketAddr>),
+    /// It is time to compare the set of known entries with the one sent last.
     Refresh,
+    /// An input about stored jobs.
     Stored(StoredInput),
+    /// The settings changed.
     Reload(Tunables),
+    /// A planned stop begins.
     Stop,
 }
 
-/// How the interface for callers reaches the entry.
+/// Handle of a running entry for the HTTP interface towards callers.
 #[derive(Clone, Debug)]
 pub struct EntryHandle {
     inputs: UnboundedSender<Input>,
     table: Rc<RefCell<Arc<RoutingTable>>>,
     is_ready: Rc<Cell<bool>>,
     next_caller: Rc<Cell<u64>>,
-    /// Since when it is known that there are stored jobs.
+    /// When this entry learned that there are stored jobs.
     stored_jobs_known_since: Rc<Cell<Option<Instant>>>,
     stored_calls: Rc<StoredCalls>,
 }
@@ -79,7 +97,7 @@
     }
 }
 
-/// Tells the entry when a caller goes away before its answer.
+/// Reports [`Input::CallerLeft`] when it is dropped before the job is answered.
 struct CallerGuard {
     caller: CallerId,
     inputs: UnboundedSender<Input>,
@@ -89,7 +107,7 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.is_answered {
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = self.inputs.send(Input::CallerLeft(self.caller));
         }
     }
@@ -119,29 +137,28 @@
         self.is_ready.set(is_ready);
     }
 
-    /// The queue of a request.
+    /// Returns the queue for a request to this host and path.
     ///
     /// # Errors
     ///
-    /// [`RouteError`] when there is none.
+    /// Returns a [`RouteError`] if the configuration has no such queue.
     pub fn find(&self, host: &str, path: &str) -> Result<Arc<Queue>, RouteError> {
         self.table.borrow().find(host, path)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn table(&self) -> Arc<RoutingTable> {
         Arc::clone(&self.table.borrow())
     }
 
-    /// Whether the balancer may send requests here.
+    /// Returns whether the balancer may send requests to this entry.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.is_ready.get()
     }
 
-    /// Submits a job and waits for its end. When the caller drops this, the
-    /// job is stopped.
+    /// Submits a job and waits for its outcome. Dropping the future stops the job.
     pub async fn submit(&self, job: Job) -> JobOutcome {
         let caller = CallerId(self.next_caller.get());
         self.next_caller.set(caller.0 + 1);
@@ -169,12 +186,11 @@
         outcome
     }
 
-    /// Submits a job that is to be kept until it has ended; the answer comes
-    /// when it lies in the job log, or is refused.
+    /// Submits a stored job. Returns once the job log holds it or it is refused.
     pub async fn store(&self, job: StoredJob, wait_ms: u64) -> StoredAnswer {
         let known_since = self.stored_jobs_known_since.get();
         if known_since.is_none() {
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = self.inputs.send(Input::Stored(StoredInput::FirstJob));
         }
         let formation = Duration::from_millis(GROUP_FORMATION_MS);
@@ -182,7 +198,7 @@
         self.stored_calls.submit(job, wait_ms, is_forming).await
     }
 
-    /// How far a stored job is.
+    /// Returns the state of a stored job.
     pub async fn state(&self, job: Name, wait_ms: u64) -> StoredAnswer {
         if let Some(answer) = self.answer_if_no_stored_jobs().await {
             return answer;
@@ -191,7 +207,7 @@
         self.stored_calls.ask(&job, call, wait_ms).await
     }
 
-    /// Cancels a job, whether its caller waits for it here or it is stored.
+    /// Cancels a job whose caller waits at this entry, or a stored job.
     pub async fn cancel(&self, job: Name, wait_ms: u64) -> StoredAnswer {
         let (answer, is_cancelled) = oneshot::channel();
         let is_sent = self.inputs.send(Input::Cancel(job.clone(), answer)).is_ok();
@@ -205,14 +221,15 @@
         self.stored_calls.ask(&job, call, wait_ms).await
     }
 
-    /// The answer about any job where no job is stored, or that cannot be told.
+    /// Returns the answer for any job id if there are no stored jobs, or if the
+    /// store does not say whether there are; `None` if there are stored jobs.
     async fn answer_if_no_stored_jobs(&self) -> Option<StoredAnswer> {
         if self.stored_jobs_known_since.get().is_some() {
             return None;
         }
         match self.stored_calls.is_in_use().await {
             Some(true) => {
-                // Without a receiver the process is about to end.
+                // The send only fails when the process is about to end.
                 let _ = self.inputs.send(Input::Stored(StoredInput::JobsKnown));
                 None
             }
@@ -221,8 +238,9 @@
         }
     }
 
-    /// Jobs of a queue of which nothing has started: those whose callers wait
-    /// here, and stored ones anywhere. `None` when those cannot be counted.
+    /// Returns the number of jobs of a queue of which nothing has started: those
+    /// whose callers wait at this entry, and the stored ones at all owners. `None`
+    /// if the stored ones cannot be counted.
     pub async fn pending(&self, queue: Name) -> Option<usize> {
         let (answer, pending) = oneshot::channel();
         let is_sent = self.inputs.send(Input::Pending(queue.clone(), answer));
@@ -237,15 +255,15 @@
         stored.map(|stored| waiting_here + stored)
     }
 
-    /// Takes over changed settings.
+    /// Applies changed settings.
     pub fn reload(&self, tunables: Tunables) {
-        // Without a receiver the process is about to end.
+        // The send only fails when the process is about to end.
         let _ = self.inputs.send(Input::Reload(tunables));
     }
 
     /// Begins a planned stop.
     pub fn stop(&self) {
-        // Without a receiver the process is about to end.
+        // The send only fails when the process is about to end.
         let _ = self.inputs.send(Input::Stop);
     }
 }
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -1,4 +1,5 @@
-//! The process around an entry's decisions.
+//! The entry process: runs the decision core [`Dispatcher`] and the [`Ledger`] of
+//! stored jobs with their connections to agents, other entries and the store.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -56,34 +57,35 @@
 use crate::ports::JobLogPort;
 use crate::stored_calls::StoredCalls;
 
-/// Pause between two looks at the directory, in milliseconds.
+/// Time between two checks of the directory for entries to connect to and to send
+/// to others, in milliseconds.
 const REFRESH_INTERVAL_MS: u64 = 500;
-/// Time before the end of a planned stop from which jobs are refused, in
-/// milliseconds: most end within it.
+/// Time before the end of a planned stop from which new jobs are refused, in
+/// milliseconds: most accepted jobs end within it.
 const REFUSE_BEFORE_END_MS: u64 = 2_000;
-/// Time for the last answers to be written before the process ends, in
+/// Time that the process leaves for writing the last answers before it ends, in
 /// milliseconds.
 const FLUSH_MS: u64 = 150;
 
 /// Settings of an entry's process.
 #[derive(Clone, Debug)]
 pub struct EntryNodeSettings {
-    /// Where agents and other entries connect.
+    /// Address on which agents and other entries connect.
     pub link_addr: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
-    /// Time after the signal for which requests are still taken, in
-    /// milliseconds: the balancer needs two checks to notice.
+    /// Time after the stop signal for which requests are still accepted, in
+    /// milliseconds: the balancer notices the stop after two readiness checks.
     pub stop_notice_ms: u64,
-    /// Parts of the job log.
+    /// Number of partitions of the job log.
     pub partitions: u32,
-    /// Appends that the store takes each second.
+    /// Number of appends that the store takes each second.
     pub store_writes_per_s: u32,
-    /// What may change while it runs.
+    /// Settings that can change without a restart.
     pub tunables: Tunables,
 }
 
-/// An entry with its connections.
+/// An entry with its connections to callers, agents, other entries and the store.
 pub struct EntryNode {
     settings: EntryNodeSettings,
     pub(crate) dispatcher: Dispatcher,
@@ -92,10 +94,13 @@
     metrics: Rc<Metrics>,
     pub(crate) inputs: UnboundedSender<Input>,
     queue: UnboundedReceiver<Input>,
+    /// For each agent's connection, the queue of its frames and the handle that
+    /// stops the task that reads it.
     links: BTreeMap<LinkId, (FrameSender, AbortHandle)>,
     callers: BTreeMap<CallerId, oneshot::Sender<JobOutcome>>,
     directory: SharedDirectory,
-    /// Gains of the directory that agents and entries were told of.
+    /// Number of discoveries in the directory when entries were last sent to agents
+    /// and other entries.
     sent_discoveries: u64,
     pub(crate) gossip: watch::Sender<GossipState>,
     pub(crate) handle: EntryHandle,
@@ -104,8 +109,10 @@
     pub(crate) stored_callers: BTreeMap<StoredCaller, oneshot::Sender<StoredAnswer>>,
     pub(crate) next_stored_caller: u64,
     pub(crate) is_announcing_stored_jobs: bool,
+    /// Becomes true when connections of callers are to end.
     http_stop: watch::Sender<bool>,
     open_connections: OpenConnections,
+    /// When a planned stop began.
     stop_began_at_ms: Option<u64>,
 }
 
@@ -116,7 +123,7 @@
 }
 
 impl EntryNode {
-    /// An entry that is not serving yet.
+    /// Creates an entry that accepts connections once [`run`](Self::run) is called.
     #[must_use]
     pub fn new(
         settings: EntryNodeSettings,
@@ -172,29 +179,31 @@
         }
     }
 
-    /// The interface for callers.
+    /// Returns a handle through which callers reach this entry.
     #[must_use]
     pub fn handle(&self) -> EntryHandle {
         self.handle.clone()
     }
 
-    /// Becomes true when connections of callers are to end.
+    /// Returns a signal that becomes true when connections of callers are to end.
     #[must_use]
     pub fn http_stop(&self) -> watch::Receiver<bool> {
         self.http_stop.subscribe()
     }
 
-    /// Counts the connections of callers, which a planned stop waits for.
+    /// Returns the counter of callers' connections. A planned stop waits until it
+    /// is zero.
     #[must_use]
     pub fn open_connections(&self) -> OpenConnections {
         self.open_connections.clone()
     }
 
-    /// Serves until a planned stop is complete.
+    /// Runs the entry until a planned stop is complete.
     ///
     /// # Errors
     ///
-    /// The error of the listener for agents and entries.
+    /// Returns the I/O error if the address for agents and other entries cannot be
+    /// bound.
     pub async fn run(mut self, store: StoreClient) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.settings.link_addr).await?;
         tokio::task::spawn_local(agent_links::accept(
@@ -246,8 +255,8 @@
         Ok(())
     }
 
-    /// Counts the time in which the host was suspended before anything that arrived
-    /// meanwhile is looked at.
+    /// Adds the time of a suspension of the host to the clock. Called before inputs
+    /// that arrived meanwhile are handled.
     fn note_suspension(&self) {
         if let Some(for_ms) = self.clock.observe() {
             self.metrics.event("host-suspended");
@@ -308,11 +317,11 @@
             }
             Input::Cancel(job, answer) => {
                 let is_cancelled = self.dispatcher.cancel(now_ms, &job);
-                // A caller that left needs no answer.
+                // The send only fails if the caller has left.
                 let _ = answer.send(is_cancelled);
             }
             Input::Pending(queue, answer) => {
-                // A caller that left needs no answer.
+                // The send only fails if the caller has left.
                 let _ = answer.send(self.dispatcher.pending(&queue));
             }
             Input::Operators(update) => {
@@ -354,7 +363,7 @@
         self.dispatcher.learn_crashes(now_ms, frame.crashes);
     }
 
-    /// Tells other entries of crashes that became known here.
+    /// Spreads crashes that became known here to other entries.
     fn gossip_crashes(&mut self) {
         let crashes = self.dispatcher.crashes();
         if self.gossip.borrow().crashes.last() != crashes.last() {
@@ -363,8 +372,9 @@
         }
     }
 
-    /// Takes over which zones are being emptied, ahead of a configuration that is
-    /// told beside it: an entry that serves knows both.
+    /// Applies the set of evacuated zones if it is newer. Callers do this before they
+    /// apply a configuration from the same message, so that an entry that is ready
+    /// because of the configuration also has the evacuations.
     fn evacuate(&mut self, now_ms: u64, newer: &Evacuations) {
         if self.dispatcher.evacuate(now_ms, newer) {
             let newer = newer.clone();
@@ -372,6 +382,7 @@
         }
     }
 
+    /// Applies a configuration if it is newer, and spreads it to other entries.
     fn configure(&mut self, table: RoutingTable) {
         if self.dispatcher.configure(table) {
             let table = Arc::new(self.dispatcher.table().clone());
@@ -380,8 +391,8 @@
         }
     }
 
-    /// Tells of entries that became known since the last call; whether there
-    /// are any.
+    /// Spreads the entries that became known since the last call. Returns whether
+    /// there were any.
     fn has_new_entries(&mut self) -> bool {
         let discoveries = self.directory.borrow().discoveries();
         let is_changed = discoveries != self.sent_discoveries;
@@ -392,7 +403,8 @@
         is_changed
     }
 
-    /// Tells entries and agents when the set of entries changed.
+    /// Sends the set of recently seen entries to other entries and agents if it
+    /// changed.
     fn spread_entries(&mut self, now_ms: u64) {
         let entries = self.directory.borrow().recent_addrs(now_ms);
         if self.gossip.borrow().entries != entries {
@@ -410,6 +422,7 @@
         }
     }
 
+    /// Takes the steps of a planned stop that are due.
     fn advance_stop(&mut self) {
         let Some(stop_began_at_ms) = self.stop_began_at_ms else {
             return;
@@ -438,7 +451,7 @@
             match action {
                 DispatcherAction::Answer(caller, outcome) => {
                     if let Some(answer) = self.callers.remove(&caller) {
-                        // A caller that left needs no answer.
+                        // The send only fails if the caller has left.
                         let _ = answer.send(outcome);
                     }
                 }
@@ -460,6 +473,7 @@
         }
     }
 
+    /// Logs and counts an event.
     pub(crate) fn event(&self, event: &EntryEvent) {
         match (&event.job, event.took_ms) {
             (Some(job), Some(took_ms)) => {
@@ -478,9 +492,12 @@
     }
 }
 
+/// Connects to an entry and serves the connection to its end. Returns whether
+/// the entry acknowledged a frame.
 type DialFn = dyn Fn(SocketAddr) -> std::pin::Pin<Box<dyn Future<Output = bool>>>;
 
-/// The connections to other entries.
+/// Dialers for the connections to other entries, with the time of their last
+/// refresh.
 struct PeerDialers {
     dialers: Dialers<Box<DialFn>>,
     last_refresh_ms: u64,
@@ -500,6 +517,7 @@
     }
 }
 
+/// Passes on what the store's operator records say; never returns.
 async fn watch_store(
     store: StoreClient,
     gossip: watch::Receiver<GossipState>,
@@ -513,13 +531,13 @@
         }
     };
     let on_update = |update| {
-        // Without a receiver the process is about to end.
+        // The send only fails when the process is about to end.
         let _ = inputs.send(Input::Operators(update));
     };
     store.watch(hedge_context, on_update).await;
 }
 
-/// Makes the entry known, and finds those that are known already.
+/// Finds the entries that are announced in the store, and announces this one.
 async fn announce_and_discover(
     store: StoreClient,
     own_addr: SocketAddr,
@@ -527,10 +545,10 @@
 ) {
     let announced = store.announced().await;
     let is_announced = announced.entries.contains(&own_addr);
-    // Without a receiver the process is about to end.
+    // The send only fails when the process is about to end.
     let _ = inputs.send(Input::Entries(announced.entries));
     if announced.has_stored_jobs {
-        // Without a receiver the process is about to end.
+        // The send only fails when the process is about to end.
         let _ = inputs.send(Input::Stored(StoredInput::JobsKnown));
     }
     if !is_announced {
@@ -538,6 +556,7 @@
     }
 }
 
+/// Sends [`Input::Refresh`] regularly until the entry ends.
 async fn send_refreshes(inputs: UnboundedSender<Input>) {
     while inputs.send(Input::Refresh).is_ok() {
         tokio::time::sleep(Duration::from_millis(REFRESH_INTERVAL_MS)).await;
--- a/crates/node/src/entry_stored.rs
+++ b/crates/node/src/entry_stored.rs
@@ -1,5 +1,5 @@
-//! An entry's part in serving stored jobs: what reaches its ledger, and what the
-//! ledger asks for.
+//! Stored jobs in the entry process: passes inputs to the ledger and executes the
+//! ledger's actions.
 
 use gannetvane_dispatch::AppendResult;
 use gannetvane_dispatch::Assignment;
@@ -16,28 +16,31 @@
 use crate::StoreClient;
 use crate::entry_handle::Input;
 
-/// What reaches an entry about stored jobs.
+/// An input of an entry's event loop about stored jobs.
 pub(crate) enum StoredInput {
-    /// A call for the owner of a job's partition.
+    /// A call to this entry as the owner of a job's partition.
     Call(StoredCall, oneshot::Sender<StoredAnswer>),
-    /// The first stored job that this entry sees.
+    /// A caller submits a stored job, and this entry knows of none yet.
     FirstJob,
-    /// There are stored jobs.
+    /// It became known that there are stored jobs.
     JobsKnown,
-    /// The answer to a join that was sent at this time, if there was one.
+    /// The end of a join that was sent at this time in milliseconds; `None` if it
+    /// failed.
     Joined(u64, Option<Assignment>),
-    /// The answer to an append.
+    /// The end of an append.
     Appended {
         partition: Partition,
         epoch: u32,
         number: u64,
         result: AppendResult,
     },
-    /// The records of a partition, if they could be read.
+    /// The end of the read with this number: the records of the partition; `None`
+    /// if the read failed.
     Loaded(Partition, u64, Option<Vec<LogRecord>>),
 }
 
 impl EntryNode {
+    /// Passes an input about stored jobs to the ledger.
     pub(crate) fn handle_stored_input(
         &mut self,
         now_ms: u64,
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Takes part in serving stored jobs, and lets others know of them.
+    /// Starts to serve stored jobs, and spreads to other entries that there are some.
     pub(crate) fn activate_ledger(&mut self, now_ms: u64) {
         if self.ledger.activate(now_ms) {
             info!(self.log, "stored-jobs-known");
@@ -83,8 +86,8 @@
         }
     }
 
-    /// Announces the first stored job, before it is taken: otherwise nobody
-    /// would look for it if all entries were restarted.
+    /// Announces in the store that there are stored jobs, before the first one is
+    /// accepted: otherwise no entry would look for it after a restart of all entries.
     fn announce_stored_jobs(&mut self, store: &StoreClient) {
         if self.ledger.is_active() || self.is_announcing_stored_jobs {
             return;
@@ -94,17 +97,18 @@
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
             store.announce_stored_jobs().await;
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::Stored(StoredInput::JobsKnown));
         });
     }
 
+    /// Executes the actions that the ledger has asked for.
     pub(crate) fn execute_ledger_actions(&mut self) {
         for action in self.ledger.take_actions() {
             match action {
                 LedgerAction::Answer(caller, stored) => {
                     if let Some(answer) = self.stored_callers.remove(&caller) {
-                        // A caller that left needs no answer.
+                        // The send only fails if the caller has left.
                         let _ = answer.send(stored);
                     }
                 }
--- a/crates/node/src/hedging.rs
+++ b/crates/node/src/hedging.rs
@@ -1,34 +1,37 @@
-//! Repeats a call to the store beside one that may hang. Entries pass on what one of
-//! them learns, so they share the repeated calls out among themselves.
+//! Hedged calls to the store: while a call may hang, entries make further identical
+//! calls and take the first answer. An entry passes the answer on to the others, so
+//! only some of the entries make a hedged call in each pause.
 
 use std::future::Future;
 use std::time::Duration;
 
-/// Shortest and longest pause between two repeated calls, in milliseconds.
+/// Shortest pause between two hedged calls, in milliseconds.
 const MIN_PAUSE_MS: u64 = 150;
+/// Longest pause between two hedged calls, in milliseconds.
 const MAX_PAUSE_MS: u64 = 450;
-/// Repeated calls of all entries together within a pause, on average.
+/// Average number of hedged calls that all entries together make within a pause.
 const HEDGED_CALLS_PER_PAUSE: f64 = 6.0;
 
-/// What an entry knows without the store.
+/// What an entry knows when it decides whether to make a hedged call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HedgeContext {
-    /// Whether a configuration is in force here.
+    /// Whether this entry has a configuration in force.
     pub is_configured: bool,
-    /// Entries that are known, this one included.
+    /// Number of entries that are known, including this one.
     pub entries: usize,
 }
 
 impl HedgeContext {
-    /// Whether this entry is among those that repeat the call; `draw` is a random
-    /// number from 0 to 1.
+    /// Returns whether this entry makes a hedged call in this pause; `draw` is a
+    /// random number from 0 to 1.
     #[expect(clippy::cast_precision_loss, reason = "entries are few")]
     fn should_hedge(self, draw: f64) -> bool {
         !self.is_configured && draw * (self.entries as f64) < HEDGED_CALLS_PER_PAUSE
     }
 }
 
-/// The first answer to a repeated call. A call ends with the pause after it.
+/// Makes hedged calls until one is answered, and returns that answer. Each call is
+/// dropped when the pause that starts with it ends.
 pub(crate) async fn first_answer<T, E, R>(
     hedge_context: impl Fn() -> HedgeContext,
     attempt: impl Fn() -> R,
--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -1,8 +1,8 @@
-//! Calls over HTTP/1.1 on connections that stay open.
+//! An HTTP/1.1 client that keeps its connections open.
 //!
-//! A connection can go silent for good without a reset. When a call times out
-//! and nothing was answered of late, all idle connections are suspect and are
-//! given up with it, so that the next call opens a new one.
+//! A connection can stop to pass data without a reset. When a call times out and
+//! no call was answered recently, the client therefore drops all idle connections,
+//! so that the next call opens a new one.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -25,45 +25,48 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Connections to one address that are kept open without a call.
+/// Largest number of connections to one address that stay open without a call.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// Time to open a connection, in milliseconds.
+/// Timeout for opening a connection, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Largest answer in bytes.
+/// Size of the largest response body that is accepted, in bytes.
 const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Time without any answer after which idle connections are suspect when a call
-/// times out, in milliseconds, or the time of the call if that is less.
+/// Age up to which an answer counts as recent, in milliseconds, or the timeout of
+/// the call if that is shorter. A call that times out without a recent answer makes
+/// all idle connections suspect.
 const RECENT_ANSWER_MS: u64 = 250;
 
-/// Rounds of the event loop in which an answer that has arrived gets through
-/// the connection's own task to its caller.
+/// Number of rounds of the event loop in which an answer that has arrived passes
+/// through the connection's own task to its caller.
 const YIELDS_AFTER_TIMEOUT: usize = 6;
 
-/// A call without an answer. It may have been carried out.
+/// Why a call has no answer. The server may have carried out the call, except for
+/// [`Refused`](Self::Refused), [`Unopened`](Self::Unopened) and
+/// [`Invalid`](Self::Invalid).
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No answer in time.
+    /// The answer did not arrive within this many milliseconds.
     #[error("no answer within {0} ms")]
     TimedOut(u64),
-    /// Nobody takes connections there: the call was not sent.
+    /// The address refused the connection: the call was not sent.
     #[error("connection refused")]
     Refused,
-    /// The connection could not be opened.
+    /// The connection could not be opened: the call was not sent.
     #[error("connection not opened: {0}")]
     Unopened(String),
     /// The connection broke before the whole answer had arrived.
     #[error("connection broke: {0}")]
     Broken(String),
-    /// The call itself cannot be written.
+    /// The call could not be encoded: it was not sent.
     #[error("call not valid: {0}")]
     Invalid(String),
 }
 
-/// An answer.
+/// An HTTP response with its whole body.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The body.
     pub body: Bytes,
@@ -71,17 +74,17 @@
 
 type PooledClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A client of one address.
+/// An HTTP client for one address. Clones share its connections.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     addr: SocketAddr,
     client: Rc<RefCell<PooledClient>>,
-    /// When a call was last answered.
+    /// When a call last ended without a timeout.
     last_answer_at: Rc<Cell<Option<Instant>>>,
 }
 
 impl HttpClient {
-    /// A client of `addr`.
+    /// Creates a client for `addr`, without connections.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
         Self {
@@ -95,7 +98,8 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] without a whole answer in time.
+    /// Returns a [`CallError`] if the call cannot be sent, or if the whole answer does
+    /// not arrive within `timeout_ms`.
     pub async fn call(
         &self,
         method: Method,
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Gives up all idle connections unless something was answered of late.
+    /// Drops all idle connections unless a call was answered recently.
     fn drop_suspect_connections(&self, timeout_ms: u64) {
         let recent = Duration::from_millis(timeout_ms.min(RECENT_ANSWER_MS));
         let last_answer_at = self.last_answer_at.get();
@@ -152,7 +156,7 @@
     }
 }
 
-/// Why a call got no response.
+/// Converts the client's error into a [`CallError`].
 fn connection_error(error: &hyper_util::client::legacy::Error) -> CallError {
     if !error.is_connect() {
         return CallError::Broken(error.to_string());
@@ -179,8 +183,8 @@
         .build(connector)
 }
 
-/// Waits, and then lets answers go first that arrived while this process stood
-/// still.
+/// Waits for the timeout, and then yields so that answers which arrived while this
+/// process did not run are received first.
 async fn wait_for_timeout(timeout: Duration) {
     tokio::time::sleep(timeout).await;
     for _ in 0..YIELDS_AFTER_TIMEOUT {
--- a/crates/node/src/http_server.rs
+++ b/crates/node/src/http_server.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards callers, with connections that stay open until a planned
+//! An HTTP/1.1 server for callers, whose connections stay open until a planned
 //! stop.
 
 use std::cell::Cell;
@@ -24,35 +24,36 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Longest time for the header of a request, in milliseconds. Configured
-/// limits are not below it on the users' sites.
+/// Timeout for reading the header of a request, in milliseconds. The limits that
+/// users configure on their sites are not below it.
 const HEADER_TIMEOUT_MS: u64 = 15_000;
-/// Pause after a connection could not be accepted, in milliseconds.
+/// Pause after a failed accept, in milliseconds.
 const ACCEPT_PAUSE_MS: u64 = 20;
 
 /// A response of the server.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// Counts the connections that are open.
+/// A counter of open connections. Clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct OpenConnections {
     count: Rc<Cell<usize>>,
 }
 
 impl OpenConnections {
-    /// Connections that are open now.
+    /// Returns the number of connections that are open now.
     #[must_use]
     pub fn count(&self) -> usize {
         self.count.get()
     }
 
+    /// Counts a connection until the returned guard is dropped.
     fn register(&self) -> OpenConnection {
         self.count.set(self.count.get() + 1);
         OpenConnection(self.clone())
     }
 }
 
-/// One open connection.
+/// Guard that counts one open connection until it is dropped.
 struct OpenConnection(OpenConnections);
 
 impl Drop for OpenConnection {
@@ -61,8 +62,8 @@
     }
 }
 
-/// Accepts connections until `stop` is true, then ends each after the request
-/// that it serves.
+/// Accepts connections until `stop` is true, and then closes each connection after
+/// the request in progress.
 pub async fn serve_http<F, R>(
     listener: TcpListener,
     handler: F,
--- a/crates/node/src/job_log.rs
+++ b/crates/node/src/job_log.rs
@@ -1,5 +1,4 @@
-//! Carries out what the ledger asks of the job log, each call in a task of its
-//! own.
+//! Calls to the job log on behalf of the ledger, each in its own asynchronous task.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,10 +15,11 @@
 use crate::ports::AppendCall;
 use crate::ports::JobLogPort;
 
-/// Pause after a read that failed, in milliseconds.
+/// Pause after a failed read, in milliseconds.
 const LOAD_RETRY_PAUSE_MS: u64 = 100;
 
-/// Makes the calls to the job log.
+/// Makes the ledger's calls to the job log, and sends their results to the entry's
+/// event loop.
 pub(crate) struct JobLogCalls {
     job_log: Rc<dyn JobLogPort>,
     inputs: UnboundedSender<Input>,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Begins a call that the ledger asks for; its result comes as an input.
+    /// Starts a call that the ledger asks for; its result arrives as an input.
     pub(crate) fn start_call(&self, action: LedgerAction) {
         match action {
             LedgerAction::Join { generation } => self.join(generation),
@@ -78,7 +78,7 @@
                     None
                 }
             };
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::Stored(StoredInput::Joined(sent_ms, assignment)));
         });
     }
@@ -88,7 +88,8 @@
         let log = self.log.clone();
         tokio::task::spawn_local(async move {
             if let Err(error) = job_log.leave().await {
-                // The store gives the partitions away when the joins end.
+                // Without further joins, the store gives the partitions to other
+                // entries.
                 warn!(log, "store-lost"; "call" => "leave", "error" => %error);
             }
         });
@@ -99,7 +100,7 @@
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
             let result = job_log.append(&call).await;
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::Stored(StoredInput::Appended {
                 partition: call.partition,
                 epoch: call.epoch,
@@ -122,7 +123,7 @@
                     None
                 }
             };
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::Stored(StoredInput::Loaded(partition, load, records)));
         });
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,9 @@
-//! Processes around the decisions of `gannetvane-dispatch`.
+//! Entry and agent processes around the decision core in `gannetvane-dispatch`.
 //!
-//! One thread, one event loop, and the clock of the runtime: it sleeps until
-//! the next thing is due. What speaks to callers, minions and the store of a
-//! deployment implements the traits in [`ports`].
+//! Each process runs on one thread. Its event loop passes inputs from
+//! connections and calls to the core, executes the actions that the core asks
+//! for, and sleeps until the core's next deadline. A deployment connects its
+//! minions and its store by implementing the traits in [`ports`].
 
 mod agent_links;
 mod agent_node;
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -1,4 +1,5 @@
-//! Connections between processes: TCP with frames of a length and `postcard`.
+//! Connections between processes: TCP with length-delimited frames that are encoded
+//! by `postcard`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,31 +16,32 @@
 use tokio_util::codec::FramedRead;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Largest frame in bytes: thousands of starts with a full text each would not
-/// fit, and are split by the time that room comes up.
+/// Size of the largest frame, in bytes. Thousands of starts with a full-length spec
+/// each would not fit, but they are spread over many frames, since a start is only
+/// sent once there are free resources for it.
 const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
-/// Time to open a connection, in milliseconds: hosts are a few apart, and one
-/// that was just switched on loses the first packet.
+/// Timeout for opening a connection, in milliseconds: hosts are a few milliseconds
+/// apart, and the first packet to a host that was just switched on is lost.
 const CONNECT_TIMEOUT_MS: u64 = 200;
 
-/// The frames that arrive on a connection.
+/// Reads the frames that arrive on a connection.
 pub(crate) type FrameReader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
-/// The sending side of a connection; the connection closes when it is dropped
-/// and all frames are written.
+/// Sends frames on a connection. Once it is dropped and all frames are written, the
+/// connection closes.
 #[derive(Clone, Debug)]
 pub(crate) struct FrameSender {
     queue: UnboundedSender<Bytes>,
 }
 
 impl FrameSender {
-    /// Queues a frame; a broken connection is told by its reader.
+    /// Queues a frame. The connection's reader reports when the connection breaks.
     pub(crate) fn send(&self, frame: Vec<u8>) {
         let _ = self.queue.send(Bytes::from(frame));
     }
 }
 
-/// Opens a connection.
+/// Opens a connection to `addr`.
 pub(crate) async fn connect(addr: SocketAddr) -> std::io::Result<TcpStream> {
     let connecting = TcpStream::connect(addr);
     match tokio::time::timeout(Duration::from_millis(CONNECT_TIMEOUT_MS), connecting).await {
@@ -48,7 +50,7 @@
     }
 }
 
-/// Splits a connection into frames that arrive and a queue of those to send.
+/// Splits a connection into a reader of frames and a queue of frames to send.
 pub(crate) fn split(stream: TcpStream) -> std::io::Result<(FrameReader, FrameSender)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
@@ -57,7 +59,7 @@
     Ok((FramedRead::new(read, codec()), FrameSender { queue }))
 }
 
-/// The next frame; `None` when the connection is over.
+/// Returns the next frame; `None` when the connection has ended.
 pub(crate) async fn next_frame(reader: &mut FrameReader) -> Option<Bytes> {
     match reader.next().await {
         Some(Ok(frame)) => Some(frame.freeze()),
@@ -71,7 +73,7 @@
         .new_codec()
 }
 
-/// Writes all frames that wait in one call.
+/// Writes queued frames, as many as there are in one call.
 async fn write_frames(mut write: OwnedWriteHalf, mut frames: UnboundedReceiver<Bytes>) {
     let mut buffer = Vec::new();
     while let Some(frame) = frames.recv().await {
@@ -84,10 +86,11 @@
             return;
         }
     }
-    // The other side learns of the end by the closed connection.
+    // The other side's reader ends when the connection closes, also if this fails.
     let _ = write.shutdown().await;
 }
 
+/// Appends a frame and its length to the buffer.
 fn append_frame(buffer: &mut Vec<u8>, frame: &Bytes) {
     let length = u32::try_from(frame.len()).unwrap_or(u32::MAX);
     buffer.extend_from_slice(&length.to_be_bytes());
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines, never blocking.
+//! Non-blocking logs as JSON lines.
 
 use std::io::Write;
 
@@ -11,12 +11,12 @@
 use slog::o;
 use slog_async::OverflowStrategy;
 
-/// Lines that wait to be written before further ones are dropped and counted.
+/// Number of lines that can wait to be written; further ones are dropped and counted.
 const QUEUED_LINES: usize = 2_048;
 
-/// A logger that writes one JSON object a line to `output`. The name of the event is in
-/// the field `event`. When output is slow, lines are dropped and the next line
-/// tells how many.
+/// Creates a logger that writes one JSON object a line to `output`. The name of the
+/// event is in the field `event`. When `output` is slow, lines are dropped, and the
+/// next line contains their number.
 pub fn logger<W>(level: Level, role: &'static str, node: String, output: W) -> Logger
 where
     W: Write + Send + 'static,
@@ -41,7 +41,7 @@
 
 fn unix_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    // A clock before 1970 is shown as 0; the line itself matters more.
+    // A clock before 1970 is written as 0, so that the line is not lost.
     since.map_or(0, |since| {
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     })
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters and histograms by OpenTelemetry, read by a scraper over HTTP.
+//! OpenTelemetry counters and histograms, in the text format that a Prometheus
+//! server scrapes over HTTP.
 
 use std::fmt;
 
@@ -33,7 +34,7 @@
 }
 
 impl Metrics {
-    /// New metrics, all at zero.
+    /// Creates the metrics, all at zero.
     #[must_use]
     pub fn new() -> Self {
         let (registry, provider) = exported_provider();
@@ -47,12 +48,13 @@
         }
     }
 
-    /// Counts an event by its name.
+    /// Counts the event with this name.
     pub fn event(&self, event: &'static str) {
         self.events.add(1, &[KeyValue::new("event", event)]);
     }
 
-    /// Counts a job that was answered, with the reason of a refusal.
+    /// Counts a job that was answered with this outcome after `took_ms` milliseconds.
+    /// `reason` is the reason of a refusal.
     pub fn job(&self, outcome: &'static str, reason: &'static str, took_ms: u64) {
         let outcome = KeyValue::new("outcome", outcome);
         self.job_seconds
@@ -61,18 +63,18 @@
             .add(1, &[outcome, KeyValue::new("reason", reason)]);
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         exported_text(&self.registry)
     }
 }
 
-/// A registry, and a provider whose metrics it exports.
+/// Creates a registry, and a provider whose metrics it exports.
 ///
 /// # Panics
 ///
-/// Never: a fresh registry takes the exporter.
+/// Never: an empty registry accepts the exporter.
 #[must_use]
 pub fn exported_provider() -> (Registry, SdkMeterProvider) {
     let registry = Registry::new();
@@ -85,7 +87,7 @@
     (registry, provider)
 }
 
-/// All metrics of a registry in the Prometheus text format.
+/// Returns all metrics of a registry in the Prometheus text format.
 #[must_use]
 pub fn exported_text(registry: &Registry) -> String {
     let mut bytes = Vec::new();
--- a/crates/node/src/peer_links.rs
+++ b/crates/node/src/peer_links.rs
@@ -1,6 +1,7 @@
-//! Connections between entries: the one that opened it tells what changes, the
-//! other acknowledges each frame. Either side ends a connection that has gone
-//! silent, and the opener tells everything anew on the next one.
+//! Connections between entries. The entry that opened a connection sends the changes
+//! of its gossip state, and the other entry acknowledges each frame. Either side ends
+//! a connection on which nothing arrives any more; on the next one, the opener sends
+//! its whole state again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,15 +22,16 @@
 use crate::links::FrameReader;
 use crate::links::FrameSender;
 
-/// Pause between two frames to another entry, in milliseconds.
+/// Longest pause between two frames to another entry, in milliseconds.
 const KEEPALIVE_MS: u64 = 1_000;
-/// Silence after which a connection is given up, in milliseconds. The platform
-/// counts a host as sound 3 s after its connections were disturbed; one frame
-/// may be late.
+/// Time without a frame or an acknowledgement after which a connection is ended, in
+/// milliseconds. The platform considers a host healthy 3 s after its connections were
+/// disturbed; one frame may be delayed.
 const IDLE_TIMEOUT_MS: u64 = 2_200;
 
-/// Tells another entry what changes, until the connection ends; whether the
-/// other one ever answered.
+/// Connects to another entry and sends it the changes of the gossip state until the
+/// connection ends or the entry is no longer a target. Returns whether the other
+/// entry acknowledged a frame.
 pub(crate) async fn dial(
     entry: SocketAddr,
     own_addr: SocketAddr,
@@ -83,8 +85,8 @@
     was_answered
 }
 
-/// Passes on the frames of the entry that opened a connection, and acknowledges
-/// each.
+/// Passes on and acknowledges each frame of the entry that opened the connection,
+/// until the connection ends.
 pub(crate) async fn serve(
     mut reader: FrameReader,
     sender: FrameSender,
--- a/crates/node/src/store_client.rs
+++ b/crates/node/src/store_client.rs
@@ -1,5 +1,5 @@
-//! Reads the store: the configuration and the zones that are being emptied, as
-//! they change, and the entries that announced themselves.
+//! A client of the store that retries failed calls. It watches the configuration and
+//! the evacuated zones, and reads and writes the announcements of entries.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,22 +18,26 @@
 use crate::ports::StorePage;
 use crate::ports::StorePort;
 
-/// Time that a read waits for a change, in milliseconds. A read on a connection
-/// that went silent is found that late; the platform counts a host as sound 3 s
-/// after its connections were disturbed, and a change must then be in force.
+/// Time that a read waits for a change, in milliseconds. A read on a connection that
+/// passes no more data is only noticed after this time; the platform considers a host
+/// healthy 3 s after its connections were disturbed, and a change must be in force by
+/// then.
 const READ_WAIT_MS: u64 = 1_500;
-/// First and longest pause after a failed call, in milliseconds.
+/// Pause after the first failed call, in milliseconds. It doubles with each further
+/// failure.
 const FIRST_PAUSE_MS: u64 = 100;
+/// Longest pause after a failed call, in milliseconds.
 const MAX_PAUSE_MS: u64 = 800;
-/// Failed waits for a change after which the whole is read anew.
+/// Number of consecutive failed reads of changes after which the newest records are
+/// read as a whole again.
 const FAILURES_BEFORE_FULL_READ: u32 = 2;
 
-/// What operators want, as far as the store told it.
+/// The configuration in one answer of the store, and the evacuations up to it.
 #[derive(Clone, Debug)]
 pub struct OperatorUpdate {
-    /// A configuration, if there is one that was not told before.
+    /// The configuration, if the answer contained one.
     pub table: Option<RoutingTable>,
-    /// The zones that are being emptied.
+    /// All zones that are evacuated.
     pub evacuations: Evacuations,
 }
 
@@ -46,7 +50,7 @@
     }
 }
 
-/// Talks to the store on behalf of a process.
+/// A client of the store that retries failed calls.
 #[derive(Clone)]
 pub struct StoreClient {
     store: Rc<dyn StorePort>,
@@ -60,14 +64,14 @@
 }
 
 impl StoreClient {
-    /// A keeper of `store`.
+    /// Creates a client of `store`.
     #[must_use]
     pub fn new(store: Rc<dyn StorePort>, log: Logger) -> Self {
         Self { store, log }
     }
 
-    /// Passes on what operators write, for ever; `hedge_context` tells what is known
-    /// without the store.
+    /// Watches the operators' records and passes each answer of the store to
+    /// `on_update`; never returns. `hedge_context` decides on hedged calls.
     pub async fn watch(
         &self,
         hedge_context: impl Fn() -> HedgeContext,
@@ -78,7 +82,8 @@
             let mut offset = page.next_offset;
             let mut evacuations = Evacuations::default();
             apply_zone_records(&mut evacuations, &page);
-            // Also without a zone: an older picture, from elsewhere, may have some.
+            // The offset is set even if no zone is evacuated, so that this state
+            // replaces an older one from another entry that has evacuated zones.
             evacuations.log_offset = offset;
             on_update(OperatorUpdate::new(page, &evacuations));
             let mut failures = 0;
@@ -104,25 +109,25 @@
         }
     }
 
-    /// Announces an entry, until it is done.
+    /// Announces the address of an entry; retries until the store confirms it.
     pub async fn announce(&self, entry: SocketAddr) {
         self.retry_until_done("announce", || self.store.announce(entry))
             .await;
     }
 
-    /// Announces that there are stored jobs, until it is done.
+    /// Announces that there are stored jobs; retries until the store confirms it.
     pub async fn announce_stored_jobs(&self) {
         self.retry_until_done("announce", || self.store.announce_stored_jobs())
             .await;
     }
 
-    /// What entries announced, as soon as the store tells it.
+    /// Reads what entries announced; retries until the store answers.
     pub async fn announced(&self) -> Announced {
         self.retry_until_done("announced", || self.store.announced())
             .await
     }
 
-    /// The newest records, from the first call that is answered.
+    /// Reads the newest records; returns the first answer to any of the hedged calls.
     async fn newest(&self, hedge_context: impl Fn() -> HedgeContext) -> StorePage {
         let newest = || self.store.newest_operators();
         tokio::select! {
@@ -134,6 +139,7 @@
         }
     }
 
+    /// Repeats a call with increasing pauses until it succeeds.
     async fn retry_until_done<T, R>(&self, call: &'static str, attempt: impl Fn() -> R) -> T
     where
         R: Future<Output = Result<T, StoreError>>,
@@ -161,7 +167,7 @@
     }
 }
 
-/// Takes over the zones of a page.
+/// Applies the zone records of a page to the set of evacuated zones.
 fn apply_zone_records(evacuations: &mut Evacuations, page: &StorePage) {
     for record in &page.evacuations {
         evacuations.log_offset = page.next_offset;
--- a/crates/node/src/stored_calls.rs
+++ b/crates/node/src/stored_calls.rs
@@ -1,6 +1,5 @@
-//! Calls about stored jobs: each goes to the entry that owns the job's
-//! partition, over one connection to each owner, and is tried again while
-//! ownership changes.
+//! Calls about stored jobs. A call goes to the entry that owns the job's partition,
+//! over one connection to each owner, and is retried while the ownership changes.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -37,29 +36,29 @@
 
 /// Longest time that a call waits for its answer, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 2_500;
-/// Longest time for which an owner is looked for, in milliseconds: the store
-/// gives the partitions of a lost one away after 1.2 s, and a claim takes some
-/// more. A submission has less: it is refused while it can still be of use
-/// elsewhere.
+/// Longest time for which a call searches for an owner, in milliseconds. The store
+/// reassigns the partitions of a lost owner after 1.2 s, and the new owner needs some
+/// more time to claim them. A submission has less time, so that a refused job can
+/// still be run elsewhere.
 const MAX_SEARCH_MS: u64 = 2_000;
-/// Time after which an owner's connection is given up with the calls on it, in
-/// milliseconds: the store may be 60 times slower than its usual 4 ms.
+/// Time after which an unanswered call and its connection to the owner are given up,
+/// in milliseconds: the store may be 60 times slower than its usual 4 ms.
 const ATTEMPT_TIMEOUT_MS: u64 = 700;
-/// A submission looks for an owner for one in this many parts of its objective;
-/// what is refused later counts as held back.
+/// A submission searches for an owner for at most its objective divided by this
+/// number; a job that is refused later than that counts as held back.
 const SEARCH_DIVISOR: u64 = 5;
-/// Pause between two attempts, in milliseconds.
+/// Pause between two attempts of a call, in milliseconds.
 const RETRY_PAUSE_MS: u64 = 20;
-/// Greatest age of the store's word that there are no stored jobs, in
-/// milliseconds; entries tell each other of the first one within a second.
+/// Largest age at which the store's answer that there are no stored jobs is still
+/// used, in milliseconds: entries learn of the first one by gossip within a second.
 const MAX_UNUSED_AGE_MS: u64 = 1_000;
-/// Greatest age of the list of owners when jobs are counted at all of them, in
-/// milliseconds; a count may be 2 s old.
+/// Largest age at which the list of owners is still used to count the jobs of all of
+/// them, in milliseconds: a count may be 2 s old.
 const MAX_COUNTED_OWNERS_AGE_MS: u64 = 1_000;
-/// Least age at which the list of owners is read anew, in milliseconds.
+/// Smallest age at which the list of owners is read again, in milliseconds.
 const MIN_OWNERS_AGE_MS: u64 = 150;
 
-/// Finds the owner of a job and asks it.
+/// Finds the owner of a job's partition and sends it calls.
 pub(crate) struct StoredCalls {
     own_addr: SocketAddr,
     partitions: u32,
@@ -67,19 +66,20 @@
     job_log: Rc<dyn JobLogPort>,
     log: Logger,
     owners: RefCell<BTreeMap<Partition, SocketAddr>>,
+    /// When the last read of the owners started.
     owners_read_at: Cell<Option<Instant>>,
-    /// When the store told that there are no stored jobs.
+    /// When the store last answered that there are no stored jobs.
     found_unused_at: Cell<Option<Instant>>,
-    /// Whether the store answered when it was last asked for the owners.
+    /// Whether the store answered the last read of the owners.
     is_store_answering: Cell<bool>,
     owner_links: RefCell<BTreeMap<SocketAddr, Rc<OwnerLink>>>,
 }
 
-/// An attempt without an answer.
+/// Why an attempt has no answer.
 enum AttemptError {
-    /// Nothing was sent.
+    /// The call was not sent.
     NotSent,
-    /// It may have been carried out.
+    /// The call was sent and may have been carried out.
     NoAnswer,
 }
 
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Submits a job; while the group of owners forms, it waits for one.
+    /// Submits a job. While the group of owners forms, the call searches for an owner
+    /// as long as other calls do.
     pub(crate) async fn submit(
         &self,
         job: StoredJob,
@@ -122,11 +123,14 @@
         self.ask_within(&id, call, wait_ms, search_ms).await
     }
 
-    /// Asks the owner of a job's partition, for at most `wait_ms`.
+    /// Sends a call to the owner of a job's partition, and waits for the answer for
+    /// at most `wait_ms` milliseconds.
     pub(crate) async fn ask(&self, id: &Name, call: StoredCall, wait_ms: u64) -> StoredAnswer {
         self.ask_within(id, call, wait_ms, MAX_SEARCH_MS).await
     }
 
+    /// Sends a call to the owner of a job's partition, and retries it for at most
+    /// `search_ms` milliseconds while it gets no answer from an owner.
     async fn ask_within(
         &self,
         id: &Name,
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Whether there are stored jobs; `None` when the store cannot tell.
+    /// Returns whether there are stored jobs; `None` if the call to the store fails.
     pub(crate) async fn is_in_use(&self) -> Option<bool> {
         let is_fresh = |at: Instant| at.elapsed() < Duration::from_millis(MAX_UNUSED_AGE_MS);
         if self.found_unused_at.get().is_some_and(is_fresh) {
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Jobs of a queue of which nothing has started, at all owners; `None` while
-    /// some partition has none that answers.
+    /// Returns the number of stored jobs of a queue of which nothing has started, at
+    /// all owners; `None` if a partition has no owner that answers.
     pub(crate) async fn pending(&self, queue: &Name) -> Option<usize> {
         let end = Instant::now() + Duration::from_millis(ATTEMPT_TIMEOUT_MS);
         let owners_read_at = self.owners_read_at.get();
@@ -201,6 +205,7 @@
         (counted >= self.partitions).then_some(sum)
     }
 
+    /// Sends a call once to the owner that the list of owners names.
     async fn attempt(
         &self,
         partition: Partition,
@@ -212,6 +217,7 @@
         self.ask_owner(owner, call, end).await
     }
 
+    /// Sends a call to this owner, which can be this entry itself.
     async fn ask_owner(
         &self,
         owner: SocketAddr,
@@ -232,7 +238,7 @@
         }
     }
 
-    /// The connection to an owner, opened if there is none.
+    /// Returns the connection to an owner, and opens one if there is none.
     async fn owner_link(&self, owner: SocketAddr) -> Option<Rc<OwnerLink>> {
         let known = self.owner_links.borrow().get(&owner).cloned();
         if let Some(owner_link) = known.filter(|owner_link| owner_link.is_open.get()) {
@@ -245,8 +251,8 @@
         Some(owner_link)
     }
 
-    /// Reads who owns what, unless that was done just now; `false` when the
-    /// store cannot tell.
+    /// Reads the owners of all partitions from the store, unless that was done within
+    /// the last [`MIN_OWNERS_AGE_MS`]. Returns whether the store answered the last read.
     async fn read_owners(&self, end: Instant) -> bool {
         let is_fresh = |at: Instant| at.elapsed() < Duration::from_millis(MIN_OWNERS_AGE_MS);
         if !self.owners_read_at.get().is_some_and(is_fresh) {
@@ -265,7 +271,7 @@
             };
             self.is_store_answering.set(is_answered);
         }
-        // A group that has just come into being has no owners yet.
+        // The list can be empty: a group that has just formed has no owners yet.
         self.is_store_answering.get()
     }
 }
@@ -273,6 +279,7 @@
 /// A connection to another entry for calls about its stored jobs.
 struct OwnerLink {
     sender: FrameSender,
+    /// The senders for the answers to unanswered calls, by the number of the call.
     pending_calls: Rc<RefCell<BTreeMap<u64, oneshot::Sender<StoredAnswer>>>>,
     next_number: Cell<u64>,
     is_open: Rc<Cell<bool>>,
@@ -294,7 +301,7 @@
         tokio::task::spawn_local(async move {
             read_replies(reader, &pending_calls).await;
             is_open.set(false);
-            // Those who wait learn that there is no answer.
+            // Dropping the senders ends the calls that still wait.
             pending_calls.borrow_mut().clear();
         });
         Some(owner_link)
@@ -316,7 +323,8 @@
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(_)) => Err(AttemptError::NoAnswer),
             Err(_) => {
-                // The connection may have gone silent for good.
+                // The connection may have stopped passing data, so the next call
+                // opens a new one.
                 self.is_open.set(false);
                 Err(AttemptError::NoAnswer)
             }
@@ -324,6 +332,7 @@
     }
 }
 
+/// Passes the replies on a connection to the calls that wait for them.
 async fn read_replies(
     mut reader: FrameReader,
     pending_calls: &RefCell<BTreeMap<u64, oneshot::Sender<StoredAnswer>>>,
@@ -334,13 +343,13 @@
         };
         let answer = pending_calls.borrow_mut().remove(&reply.number);
         if let Some(answer) = answer {
-            // A caller that left needs no answer.
+            // The send only fails if the caller has left.
             let _ = answer.send(reply.answer);
         }
     }
 }
 
-/// Serves the calls of another entry until its connection ends.
+/// Serves calls about stored jobs from another entry until its connection ends.
 pub(crate) async fn serve(
     mut reader: FrameReader,
     sender: FrameSender,
--- a/crates/node/src/tunables.rs
+++ b/crates/node/src/tunables.rs
@@ -1,14 +1,14 @@
-//! Settings that a process takes over while it runs.
+//! Settings that a running process can change.
 
 use std::net::SocketAddr;
 
-/// Settings that may change without a restart.
+/// Settings that can change without a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tunables {
-    /// Addresses for the first contact with entries.
+    /// Addresses of the entries to connect to first.
     pub seeds: Vec<SocketAddr>,
-    /// Times that a task takes longer away from its data.
+    /// Factor by which a task takes longer on a minion that does not hold its data.
     pub remote_factor: f64,
-    /// Longest time from the signal to stop to the end, in milliseconds.
+    /// Longest time from the stop signal to the end of the process, in milliseconds.
     pub stop_limit_ms: u64,
 }
--- a/crates/node/tests/entry.rs
+++ b/crates/node/tests/entry.rs
@@ -1,5 +1,5 @@
-//! An entry's process: configuration passed on between entries, and planned
-//! stops.
+//! Tests of the entry process: gossip between entries, what agents are sent, and
+//! planned stops.
 
 mod fakes;
 
@@ -56,7 +56,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// A job log that is out of reach.
+/// A job log that refuses all calls.
 struct NoJobLog;
 
 #[async_trait(?Send)]
@@ -212,7 +212,7 @@
         };
         let entry = start(entry(free_addr(), vec![peer]), store);
         until("the configuration", || entry.table().version == 7).await;
-        // The first connection stays open and is never answered.
+        // The first connection stays open, and its frames are never acknowledged.
         let _unanswered = accept(&listener).await;
         let mut next = accept(&listener).await;
         let greeting = decode::<Greeting>(&read_frame(&mut next).await);
@@ -262,7 +262,8 @@
         write_frame(&mut peer, &Greeting::Entry(newcomer)).await;
         write_frame(&mut peer, &PeerFrame::default()).await;
         assert!(decode::<PeerAck>(&read_frame(&mut peer).await).is_ok());
-        // Frames without news come each 100 ms, looks at all entries each 500.
+        // Keepalive frames come every 100 ms, regular checks of the set of entries
+        // every 500 ms: two frames are too few for a regular check.
         let mut sent = Vec::new();
         for _ in 0..2 {
             let frame = decode::<EntryFrame>(&read_frame(&mut agent).await).expect("a frame");
@@ -277,7 +278,7 @@
     .await;
 }
 
-/// What an entry tells an agent of emptied zones, up to this record.
+/// Reads the evacuations that an entry sends to an agent, up to this log offset.
 async fn evacuations_until(agent: &mut TcpStream, log_offset: u64) -> Vec<Evacuations> {
     let mut all = Vec::new();
     while all
@@ -326,7 +327,8 @@
             evacuations_until(&mut agent, 1).await,
             [evacuations(1, &["hella"])]
         );
-        // It hears of newer pictures only, and one that greets later at once.
+        // The agent gets newer sets of evacuated zones only, and an agent that
+        // connects later gets the newest one in its first frame.
         let mut peer = connect(second).await;
         write_frame(&mut peer, &Greeting::Entry(free_addr())).await;
         for sent in [
--- a/crates/node/tests/fakes/mod.rs
+++ b/crates/node/tests/fakes/mod.rs
@@ -1,5 +1,5 @@
-//! A store, and the other end of connections between processes, played by the
-//! test.
+//! A fake store, and helpers for tests that act as the other end of a connection
+//! between processes.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -27,10 +27,10 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
-/// Longest wait for what the other end does.
+/// Longest time that a test waits for the other end of a connection.
 const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
-/// A store that serves or refuses everything.
+/// A store that serves all calls, or refuses all of them.
 #[derive(Default)]
 pub struct FakeStore {
     pub table: RefCell<Option<RoutingTable>>,
@@ -88,6 +88,7 @@
     }
 }
 
+/// Returns an address that no other test uses.
 pub fn free_addr() -> SocketAddr {
     static CALLS: AtomicU16 = AtomicU16::new(0);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -99,6 +100,7 @@
     Logger::root(Discard, o!())
 }
 
+/// Waits until a condition holds, and panics if it does not within 10 s.
 pub async fn until(what: &str, mut is_true: impl FnMut() -> bool) {
     for _ in 0..2_000 {
         if is_true() {
@@ -113,7 +115,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Reads one frame of a connection between processes.
+/// Reads one length-delimited frame.
 pub async fn read_frame(stream: &mut TcpStream) -> Vec<u8> {
     let read = async {
         let length = stream.read_u32().await.expect("a frame");
@@ -125,6 +127,7 @@
     read.expect("a frame in time")
 }
 
+/// Encodes and writes one length-delimited frame.
 pub async fn write_frame<T: serde::Serialize>(stream: &mut TcpStream, frame: &T) {
     let bytes = encode(frame).expect("it can be encoded");
     let length = u32::try_from(bytes.len()).expect("a short frame");
--- a/crates/node/tests/hedging.rs
+++ b/crates/node/tests/hedging.rs
@@ -1,4 +1,5 @@
-//! Entries that start while the store is away, as many as a deployment may have.
+//! Tests of hedged calls: entries start while the store gives no answers, up to as
+//! many as a deployment can have.
 
 mod fakes;
 
@@ -20,15 +21,16 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// Time after which a call without an answer is given up: no entry makes a second call
-/// of its own within a test, so that all further ones are repeated ones.
+/// Time after which an unanswered call fails. It is longer than a test, so no entry
+/// retries its first call, and all further calls are hedged ones.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Usual time of an answer.
+/// Time in which the store answers.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
-/// Longest time from the store's return to the first answer.
+/// Longest time that is allowed from the end of the store's outage until an entry has
+/// the configuration.
 const MAX_LEARN_TIME: Duration = Duration::from_millis(700);
 
-/// A store that answers nothing that it is asked before it is back.
+/// A store that never answers calls that are made before `available_at`.
 struct UnavailableStore {
     available_at: Instant,
     calls: Rc<Cell<usize>>,
@@ -69,8 +71,9 @@
     }
 }
 
-/// Starts entries that know each other; the time from the store's return to the
-/// first answer, and the calls up to then.
+/// Starts entries that know each other during an outage of the store. Returns the
+/// time from the end of the outage to the first answer, and the number of calls up to
+/// then.
 async fn start(entries: usize, outage: Duration) -> (Duration, usize) {
     let available_at = Instant::now() + outage;
     let calls = Rc::new(Cell::new(0));
--- a/crates/node/tests/searching.rs
+++ b/crates/node/tests/searching.rs
@@ -1,4 +1,5 @@
-//! An agent that knows no entry, while the store is away.
+//! Tests an agent that knows no entry and searches for one in the store during an
+//! outage.
 
 mod fakes;
 
@@ -33,7 +34,7 @@
 use gannetvane_wire::NodeId;
 use tokio::time::Instant;
 
-/// A store that refuses everything and counts what it is asked.
+/// A store that refuses and counts all calls.
 struct RefusingStore {
     calls: Rc<Cell<usize>>,
 }
@@ -68,7 +69,7 @@
     }
 }
 
-/// A minion that never reports itself, so it is not called.
+/// A minion that never reports itself, so the agent does not call it.
 struct NoMinion;
 
 #[async_trait(?Send)]
@@ -86,7 +87,7 @@
     }
 }
 
-/// The clock of the runtime, which tests advance.
+/// The clock of the runtime, which advances without waiting in these tests.
 struct RuntimeTime(Instant);
 
 impl TimeSource for RuntimeTime {
--- a/crates/node/tests/suspension.rs
+++ b/crates/node/tests/suspension.rs
@@ -1,4 +1,5 @@
-//! A host that was suspended: the steady clock of its processes does not show it.
+//! Tests of suspended hosts: the monotonic clock of a process does not advance during
+//! a suspension, so an agent could act on grants from before it.
 
 mod fakes;
 
@@ -61,7 +62,7 @@
     accelerators: 0,
 };
 
-/// The clock of the runtime, and time by which the host was suspended.
+/// The clock of the runtime plus the time for which the host was suspended.
 struct HostTime {
     start: Instant,
     suspended_ms: Cell<u64>,
@@ -73,12 +74,12 @@
     }
 }
 
-/// A minion that lists what it was told to start.
+/// A minion that lists the runs that it started and has not stopped.
 struct FakeMinion {
     start: Instant,
     started: RefCell<Vec<RunKey>>,
     stopped: RefCell<Vec<RunKey>>,
-    /// Calls that extended its lease.
+    /// Number of calls that extended its lease.
     extended: Cell<usize>,
 }
 
@@ -129,7 +130,8 @@
     }
 }
 
-/// An agent that greeted an entry, which the test plays.
+/// A host with an agent and a minion. The agent is connected to the test, which acts
+/// as an entry.
 struct Host {
     time: Rc<HostTime>,
     minion: Rc<FakeMinion>,
@@ -159,7 +161,8 @@
         }
     }
 
-    /// What the entry sends at this time of the agent's clock.
+    /// The frame of an entry that received `at_ms` as the agent's clock: it extends
+    /// the grant and orders a start.
     fn frame(&self, at_ms: u64, job: &str) -> EntryFrame {
         EntryFrame {
             grant_until_ms: at_ms + GRANT_MS,
@@ -168,7 +171,7 @@
         }
     }
 
-    /// The entry orders a task, and the minion starts it.
+    /// Orders a task and waits until the minion has started it.
     async fn run_task(&mut self, job: &str) {
         let frame = self.frame(self.hello.clock_ms, job);
         write_frame(&mut self.link, &frame).await;
@@ -207,7 +210,7 @@
     tokio::task::spawn_local(report_repeatedly(handle));
 }
 
-/// The minion reports itself more often than a real one, so that tests are short.
+/// Reports the minion more often than a real one does, so that tests are short.
 async fn report_repeatedly(handle: AgentHandle) {
     let mut sequence = 1;
     while handle.reported(report(sequence)) {
@@ -271,8 +274,9 @@
     decode::<AgentFrame>(&frame).expect("a frame").clock_ms
 }
 
-/// Orders and grants that were on their way when the host was suspended are void
-/// when it wakes: the entry has ordered the tasks elsewhere.
+/// Guards against starts and grants that were in transit when the host was suspended
+/// and that the agent reads when it resumes: the entry has since ordered the tasks
+/// elsewhere.
 #[tokio::test]
 async fn an_agent_starts_nothing_on_a_grant_from_before_a_suspension() {
     for suspended_ms in [600, 1_000, 3_000, 10_000, 60_000] {
@@ -283,7 +287,8 @@
             host.time.suspended_ms.set(suspended_ms);
             let frame = host.frame(at_ms, "after");
             write_frame(&mut host.link, &frame).await;
-            // The agent gives the link up, and greets when nothing is left of it.
+            // The agent closes the link, and greets again once none of the runs that
+            // were ordered on it is left.
             let mut next = accept(&host.entry).await;
             let hello = read_greeting(&mut next).await;
             assert!(hello.clock_ms >= at_ms + suspended_ms);
@@ -294,8 +299,9 @@
     }
 }
 
-/// Nothing arrives after the host wakes: what the last grant let run ends by the
-/// agent's own timer, which may be late by one pause between keepalives.
+/// Guards against runs that go on after a suspension when no frame arrives any more.
+/// The agent's own timer stops the runs of the last grant; it can fire one keepalive
+/// interval late.
 #[tokio::test]
 async fn an_agent_without_frames_after_a_suspension_soon_stops_its_runs() {
     on_one_thread(async {
@@ -312,7 +318,8 @@
     .await;
 }
 
-/// A short suspension is no harm: the grant holds, and so does the link.
+/// Guards against stops after a suspension that is shorter than a grant: the grant
+/// and the link stay valid.
 #[tokio::test]
 async fn a_suspension_shorter_than_a_grant_stops_nothing() {
     on_one_thread(async {
@@ -354,7 +361,7 @@
         );
         assert_eq!(clock.observe(), None, "it is counted once");
         assert_eq!(clock.now_ms(), 40 + suspended_ms);
-        // What is due later is waited for on the clock of the runtime.
+        // A later time maps to the runtime's clock without the suspension.
         let due = clock.at(clock.now_ms() + 25) - Instant::now();
         assert_eq!(due, Duration::from_millis(25));
         assert!(clock.at(3) <= Instant::now(), "it is overdue");
