--- a/crates/node/src/agent_node.rs
+++ b/crates/node/src/agent_node.rs
@@ -219,7 +219,7 @@
                 input = self.queue.recv() => input,
                 () = sleep => None,
             };
-            self.note_suspension();
+            self.observe_suspension();
             if let Some(input) = first {
                 self.handle_input(input);
             }
@@ -249,7 +249,7 @@
 
     /// Adds the time of a suspension of the host to the clock. Called before inputs
     /// that arrived meanwhile are handled.
-    fn note_suspension(&self) {
+    fn observe_suspension(&self) {
         if let Some(for_ms) = self.clock.observe() {
             self.metrics.event("host-suspended");
             warn!(self.log, "host-suspended"; "for_ms" => for_ms);
--- a/crates/node/src/entry_handle.rs
+++ b/crates/node/src/entry_handle.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    pub(crate) fn set_has_stored_jobs(&self) {
+    pub(crate) fn set_stored_jobs_known(&self) {
         self.stored_jobs_known_since.set(Some(Instant::now()));
     }
 
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -230,7 +230,7 @@
                 input = self.queue.recv() => input,
                 () = sleep => None,
             };
-            self.note_suspension();
+            self.observe_suspension();
             if let Some(input) = first {
                 self.handle_input(input, &store);
             }
@@ -238,7 +238,7 @@
                 self.handle_input(input, &store);
             }
             dialers.refresh_if_due();
-            if self.has_new_entries() {
+            if self.spread_new_entries() {
                 dialers.refresh();
             }
             let now_ms = self.clock.now_ms();
@@ -257,7 +257,7 @@
 
     /// Adds the time of a suspension of the host to the clock. Called before inputs
     /// that arrived meanwhile are handled.
-    fn note_suspension(&self) {
+    fn observe_suspension(&self) {
         if let Some(for_ms) = self.clock.observe() {
             self.metrics.event("host-suspended");
             warn!(self.log, "host-suspended"; "for_ms" => for_ms);
@@ -393,7 +393,7 @@
 
     /// Spreads the entries that became known since the last call. Returns whether
     /// there were any.
-    fn has_new_entries(&mut self) -> bool {
+    fn spread_new_entries(&mut self) -> bool {
         let discoveries = self.directory.borrow().discoveries();
         let is_changed = discoveries != self.sent_discoveries;
         self.sent_discoveries = discoveries;
--- a/crates/node/src/entry_stored.rs
+++ b/crates/node/src/entry_stored.rs
@@ -80,7 +80,7 @@
     pub(crate) fn activate_ledger(&mut self, now_ms: u64) {
         if self.ledger.activate(now_ms) {
             info!(self.log, "stored-jobs-known");
-            self.handle.set_has_stored_jobs();
+            self.handle.set_stored_jobs_known();
             self.gossip
                 .send_modify(|gossip| gossip.has_stored_jobs = true);
         }
