--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -53,13 +53,13 @@
     #[error("connection refused")]
     Refused,
     /// The connection could not be opened: the call was not sent.
-    #[error("connection not opened: {0}")]
+    #[error("connection could not be opened: {0}")]
     Unopened(String),
     /// The connection broke before the whole answer had arrived.
-    #[error("connection broke: {0}")]
+    #[error("connection broke before the whole answer arrived: {0}")]
     Broken(String),
     /// The call could not be encoded: it was not sent.
-    #[error("call not valid: {0}")]
+    #[error("call could not be encoded: {0}")]
     Invalid(String),
 }
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -82,7 +82,7 @@
         .with_registry(registry.clone())
         .without_target_info()
         .build()
-        .expect("a fresh registry takes the exporter");
+        .expect("an empty registry accepts the exporter");
     let provider = SdkMeterProvider::builder().with_reader(exporter).build();
     (registry, provider)
 }
--- a/crates/node/src/ports.rs
+++ b/crates/node/src/ports.rs
@@ -67,14 +67,14 @@
     #[error("the store gave no answer: {0}")]
     Unreachable(String),
     /// The store refused the call with this HTTP status, and did nothing.
-    #[error("the store refused with status {0}")]
+    #[error("the store refused the call with status {0}")]
     Refused(u16),
     /// The store has dropped the records at the requested offset. The reader has to
     /// read the newest records instead.
-    #[error("the store has dropped the records that were asked for")]
+    #[error("the store has dropped the records at the requested offset")]
     Gone,
     /// The answer, or data in it, cannot be decoded.
-    #[error("the answer of the store is not understood: {0}")]
+    #[error("the answer of the store is malformed: {0}")]
     Malformed(String),
 }
 
--- a/crates/node/tests/fakes/mod.rs
+++ b/crates/node/tests/fakes/mod.rs
@@ -108,7 +108,7 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("{what} did not come about");
+    panic!("timed out waiting for {what}");
 }
 
 pub async fn on_one_thread(test: impl Future<Output = ()>) {
