--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -78,7 +78,8 @@
     }
 
     /// Checks whether the host was suspended since the last call, and adds the time
-    /// to the clock. Returns the length of the suspension in milliseconds.
+    /// to the clock. Returns the length of the suspension in milliseconds, if there
+    /// was one.
     pub fn observe(&self) -> Option<u64> {
         // In this order, a delay between the two readings can hide a part of a
         // suspension until the next call, but can never report one that did not
--- a/crates/node/src/entry_handle.rs
+++ b/crates/node/src/entry_handle.rs
@@ -158,7 +158,8 @@
         self.is_ready.get()
     }
 
-    /// Submits a job and waits for its outcome. Dropping the future stops the job.
+    /// Submits a job and waits for its outcome. Dropping the future stops the job,
+    /// unless another caller waits for the same job.
     pub async fn submit(&self, job: Job) -> JobOutcome {
         let caller = CallerId(self.next_caller.get());
         self.next_caller.set(caller.0 + 1);
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -517,7 +517,7 @@
     }
 }
 
-/// Passes on what the store's operator records say; never returns.
+/// Passes on updates of the operators' records in the store; never returns.
 async fn watch_store(
     store: StoreClient,
     gossip: watch::Receiver<GossipState>,
--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -1,8 +1,8 @@
 //! An HTTP/1.1 client that keeps its connections open.
 //!
-//! A connection can stop to pass data without a reset. When a call times out and
-//! no call was answered recently, the client therefore drops all idle connections,
-//! so that the next call opens a new one.
+//! A connection can stop passing data without a reset. When a call times out and no
+//! call was answered recently, the client therefore drops all idle connections along
+//! with the call's own one, so that the next call opens a new one.
 
 use std::cell::Cell;
 use std::cell::RefCell;
--- a/crates/node/tests/fakes/mod.rs
+++ b/crates/node/tests/fakes/mod.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns an address that no other test uses.
+/// Returns a loopback address and port that no other test uses.
 pub fn free_addr() -> SocketAddr {
     static CALLS: AtomicU16 = AtomicU16::new(0);
     let [_, _, high, low] = std::process::id().to_be_bytes();
--- a/crates/node/tests/suspension.rs
+++ b/crates/node/tests/suspension.rs
@@ -274,9 +274,8 @@
     decode::<AgentFrame>(&frame).expect("a frame").clock_ms
 }
 
-/// Guards against starts and grants that were in transit when the host was suspended
-/// and that the agent reads when it resumes: the entry has since ordered the tasks
-/// elsewhere.
+/// Guards against acting on starts and grants that were in transit when the host was
+/// suspended: when it resumes, the entry has already ordered the tasks elsewhere.
 #[tokio::test]
 async fn an_agent_starts_nothing_on_a_grant_from_before_a_suspension() {
     for suspended_ms in [600, 1_000, 3_000, 10_000, 60_000] {
