--- a/crates/node/src/agent_links.rs
+++ b/crates/node/src/agent_links.rs
@@ -1,4 +1,4 @@
-//! Connections that other processes open to an entry.
+//! Connections that agents and other entries open to an entry.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 use crate::peer_links;
 use crate::stored_calls;
 
-/// Pause after a connection that could not be accepted, in milliseconds: the
-/// process is out of descriptors, and some are about to be free.
+/// Pause after a failed accept, in milliseconds: the process has run out of file
+/// descriptors, and some will soon be free.
 const ACCEPT_PAUSE_MS: u64 = 20;
 
-/// Accepts connections of agents and other entries, for ever.
+/// Accepts connections of agents and other entries; never returns.
 pub(crate) async fn accept(listener: TcpListener, inputs: UnboundedSender<Input>, log: Logger) {
     let mut next_link = 1;
     loop {
@@ -29,7 +29,12 @@
             Ok((stream, _)) => {
                 let link = LinkId(next_link);
                 next_link += 1;
-                tokio::task::spawn_local(serve(link, stream, inputs.clone(), log.clone()));
+                tokio::task::spawn_local(serve_connection(
+                    link,
+                    stream,
+                    inputs.clone(),
+                    log.clone(),
+                ));
             }
             Err(error) => {
                 warn!(log, "accept-failed"; "error" => %error);
@@ -39,7 +44,13 @@
     }
 }
 
-async fn serve(link: LinkId, stream: TcpStream, inputs: UnboundedSender<Input>, log: Logger) {
+/// Reads the greeting of a connection, and serves what it asks for.
+async fn serve_connection(
+    link: LinkId,
+    stream: TcpStream,
+    inputs: UnboundedSender<Input>,
+    log: Logger,
+) {
     let Ok((mut reader, sender)) = links::split(stream) else {
         return;
     };
@@ -49,22 +60,23 @@
     match decode::<Greeting>(&frame) {
         Ok(Greeting::Agent(hello)) => {
             let task = tokio::task::spawn_local(read_agent(link, reader, inputs.clone()));
-            let up = Input::AgentUp(link, hello, sender, task.abort_handle());
-            // Without a receiver the process is about to end.
-            let _ = inputs.send(up);
+            let input = Input::AgentUp(link, hello, sender, task.abort_handle());
+            // The send only fails when the process is about to end.
+            let _ = inputs.send(input);
         }
         Ok(Greeting::Entry(entry)) => {
-            let received = |frame| {
-                // Without a receiver the process is about to end.
+            let on_frame = |frame| {
+                // The send only fails when the process is about to end.
                 let _ = inputs.send(Input::Peer(entry, frame));
             };
-            peer_links::serve(reader, sender, received).await;
+            peer_links::serve(reader, sender, on_frame).await;
         }
         Ok(Greeting::StoredCalls) => stored_calls::serve(reader, sender, inputs).await,
         Err(error) => warn!(log, "greeting-malformed"; "error" => %error),
     }
 }
 
+/// Passes on an agent's frames until its connection ends.
 async fn read_agent(link: LinkId, mut reader: FrameReader, inputs: UnboundedSender<Input>) {
     while let Some(frame) = links::next_frame(&mut reader).await {
         let Ok(frame) = decode(&frame) else {
@@ -74,6 +86,6 @@
             return;
         }
     }
-    // Without a receiver the process is about to end.
+    // The send only fails when the process is about to end.
     let _ = inputs.send(Input::LinkDown(link));
 }
--- a/crates/node/src/agent_node.rs
+++ b/crates/node/src/agent_node.rs
@@ -1,4 +1,5 @@
-//! The process around an agent's decisions.
+//! The agent process: runs the decision core [`Agent`] with its connections to
+//! entries and its calls to the minion.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -44,38 +45,53 @@
 use crate::ports::MinionPort;
 use crate::ports::StartCall;
 
-/// Pause between two looks at the directory, in milliseconds.
-const REFRESH_MS: u64 = 500;
-/// Pause between two looks for entries in the store while none is reached, in
+/// Time between two checks of the directory for entries to connect to, in
 /// milliseconds.
-const SEARCH_MS: u64 = 2_000;
+const REFRESH_INTERVAL_MS: u64 = 500;
+/// Time between two searches for entries in the store while no entry is
+/// connected, in milliseconds.
+const SEARCH_INTERVAL_MS: u64 = 2_000;
 
 /// Settings of an agent's process.
 #[derive(Clone, Debug)]
 pub struct AgentNodeSettings {
-    /// Who it is.
+    /// Node id, host and availability zone of the agent.
     pub identity: AgentIdentity,
-    /// Longest lease that the minion grants, in milliseconds.
+    /// Length of the longest lease that the minion grants, in milliseconds.
     pub longest_lease_ms: u64,
-    /// What may change while it runs.
+    /// Settings that can change without a restart.
     pub tunables: Tunables,
 }
 
+/// An input of the agent's event loop.
 enum Input {
+    /// A connection to the entry at this address is open. Dropping the last field
+    /// ends it.
     LinkUp(LinkId, SocketAddr, FrameSender, oneshot::Sender<()>),
+    /// An entry sent a frame.
     Frame(LinkId, EntryFrame),
+    /// A connection to an entry ended.
     LinkDown(LinkId),
+    /// The minion reported itself.
     Reported(MinionReport),
+    /// The minion with this id announced its end.
     MinionLeft(Name),
-    Started(Incarnation, RunKey, StartResult),
-    StopDone(Incarnation, RunKey, bool),
+    /// A call to start a run ended.
+    StartAnswered(Incarnation, RunKey, StartResult),
+    /// A call to stop a run ended; true if the minion acknowledged it.
+    StopAnswered(Incarnation, RunKey, bool),
+    /// The listing call with this number ended.
     Listed(Incarnation, u64, ListResult),
+    /// A search in the store found these entries.
     Entries(Vec<SocketAddr>),
+    /// The settings changed.
     Reload(Tunables),
+    /// A planned stop begins.
     Stop,
 }
 
-/// How the minion's reports reach the agent.
+/// Sends the minion's reports, changed settings and the order to stop to a
+/// running agent.
 #[derive(Clone, Debug)]
 pub struct AgentHandle {
     inputs: UnboundedSender<Input>,
@@ -88,32 +104,34 @@
 }
 
 impl AgentHandle {
-    /// The minion reported itself; false when the process is about to end.
+    /// Passes on a report of the minion. Returns false if the agent process is
+    /// about to end.
     #[must_use]
     pub fn reported(&self, report: MinionReport) -> bool {
         self.inputs.send(Input::Reported(report)).is_ok()
     }
 
-    /// The minion with this id is about to end; false when the process is, too.
+    /// Passes on that the minion with this id is about to end. Returns false if the
+    /// agent process is about to end as well.
     #[must_use]
     pub fn left(&self, id: Name) -> bool {
         self.inputs.send(Input::MinionLeft(id)).is_ok()
     }
 
-    /// Takes over changed settings.
+    /// Applies changed settings.
     pub fn reload(&self, tunables: Tunables) {
-        // Without a receiver the process is about to end.
+        // The send only fails when the process is about to end.
         let _ = self.inputs.send(Input::Reload(tunables));
     }
 
     /// Begins a planned stop.
     pub fn stop(&self) {
-        // Without a receiver the process is about to end.
+        // The send only fails when the process is about to end.
         let _ = self.inputs.send(Input::Stop);
     }
 }
 
-/// An agent with its connections.
+/// An agent with its connections to entries and its calls to the minion.
 pub struct AgentNode {
     settings: AgentNodeSettings,
     agent: Agent,
@@ -123,14 +141,17 @@
     minion: Rc<dyn MinionPort>,
     inputs: UnboundedSender<Input>,
     queue: UnboundedReceiver<Input>,
+    /// For each connection to an entry, the queue of its frames and the sender
+    /// that ends it when dropped.
     links: BTreeMap<LinkId, (FrameSender, oneshot::Sender<()>)>,
     directory: SharedDirectory,
-    stop_ms: Option<u64>,
-    refreshed_ms: u64,
-    /// Gains of the directory when it was last looked at for entries to dial.
+    /// When a planned stop began.
+    stop_began_at_ms: Option<u64>,
+    last_refresh_ms: u64,
+    /// Number of discoveries in the directory when entries were last dialed.
     dialed_discoveries: u64,
-    searched_ms: u64,
-    /// Whether a search has no answer yet.
+    last_search_ms: u64,
+    /// Whether a search for entries in the store is in progress.
     is_searching: bool,
 }
 
@@ -140,10 +161,12 @@
     }
 }
 
-type BoxedDial = dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = bool>>>;
+/// Connects to an entry and serves the connection to its end. Returns whether
+/// the entry sent a frame.
+type DialFn = dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = bool>>>;
 
 impl AgentNode {
-    /// An agent that is not serving yet.
+    /// Creates an agent that connects to entries once [`run`](Self::run) is called.
     #[must_use]
     pub fn new(
         settings: AgentNodeSettings,
@@ -167,15 +190,15 @@
             queue,
             links: BTreeMap::new(),
             directory: Rc::new(RefCell::new(directory)),
-            stop_ms: None,
-            refreshed_ms: 0,
+            stop_began_at_ms: None,
+            last_refresh_ms: 0,
             dialed_discoveries: 0,
-            searched_ms: 0,
+            last_search_ms: 0,
             is_searching: false,
         }
     }
 
-    /// The interface for the minion's reports.
+    /// Returns a handle that passes reports and orders to this agent.
     #[must_use]
     pub fn handle(&self) -> AgentHandle {
         AgentHandle {
@@ -183,38 +206,40 @@
         }
     }
 
-    /// Serves until a planned stop is complete.
+    /// Runs the agent until a planned stop is complete.
     pub async fn run(mut self, store: StoreClient) {
         let mut dialers = self.dialers();
         dialers.refresh();
         self.search(&store);
         let mut due_ms = 0;
-        while !self.may_end() {
+        while !self.can_end() {
             let sleep = tokio::time::sleep_until(self.clock.at(due_ms));
             let first = tokio::select! {
                 biased;
                 input = self.queue.recv() => input,
                 () = sleep => None,
             };
-            self.note_suspension();
+            self.observe_suspension();
             if let Some(input) = first {
-                self.input(input);
+                self.handle_input(input);
             }
             while let Ok(input) = self.queue.try_recv() {
-                self.input(input);
+                self.handle_input(input);
             }
             let now_ms = self.clock.now_ms();
             due_ms = self.agent.tick(now_ms);
-            self.carry_out();
+            self.execute_actions();
             let discoveries = self.directory.borrow().discoveries();
-            if now_ms >= self.refreshed_ms + REFRESH_MS || discoveries != self.dialed_discoveries {
+            if now_ms >= self.last_refresh_ms + REFRESH_INTERVAL_MS
+                || discoveries != self.dialed_discoveries
+            {
                 self.dialed_discoveries = discoveries;
-                self.refreshed_ms = now_ms;
+                self.last_refresh_ms = now_ms;
                 dialers.refresh();
                 let targets = self.directory.borrow_mut().targets(now_ms);
                 self.agent.keep_links(&targets);
             }
-            let is_due = now_ms >= self.searched_ms + SEARCH_MS;
+            let is_due = now_ms >= self.last_search_ms + SEARCH_INTERVAL_MS;
             if self.links.is_empty() && !self.is_searching && is_due {
                 self.search(&store);
             }
@@ -222,21 +247,21 @@
         info!(self.log, "stopped"; "runs" => self.agent.active_runs());
     }
 
-    /// Counts the time in which the host was suspended before anything that arrived
-    /// meanwhile is looked at.
-    fn note_suspension(&self) {
+    /// Adds the time of a suspension of the host to the clock. Called before inputs
+    /// that arrived meanwhile are handled.
+    fn observe_suspension(&self) {
         if let Some(for_ms) = self.clock.observe() {
             self.metrics.event("host-suspended");
             warn!(self.log, "host-suspended"; "for_ms" => for_ms);
         }
     }
 
-    fn dialers(&self) -> Dialers<Box<BoxedDial>> {
+    fn dialers(&self) -> Dialers<Box<DialFn>> {
         let inputs = self.inputs.clone();
         let next_link = Rc::new(std::cell::Cell::new(1));
         let directory = Rc::clone(&self.directory);
         let clock = self.clock.clone();
-        let dial: Box<BoxedDial> = Box::new(move |entry| {
+        let dial: Box<DialFn> = Box::new(move |entry| {
             let link = LinkId(next_link.get());
             next_link.set(link.0 + 1);
             let inputs = inputs.clone();
@@ -246,20 +271,21 @@
         Dialers::new(Rc::clone(&self.directory), self.clock.clone(), dial)
     }
 
-    /// Looks for entries in the store, until it answers.
+    /// Starts a search for entries in the store, which is retried until the store
+    /// answers.
     fn search(&mut self, store: &StoreClient) {
-        self.searched_ms = self.clock.now_ms();
+        self.last_search_ms = self.clock.now_ms();
         self.is_searching = true;
         let store = store.clone();
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
             let announced = store.announced().await;
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::Entries(announced.entries));
         });
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now_ms = self.clock.now_ms();
         match input {
             Input::LinkUp(link, addr, sender, closer) => {
@@ -273,13 +299,13 @@
             }
             Input::Reported(report) => self.agent.minion_reported(now_ms, report),
             Input::MinionLeft(id) => self.agent.minion_left(&id),
-            Input::Started(incarnation, key, result) => {
+            Input::StartAnswered(incarnation, key, result) => {
                 self.agent
                     .start_answered(now_ms, &incarnation, &key, result);
             }
-            Input::StopDone(incarnation, key, is_done) => {
+            Input::StopAnswered(incarnation, key, is_acknowledged) => {
                 self.agent
-                    .stop_answered(now_ms, &incarnation, &key, is_done);
+                    .stop_answered(now_ms, &incarnation, &key, is_acknowledged);
             }
             Input::Listed(incarnation, call, result) => {
                 self.agent.listed(now_ms, &incarnation, call, result);
@@ -295,24 +321,25 @@
                 self.settings.tunables = tunables;
             }
             Input::Stop => {
-                if self.stop_ms.is_none() {
+                if self.stop_began_at_ms.is_none() {
                     info!(self.log, "stopping"; "runs" => self.agent.active_runs());
-                    self.stop_ms = Some(now_ms);
+                    self.stop_began_at_ms = Some(now_ms);
                     self.agent.begin_stop();
                 }
             }
         }
     }
 
-    fn may_end(&self) -> bool {
-        let Some(stop_ms) = self.stop_ms else {
+    fn can_end(&self) -> bool {
+        let Some(stop_began_at_ms) = self.stop_began_at_ms else {
             return false;
         };
-        let is_over = self.clock.now_ms() >= stop_ms + self.settings.tunables.stop_limit_ms;
-        is_over || self.agent.may_stop()
+        let is_stop_limit_over =
+            self.clock.now_ms() >= stop_began_at_ms + self.settings.tunables.stop_limit_ms;
+        is_stop_limit_over || self.agent.may_stop()
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for action in self.agent.take_actions() {
             match action {
                 AgentAction::Start {
@@ -358,7 +385,7 @@
                 AgentAction::Entries(entries) => {
                     let now_ms = self.clock.now_ms();
                     if self.directory.borrow_mut().learn(now_ms, &entries) {
-                        self.refreshed_ms = 0;
+                        self.last_refresh_ms = 0;
                     }
                 }
                 AgentAction::Event(event) => self.event(&event),
@@ -372,8 +399,8 @@
         tokio::task::spawn_local(async move {
             let (incarnation, key) = (call.incarnation.clone(), call.key.clone());
             let result = minion.start(call).await;
-            // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::Started(incarnation, key, result));
+            // The send only fails when the process is about to end.
+            let _ = inputs.send(Input::StartAnswered(incarnation, key, result));
         });
     }
 
@@ -381,9 +408,9 @@
         let minion = Rc::clone(&self.minion);
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
-            let is_done = minion.stop(&incarnation, key.clone(), epoch).await;
-            // Without a receiver the process is about to end.
-            let _ = inputs.send(Input::StopDone(incarnation, key, is_done));
+            let is_acknowledged = minion.stop(&incarnation, key.clone(), epoch).await;
+            // The send only fails when the process is about to end.
+            let _ = inputs.send(Input::StopAnswered(incarnation, key, is_acknowledged));
         });
     }
 
@@ -393,7 +420,7 @@
         tokio::task::spawn_local(async move {
             let incarnation = call.incarnation.clone();
             let result = minion.list(call).await;
-            // Without a receiver the process is about to end.
+            // The send only fails when the process is about to end.
             let _ = inputs.send(Input::Listed(incarnation, number, result));
         });
     }
@@ -419,7 +446,8 @@
     }
 }
 
-/// Connects to an entry and reads its frames until the connection ends.
+/// Connects to an entry and reads its frames until the connection ends. Returns
+/// whether the entry sent a frame.
 async fn dial_entry(
     link: LinkId,
     entry: SocketAddr,
@@ -440,11 +468,11 @@
     {
         return false;
     }
-    let mut was_useful = false;
+    let mut was_answered = false;
     let read = async {
         while let Some(frame) = links::next_frame(&mut reader).await {
             directory.borrow_mut().mark_seen(clock.now_ms(), entry);
-            was_useful = true;
+            was_answered = true;
             let Ok(frame) = decode(&frame) else {
                 break;
             };
@@ -457,7 +485,7 @@
         () = read => {}
         _ = closed => {}
     }
-    // Without a receiver the process is about to end.
+    // The send only fails when the process is about to end.
     let _ = inputs.send(Input::LinkDown(link));
-    was_useful
+    was_answered
 }
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -1,4 +1,5 @@
-//! The process around an entry's decisions.
+//! The entry process: runs the decision core [`Dispatcher`] and the [`Ledger`] of
+//! stored jobs with their connections to agents, other entries and the store.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -56,34 +57,35 @@
 use crate::ports::JobLogPort;
 use crate::stored_calls::StoredCalls;
 
-/// Pause between two looks at the directory, in milliseconds.
-const REFRESH_MS: u64 = 500;
-/// Time before the end of a planned stop from which jobs are refused, in
-/// milliseconds: most end within it.
-const STOP_LAST_JOB_MS: u64 = 2_000;
-/// Time for the last answers to be written before the process ends, in
+/// Time between two checks of the directory for entries to connect to and to send
+/// to others, in milliseconds.
+const REFRESH_INTERVAL_MS: u64 = 500;
+/// Time before the end of a planned stop from which new jobs are refused, in
+/// milliseconds: most accepted jobs end within it.
+const REFUSE_BEFORE_END_MS: u64 = 2_000;
+/// Time that the process leaves for writing the last answers before it ends, in
 /// milliseconds.
 const FLUSH_MS: u64 = 150;
 
 /// Settings of an entry's process.
 #[derive(Clone, Debug)]
 pub struct EntryNodeSettings {
-    /// Where agents and other entries connect.
+    /// Address on which agents and other entries connect.
     pub link_addr: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
-    /// Time after the signal for which requests are still taken, in
-    /// milliseconds: the balancer needs two checks to notice.
+    /// Time after the stop signal for which requests are still accepted, in
+    /// milliseconds: the balancer notices the stop after two readiness checks.
     pub stop_notice_ms: u64,
-    /// Parts of the job log.
+    /// Number of partitions of the job log.
     pub partitions: u32,
-    /// Appends that the store takes each second.
+    /// Number of appends that the store takes each second.
     pub store_writes_per_s: u32,
-    /// What may change while it runs.
+    /// Settings that can change without a restart.
     pub tunables: Tunables,
 }
 
-/// An entry with its connections.
+/// An entry with its connections to callers, agents, other entries and the store.
 pub struct EntryNode {
     settings: EntryNodeSettings,
     pub(crate) dispatcher: Dispatcher,
@@ -92,10 +94,13 @@
     metrics: Rc<Metrics>,
     pub(crate) inputs: UnboundedSender<Input>,
     queue: UnboundedReceiver<Input>,
+    /// For each agent's connection, the queue of its frames and the handle that
+    /// stops the task that reads it.
     links: BTreeMap<LinkId, (FrameSender, AbortHandle)>,
     callers: BTreeMap<CallerId, oneshot::Sender<JobOutcome>>,
     directory: SharedDirectory,
-    /// Gains of the directory that agents and entries were told of.
+    /// Number of discoveries in the directory when entries were last sent to agents
+    /// and other entries.
     sent_discoveries: u64,
     pub(crate) gossip: watch::Sender<GossipState>,
     pub(crate) handle: EntryHandle,
@@ -103,10 +108,12 @@
     pub(crate) job_log: JobLogCalls,
     pub(crate) stored_callers: BTreeMap<StoredCaller, oneshot::Sender<StoredAnswer>>,
     pub(crate) next_stored_caller: u64,
-    pub(crate) is_announcing: bool,
+    pub(crate) is_announcing_stored_jobs: bool,
+    /// Becomes true when connections of callers are to end.
     http_stop: watch::Sender<bool>,
-    open: OpenConnections,
-    stop_ms: Option<u64>,
+    open_connections: OpenConnections,
+    /// When a planned stop began.
+    stop_began_at_ms: Option<u64>,
 }
 
 impl std::fmt::Debug for EntryNode {
@@ -116,7 +123,7 @@
 }
 
 impl EntryNode {
-    /// An entry that is not serving yet.
+    /// Creates an entry that accepts connections once [`run`](Self::run) is called.
     #[must_use]
     pub fn new(
         settings: EntryNodeSettings,
@@ -126,16 +133,16 @@
         clock: Clock,
     ) -> Self {
         let (inputs, queue) = unbounded_channel();
-        let own = settings.link_addr;
-        let directory = Directory::new(Some(own), settings.tunables.seeds.iter().copied())
-            .with_max_targets(own.to_string().into(), MAX_LINKED_PEERS);
+        let own_addr = settings.link_addr;
+        let directory = Directory::new(Some(own_addr), settings.tunables.seeds.iter().copied())
+            .with_max_targets(own_addr.to_string().into(), MAX_LINKED_PEERS);
         let dispatcher_settings = DispatcherSettings {
             zone: settings.zone.clone(),
             remote_factor: settings.tunables.remote_factor,
             seed: rand::random(),
         };
         let stored_calls = StoredCalls::new(
-            own,
+            own_addr,
             settings.partitions,
             inputs.clone(),
             Rc::clone(&job_log),
@@ -165,36 +172,38 @@
             job_log,
             stored_callers: BTreeMap::new(),
             next_stored_caller: 1,
-            is_announcing: false,
+            is_announcing_stored_jobs: false,
             http_stop: watch::Sender::new(false),
-            open: OpenConnections::default(),
-            stop_ms: None,
+            open_connections: OpenConnections::default(),
+            stop_began_at_ms: None,
         }
     }
 
-    /// The interface for callers.
+    /// Returns a handle through which callers reach this entry.
     #[must_use]
     pub fn handle(&self) -> EntryHandle {
         self.handle.clone()
     }
 
-    /// Becomes true when connections of callers are to end.
+    /// Returns a signal that becomes true when connections of callers are to end.
     #[must_use]
     pub fn http_stop(&self) -> watch::Receiver<bool> {
         self.http_stop.subscribe()
     }
 
-    /// Counts the connections of callers, which a planned stop waits for.
+    /// Returns the counter of callers' connections. A planned stop waits until it
+    /// is zero.
     #[must_use]
     pub fn open_connections(&self) -> OpenConnections {
-        self.open.clone()
+        self.open_connections.clone()
     }
 
-    /// Serves until a planned stop is complete.
+    /// Runs the entry until a planned stop is complete.
     ///
     /// # Errors
     ///
-    /// The error of the listener for agents and entries.
+    /// Returns the I/O error if the address for agents and other entries cannot be
+    /// bound.
     pub async fn run(mut self, store: StoreClient) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.settings.link_addr).await?;
         tokio::task::spawn_local(agent_links::accept(
@@ -204,37 +213,41 @@
         ));
         let gossip = self.gossip.subscribe();
         tokio::task::spawn_local(watch_store(store.clone(), gossip, self.inputs.clone()));
-        let own = self.settings.link_addr;
-        tokio::task::spawn_local(meet(store.clone(), own, self.inputs.clone()));
+        let own_addr = self.settings.link_addr;
+        tokio::task::spawn_local(announce_and_discover(
+            store.clone(),
+            own_addr,
+            self.inputs.clone(),
+        ));
         let mut dialers = self.dialers();
         dialers.refresh();
         tokio::task::spawn_local(send_refreshes(self.inputs.clone()));
         let mut due_ms = 0;
-        while !self.may_end() {
+        while !self.can_end() {
             let sleep = tokio::time::sleep_until(self.clock.at(due_ms));
             let first = tokio::select! {
                 biased;
                 input = self.queue.recv() => input,
                 () = sleep => None,
             };
-            self.note_suspension();
+            self.observe_suspension();
             if let Some(input) = first {
-                self.input(input, &store);
+                self.handle_input(input, &store);
             }
             while let Ok(input) = self.queue.try_recv() {
-                self.input(input, &store);
+                self.handle_input(input, &store);
             }
             dialers.refresh_if_due();
-            if self.has_new_entries() {
+            if self.spread_new_entries() {
                 dialers.refresh();
             }
             let now_ms = self.clock.now_ms();
             let ledger_due_ms = self.ledger.tick(now_ms, &mut self.dispatcher);
             due_ms = self.dispatcher.tick(now_ms);
             due_ms = ledger_due_ms.map_or(due_ms, |ledger_ms| ledger_ms.min(due_ms));
-            self.follow_stop();
-            self.carry_out();
-            self.carry_out_stored();
+            self.advance_stop();
+            self.execute_actions();
+            self.execute_ledger_actions();
             self.gossip_crashes();
         }
         info!(self.log, "stopped"; "open_jobs" => self.dispatcher.unfinished_jobs());
@@ -242,9 +255,9 @@
         Ok(())
     }
 
-    /// Counts the time in which the host was suspended before anything that arrived
-    /// meanwhile is looked at.
-    fn note_suspension(&self) {
+    /// Adds the time of a suspension of the host to the clock. Called before inputs
+    /// that arrived meanwhile are handled.
+    fn observe_suspension(&self) {
         if let Some(for_ms) = self.clock.observe() {
             self.metrics.event("host-suspended");
             warn!(self.log, "host-suspended"; "for_ms" => for_ms);
@@ -252,16 +265,16 @@
     }
 
     fn dialers(&self) -> PeerDialers {
-        let own = self.settings.link_addr;
+        let own_addr = self.settings.link_addr;
         let gossip = self.gossip.subscribe();
         let directory = Rc::clone(&self.directory);
         let clock = self.clock.clone();
-        let dial: Box<BoxedDial> = Box::new(move |entry| {
+        let dial: Box<DialFn> = Box::new(move |entry| {
             let directory = Rc::clone(&directory);
             let clock = clock.clone();
             Box::pin(peer_links::dial(
                 entry,
-                own,
+                own_addr,
                 gossip.clone(),
                 directory,
                 clock,
@@ -269,12 +282,12 @@
         });
         PeerDialers {
             dialers: Dialers::new(Rc::clone(&self.directory), self.clock.clone(), dial),
-            refreshed_ms: 0,
+            last_refresh_ms: 0,
             clock: self.clock.clone(),
         }
     }
 
-    fn input(&mut self, input: Input, store: &StoreClient) {
+    fn handle_input(&mut self, input: Input, store: &StoreClient) {
         let now_ms = self.clock.now_ms();
         match input {
             Input::AgentUp(link, hello, sender, reader) => {
@@ -290,7 +303,7 @@
             }
             Input::Peer(entry, frame) => {
                 if frame.has_stored_jobs {
-                    self.take_part(now_ms);
+                    self.activate_ledger(now_ms);
                 }
                 self.peer_frame(now_ms, entry, frame);
             }
@@ -304,11 +317,11 @@
             }
             Input::Cancel(job, answer) => {
                 let is_cancelled = self.dispatcher.cancel(now_ms, &job);
-                // A caller that left needs no answer.
+                // The send only fails if the caller has left.
                 let _ = answer.send(is_cancelled);
             }
             Input::Pending(queue, answer) => {
-                // A caller that left needs no answer.
+                // The send only fails if the caller has left.
                 let _ = answer.send(self.dispatcher.pending(&queue));
             }
             Input::Operators(update) => {
@@ -322,7 +335,7 @@
                 self.directory.borrow_mut().learn(now_ms, &entries);
             }
             Input::Refresh => self.spread_entries(now_ms),
-            Input::Stored(stored) => self.stored_input(now_ms, stored, store),
+            Input::Stored(stored) => self.handle_stored_input(now_ms, stored, store),
             Input::Reload(tunables) => {
                 self.directory
                     .borrow_mut()
@@ -332,7 +345,7 @@
             }
             Input::Stop => self.begin_stop(now_ms),
         }
-        let is_ready = self.dispatcher.is_ready() && self.stop_ms.is_none();
+        let is_ready = self.dispatcher.is_ready() && self.stop_began_at_ms.is_none();
         self.handle.set_ready(is_ready);
     }
 
@@ -350,7 +363,7 @@
         self.dispatcher.learn_crashes(now_ms, frame.crashes);
     }
 
-    /// Tells other entries of crashes that became known here.
+    /// Spreads crashes that became known here to other entries.
     fn gossip_crashes(&mut self) {
         let crashes = self.dispatcher.crashes();
         if self.gossip.borrow().crashes.last() != crashes.last() {
@@ -359,8 +372,9 @@
         }
     }
 
-    /// Takes over which zones are being emptied, ahead of a configuration that is
-    /// told beside it: an entry that serves knows both.
+    /// Applies the set of evacuated zones if it is newer. Callers do this before they
+    /// apply a configuration from the same message, so that an entry that is ready
+    /// because of the configuration also has the evacuations.
     fn evacuate(&mut self, now_ms: u64, newer: &Evacuations) {
         if self.dispatcher.evacuate(now_ms, newer) {
             let newer = newer.clone();
@@ -368,6 +382,7 @@
         }
     }
 
+    /// Applies a configuration if it is newer, and spreads it to other entries.
     fn configure(&mut self, table: RoutingTable) {
         if self.dispatcher.configure(table) {
             let table = Arc::new(self.dispatcher.table().clone());
@@ -376,19 +391,20 @@
         }
     }
 
-    /// Tells of entries that became known since the last call; whether there
-    /// are any.
-    fn has_new_entries(&mut self) -> bool {
+    /// Spreads the entries that became known since the last call. Returns whether
+    /// there were any.
+    fn spread_new_entries(&mut self) -> bool {
         let discoveries = self.directory.borrow().discoveries();
-        let is_gain = discoveries != self.sent_discoveries;
+        let is_changed = discoveries != self.sent_discoveries;
         self.sent_discoveries = discoveries;
-        if is_gain {
+        if is_changed {
             self.spread_entries(self.clock.now_ms());
         }
-        is_gain
+        is_changed
     }
 
-    /// Tells entries and agents when the set of entries changed.
+    /// Sends the set of recently seen entries to other entries and agents if it
+    /// changed.
     fn spread_entries(&mut self, now_ms: u64) {
         let entries = self.directory.borrow().recent_addrs(now_ms);
         if self.gossip.borrow().entries != entries {
@@ -399,41 +415,43 @@
     }
 
     fn begin_stop(&mut self, now_ms: u64) {
-        if self.stop_ms.is_none() {
+        if self.stop_began_at_ms.is_none() {
             info!(self.log, "stopping"; "open_jobs" => self.dispatcher.unfinished_jobs());
-            self.stop_ms = Some(now_ms);
+            self.stop_began_at_ms = Some(now_ms);
             self.ledger.begin_stop(now_ms, &mut self.dispatcher);
         }
     }
 
-    fn follow_stop(&mut self) {
-        let Some(stop_ms) = self.stop_ms else {
+    /// Takes the steps of a planned stop that are due.
+    fn advance_stop(&mut self) {
+        let Some(stop_began_at_ms) = self.stop_began_at_ms else {
             return;
         };
-        let since_ms = self.clock.now_ms().saturating_sub(stop_ms);
-        if since_ms >= self.settings.stop_notice_ms && !*self.http_stop.borrow() {
+        let stopping_for_ms = self.clock.now_ms().saturating_sub(stop_began_at_ms);
+        if stopping_for_ms >= self.settings.stop_notice_ms && !*self.http_stop.borrow() {
             self.http_stop.send_replace(true);
         }
-        if since_ms + STOP_LAST_JOB_MS >= self.settings.tunables.stop_limit_ms {
+        if stopping_for_ms + REFUSE_BEFORE_END_MS >= self.settings.tunables.stop_limit_ms {
             self.dispatcher.begin_stop();
         }
     }
 
-    fn may_end(&self) -> bool {
-        let Some(stop_ms) = self.stop_ms else {
+    fn can_end(&self) -> bool {
+        let Some(stop_began_at_ms) = self.stop_began_at_ms else {
             return false;
         };
-        let is_over = self.clock.now_ms() >= stop_ms + self.settings.tunables.stop_limit_ms;
-        let is_served = *self.http_stop.borrow() && self.open.count() == 0;
-        is_over || is_served && self.ledger.may_stop()
+        let is_stop_limit_over =
+            self.clock.now_ms() >= stop_began_at_ms + self.settings.tunables.stop_limit_ms;
+        let are_callers_gone = *self.http_stop.borrow() && self.open_connections.count() == 0;
+        is_stop_limit_over || are_callers_gone && self.ledger.may_stop()
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for action in self.dispatcher.take_actions() {
             match action {
                 DispatcherAction::Answer(caller, outcome) => {
                     if let Some(answer) = self.callers.remove(&caller) {
-                        // A caller that left needs no answer.
+                        // The send only fails if the caller has left.
                         let _ = answer.send(outcome);
                     }
                 }
@@ -455,6 +473,7 @@
         }
     }
 
+    /// Logs and counts an event.
     pub(crate) fn event(&self, event: &EntryEvent) {
         match (&event.job, event.took_ms) {
             (Some(job), Some(took_ms)) => {
@@ -473,28 +492,32 @@
     }
 }
 
-type BoxedDial = dyn Fn(SocketAddr) -> std::pin::Pin<Box<dyn Future<Output = bool>>>;
+/// Connects to an entry and serves the connection to its end. Returns whether
+/// the entry acknowledged a frame.
+type DialFn = dyn Fn(SocketAddr) -> std::pin::Pin<Box<dyn Future<Output = bool>>>;
 
-/// The connections to other entries.
+/// Dialers for the connections to other entries, with the time of their last
+/// refresh.
 struct PeerDialers {
-    dialers: Dialers<Box<BoxedDial>>,
-    refreshed_ms: u64,
+    dialers: Dialers<Box<DialFn>>,
+    last_refresh_ms: u64,
     clock: Clock,
 }
 
 impl PeerDialers {
     fn refresh(&mut self) {
-        self.refreshed_ms = self.clock.now_ms();
+        self.last_refresh_ms = self.clock.now_ms();
         self.dialers.refresh();
     }
 
     fn refresh_if_due(&mut self) {
-        if self.clock.now_ms() >= self.refreshed_ms + REFRESH_MS {
+        if self.clock.now_ms() >= self.last_refresh_ms + REFRESH_INTERVAL_MS {
             self.refresh();
         }
     }
 }
 
+/// Passes on updates of the operators' records in the store; never returns.
 async fn watch_store(
     store: StoreClient,
     gossip: watch::Receiver<GossipState>,
@@ -507,30 +530,35 @@
             entries: gossip.entries.len(),
         }
     };
-    let found = |update| {
-        // Without a receiver the process is about to end.
+    let on_update = |update| {
+        // The send only fails when the process is about to end.
         let _ = inputs.send(Input::Operators(update));
     };
-    store.watch(hedge_context, found).await;
+    store.watch(hedge_context, on_update).await;
 }
 
-/// Makes the entry known, and finds those that are known already.
-async fn meet(store: StoreClient, own: SocketAddr, inputs: UnboundedSender<Input>) {
+/// Finds the entries that are announced in the store, and announces this one.
+async fn announce_and_discover(
+    store: StoreClient,
+    own_addr: SocketAddr,
+    inputs: UnboundedSender<Input>,
+) {
     let announced = store.announced().await;
-    let is_known = announced.entries.contains(&own);
-    // Without a receiver the process is about to end.
+    let is_announced = announced.entries.contains(&own_addr);
+    // The send only fails when the process is about to end.
     let _ = inputs.send(Input::Entries(announced.entries));
     if announced.has_stored_jobs {
-        // Without a receiver the process is about to end.
-        let _ = inputs.send(Input::Stored(StoredInput::Known));
+        // The send only fails when the process is about to end.
+        let _ = inputs.send(Input::Stored(StoredInput::JobsKnown));
     }
-    if !is_known {
-        store.announce(own).await;
+    if !is_announced {
+        store.announce(own_addr).await;
     }
 }
 
+/// Sends [`Input::Refresh`] regularly until the entry ends.
 async fn send_refreshes(inputs: UnboundedSender<Input>) {
     while inputs.send(Input::Refresh).is_ok() {
-        tokio::time::sleep(Duration::from_millis(REFRESH_MS)).await;
+        tokio::time::sleep(Duration::from_millis(REFRESH_INTERVAL_MS)).await;
     }
 }
--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -1,8 +1,8 @@
-//! Calls over HTTP/1.1 on connections that stay open.
+//! An HTTP/1.1 client that keeps its connections open.
 //!
-//! A connection can go silent for good without a reset. When a call times out
-//! and nothing was answered of late, all idle connections are suspect and are
-//! given up with it, so that the next call opens a new one.
+//! A connection can stop passing data without a reset. When a call times out and no
+//! call was answered recently, the client therefore drops all idle connections along
+//! with the call's own one, so that the next call opens a new one.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -25,45 +25,48 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Connections to one address that are kept open without a call.
-const IDLE_CONNECTIONS: usize = 16;
-/// Time to open a connection, in milliseconds.
-const CONNECT_MS: u64 = 1_000;
-/// Largest answer in bytes.
+/// Largest number of connections to one address that stay open without a call.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// Timeout for opening a connection, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
+/// Size of the largest response body that is accepted, in bytes.
 const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Time without any answer after which idle connections are suspect when a call
-/// times out, in milliseconds, or the time of the call if that is less.
-const SUSPECT_MS: u64 = 250;
+/// Age up to which an answer counts as recent, in milliseconds, or the timeout of
+/// the call if that is shorter. A call that times out without a recent answer makes
+/// all idle connections suspect.
+const RECENT_ANSWER_MS: u64 = 250;
 
-/// Rounds of the event loop in which an answer that has arrived gets through
-/// the connection's own task to its caller.
-const YIELDS: usize = 6;
+/// Number of rounds of the event loop in which an answer that has arrived passes
+/// through the connection's own task to its caller.
+const YIELDS_AFTER_TIMEOUT: usize = 6;
 
-/// A call without an answer. It may have been carried out.
+/// Why a call has no answer. The server may have carried out the call, except for
+/// [`Refused`](Self::Refused), [`Unopened`](Self::Unopened) and
+/// [`Invalid`](Self::Invalid).
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No answer in time.
+    /// The answer did not arrive within this many milliseconds.
     #[error("no answer within {0} ms")]
     TimedOut(u64),
-    /// Nobody takes connections there: the call was not sent.
+    /// The address refused the connection: the call was not sent.
     #[error("connection refused")]
     Refused,
-    /// The connection could not be opened.
-    #[error("connection not opened: {0}")]
+    /// The connection could not be opened: the call was not sent.
+    #[error("connection could not be opened: {0}")]
     Unopened(String),
     /// The connection broke before the whole answer had arrived.
-    #[error("connection broke: {0}")]
+    #[error("connection broke before the whole answer arrived: {0}")]
     Broken(String),
-    /// The call itself cannot be written.
-    #[error("call not valid: {0}")]
+    /// The call could not be encoded: it was not sent.
+    #[error("call could not be encoded: {0}")]
     Invalid(String),
 }
 
-/// An answer.
+/// An HTTP response with its whole body.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The body.
     pub body: Bytes,
@@ -71,23 +74,23 @@
 
 type PooledClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A client of one address.
+/// An HTTP client for one address. Clones share its connections.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     addr: SocketAddr,
     client: Rc<RefCell<PooledClient>>,
-    /// When a call was last answered.
-    answered: Rc<Cell<Option<Instant>>>,
+    /// When a call last ended without a timeout.
+    last_answer_at: Rc<Cell<Option<Instant>>>,
 }
 
 impl HttpClient {
-    /// A client of `addr`.
+    /// Creates a client for `addr`, without connections.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
             client: Rc::new(RefCell::new(pooled_client())),
-            answered: Rc::default(),
+            last_answer_at: Rc::default(),
         }
     }
 
@@ -95,7 +98,8 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] without a whole answer in time.
+    /// Returns a [`CallError`] if the call cannot be sent, or if the whole answer does
+    /// not arrive within `timeout_ms`.
     pub async fn call(
         &self,
         method: Method,
@@ -117,21 +121,21 @@
         tokio::select! {
             biased;
             reply = self.exchange(request) => {
-                self.answered.set(Some(Instant::now()));
+                self.last_answer_at.set(Some(Instant::now()));
                 reply
             }
-            () = time_out(timeout) => {
-                self.suspect_idle_connections(timeout_ms);
+            () = wait_for_timeout(timeout) => {
+                self.drop_suspect_connections(timeout_ms);
                 Err(CallError::TimedOut(timeout_ms))
             }
         }
     }
 
-    /// Gives up all idle connections unless something was answered of late.
-    fn suspect_idle_connections(&self, timeout_ms: u64) {
-        let of_late = Duration::from_millis(timeout_ms.min(SUSPECT_MS));
-        let answered = self.answered.get();
-        if answered.is_none_or(|answered| answered.elapsed() >= of_late) {
+    /// Drops all idle connections unless a call was answered recently.
+    fn drop_suspect_connections(&self, timeout_ms: u64) {
+        let recent = Duration::from_millis(timeout_ms.min(RECENT_ANSWER_MS));
+        let last_answer_at = self.last_answer_at.get();
+        if last_answer_at.is_none_or(|last_answer_at| last_answer_at.elapsed() >= recent) {
             *self.client.borrow_mut() = pooled_client();
         }
     }
@@ -152,7 +156,7 @@
     }
 }
 
-/// Why a call got no response.
+/// Converts the client's error into a [`CallError`].
 fn connection_error(error: &hyper_util::client::legacy::Error) -> CallError {
     if !error.is_connect() {
         return CallError::Broken(error.to_string());
@@ -171,19 +175,19 @@
 fn pooled_client() -> PooledClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(Duration::from_millis(CONNECT_MS)));
+    connector.set_connect_timeout(Some(Duration::from_millis(CONNECT_TIMEOUT_MS)));
     Client::builder(TokioExecutor::new())
-        .pool_max_idle_per_host(IDLE_CONNECTIONS)
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(None)
         .build(connector)
 }
 
-/// Waits, and then lets answers go first that arrived while this process stood
-/// still.
-async fn time_out(timeout: Duration) {
+/// Waits for the timeout, and then yields so that answers which arrived while this
+/// process did not run are received first.
+async fn wait_for_timeout(timeout: Duration) {
     tokio::time::sleep(timeout).await;
-    for _ in 0..YIELDS {
+    for _ in 0..YIELDS_AFTER_TIMEOUT {
         tokio::task::yield_now().await;
     }
 }
--- a/crates/node/src/peer_links.rs
+++ b/crates/node/src/peer_links.rs
@@ -1,6 +1,7 @@
-//! Connections between entries: the one that opened it tells what changes, the
-//! other acknowledges each frame. Either side ends a connection that has gone
-//! silent, and the opener tells everything anew on the next one.
+//! Connections between entries. The entry that opened a connection sends the changes
+//! of its gossip state, and the other entry acknowledges each frame. Either side ends
+//! a connection on which nothing arrives any more; on the next one, the opener sends
+//! its whole state again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,18 +22,19 @@
 use crate::links::FrameReader;
 use crate::links::FrameSender;
 
-/// Pause between two frames to another entry, in milliseconds.
+/// Longest pause between two frames to another entry, in milliseconds.
 const KEEPALIVE_MS: u64 = 1_000;
-/// Silence after which a connection is given up, in milliseconds. The platform
-/// counts a host as sound 3 s after its connections were disturbed; one frame
-/// may be late.
-const SILENCE_MS: u64 = 2_200;
+/// Time without a frame or an acknowledgement after which a connection is ended, in
+/// milliseconds. The platform considers a host healthy 3 s after its connections were
+/// disturbed; one frame may be delayed.
+const IDLE_TIMEOUT_MS: u64 = 2_200;
 
-/// Tells another entry what changes, until the connection ends; whether the
-/// other one ever answered.
+/// Connects to another entry and sends it the changes of the gossip state until the
+/// connection ends or the entry is no longer a target. Returns whether the other
+/// entry acknowledged a frame.
 pub(crate) async fn dial(
     entry: SocketAddr,
-    own: SocketAddr,
+    own_addr: SocketAddr,
     mut gossip: watch::Receiver<GossipState>,
     directory: SharedDirectory,
     clock: Clock,
@@ -43,14 +45,14 @@
     let Ok((mut reader, sender)) = links::split(stream) else {
         return false;
     };
-    let Ok(greeting) = encode(&Greeting::Entry(own)) else {
+    let Ok(greeting) = encode(&Greeting::Entry(own_addr)) else {
         return false;
     };
     sender.send(greeting);
     let mut gossip_sender = GossipSender::default();
     let mut last_seen_ms = clock.now_ms();
     let mut was_answered = false;
-    while clock.now_ms() < last_seen_ms + SILENCE_MS && is_target(entry, &directory, &clock) {
+    while clock.now_ms() < last_seen_ms + IDLE_TIMEOUT_MS && is_target(entry, &directory, &clock) {
         let now_ms = clock.now_ms();
         let known = || directory.borrow().known(now_ms);
         let frame = gossip_sender.next_frame(now_ms, &gossip.borrow_and_update(), known);
@@ -83,19 +85,19 @@
     was_answered
 }
 
-/// Passes on the frames of the entry that opened a connection, and acknowledges
-/// each.
+/// Passes on and acknowledges each frame of the entry that opened the connection,
+/// until the connection ends.
 pub(crate) async fn serve(
     mut reader: FrameReader,
     sender: FrameSender,
-    received: impl Fn(PeerFrame),
+    on_frame: impl Fn(PeerFrame),
 ) {
-    let silence = Duration::from_millis(SILENCE_MS);
-    while let Ok(Some(frame)) = timeout(silence, links::next_frame(&mut reader)).await {
+    let idle_timeout = Duration::from_millis(IDLE_TIMEOUT_MS);
+    while let Ok(Some(frame)) = timeout(idle_timeout, links::next_frame(&mut reader)).await {
         let Ok(frame) = decode(&frame) else {
             return;
         };
-        received(frame);
+        on_frame(frame);
         let Ok(bytes) = encode(&PeerAck) else {
             return;
         };
--- a/crates/node/tests/fakes/mod.rs
+++ b/crates/node/tests/fakes/mod.rs
@@ -1,5 +1,5 @@
-//! A store, and the other end of connections between processes, played by the
-//! test.
+//! A fake store, and helpers for tests that act as the other end of a connection
+//! between processes.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -27,10 +27,10 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
-/// Longest wait for what the other end does.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest time that a test waits for the other end of a connection.
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
-/// A store that serves or refuses everything.
+/// A store that serves all calls, or refuses all of them.
 #[derive(Default)]
 pub struct FakeStore {
     pub table: RefCell<Option<RoutingTable>>,
@@ -88,6 +88,7 @@
     }
 }
 
+/// Returns a loopback address and port that no other test uses.
 pub fn free_addr() -> SocketAddr {
     static CALLS: AtomicU16 = AtomicU16::new(0);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -99,21 +100,22 @@
     Logger::root(Discard, o!())
 }
 
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds, and panics if it does not within 10 s.
+pub async fn until(what: &str, mut is_true: impl FnMut() -> bool) {
     for _ in 0..2_000 {
-        if holds() {
+        if is_true() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("{what} did not come about");
+    panic!("timed out waiting for {what}");
 }
 
 pub async fn on_one_thread(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
 
-/// Reads one frame of a connection between processes.
+/// Reads one length-delimited frame.
 pub async fn read_frame(stream: &mut TcpStream) -> Vec<u8> {
     let read = async {
         let length = stream.read_u32().await.expect("a frame");
@@ -121,10 +123,11 @@
         stream.read_exact(&mut frame).await.expect("a whole frame");
         frame
     };
-    let read = tokio::time::timeout(PATIENCE, read).await;
+    let read = tokio::time::timeout(WAIT_LIMIT, read).await;
     read.expect("a frame in time")
 }
 
+/// Encodes and writes one length-delimited frame.
 pub async fn write_frame<T: serde::Serialize>(stream: &mut TcpStream, frame: &T) {
     let bytes = encode(frame).expect("it can be encoded");
     let length = u32::try_from(bytes.len()).expect("a short frame");
@@ -133,7 +136,7 @@
 }
 
 pub async fn accept(listener: &TcpListener) -> TcpStream {
-    let accepted = tokio::time::timeout(PATIENCE, listener.accept());
+    let accepted = tokio::time::timeout(WAIT_LIMIT, listener.accept());
     let (stream, _) = accepted.await.expect("a connection").expect("a stream");
     stream
 }
