--- a/crates/dispatch/src/crashes.rs
+++ b/crates/dispatch/src/crashes.rs
@@ -63,60 +63,67 @@
 #[derive(Clone, Debug)]
 struct KnownCrash {
     crash: Crash,
-    at_ms: u64,
+    observed_at_ms: u64,
 }
 
 /// The crashes that a process knows of.
 #[derive(Clone, Debug, Default)]
 pub struct KnownCrashes {
     /// By the order in which they became known.
-    known: BTreeMap<u64, KnownCrash>,
-    last: u64,
+    by_sequence: BTreeMap<u64, KnownCrash>,
+    last_sequence: u64,
 }
 
 impl KnownCrashes {
     /// Takes over a crash; false if it is known or too old.
     pub(crate) fn learn(&mut self, now_ms: u64, crash: Crash) -> bool {
-        let mut known = self.known.values();
+        let mut known = self.by_sequence.values();
         let is_known = known.any(|other| other.crash.number == crash.number);
         if is_known || crash.age_ms >= CRASH_TTL_MS {
             return false;
         }
-        let at_ms = now_ms.saturating_sub(crash.age_ms);
-        self.last += 1;
-        self.known.insert(self.last, KnownCrash { crash, at_ms });
-        if self.known.len() > MAX_KNOWN_CRASHES {
-            self.known.pop_first();
+        let observed_at_ms = now_ms.saturating_sub(crash.age_ms);
+        self.last_sequence += 1;
+        self.by_sequence.insert(
+            self.last_sequence,
+            KnownCrash {
+                crash,
+                observed_at_ms,
+            },
+        );
+        if self.by_sequence.len() > MAX_KNOWN_CRASHES {
+            self.by_sequence.pop_first();
         }
         true
     }
 
     /// Forgets what is too old.
     pub(crate) fn expire(&mut self, now_ms: u64) {
-        let is_kept = |_: &u64, known: &mut KnownCrash| now_ms < known.at_ms + CRASH_TTL_MS;
-        self.known.retain(is_kept);
+        let is_kept =
+            |_: &u64, known: &mut KnownCrash| now_ms < known.observed_at_ms + CRASH_TTL_MS;
+        self.by_sequence.retain(is_kept);
     }
 
     /// The crashes under tasks of a job.
     pub(crate) fn of_job<'a>(&'a self, job: &'a Name) -> impl Iterator<Item = &'a Crash> {
-        let crashes = self.known.values().map(|known| &known.crash);
+        let crashes = self.by_sequence.values().map(|known| &known.crash);
         crashes.filter(|crash| crash.task.job == *job)
     }
 
     /// Number of crashes that became known so far.
     #[must_use]
-    pub fn last(&self) -> u64 {
-        self.last
+    pub fn last_sequence(&self) -> u64 {
+        self.last_sequence
     }
 
     /// The crashes that became known after so many others, with their ages.
     #[must_use]
-    pub fn since(&self, now_ms: u64, last: u64) -> Vec<Crash> {
-        let later = self.known.range(last + 1..);
-        let told = later.map(|(_, known)| Crash {
-            age_ms: now_ms.saturating_sub(known.at_ms),
+    pub fn since(&self, now_ms: u64, sequence: u64) -> Vec<Crash> {
+        let later = self.by_sequence.range(sequence + 1..);
+        let aged = later.map(|(_, known)| Crash {
+            age_ms: now_ms.saturating_sub(known.observed_at_ms),
             ..known.crash.clone()
         });
-        told.collect()
+        aged.collect()
     }
 }
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -44,7 +44,7 @@
     /// Whether seeds were among those to choose from.
     has_seeds: bool,
     /// Since when they hold, and until when none is forgotten.
-    hold_ms: Range<u64>,
+    valid_ms: Range<u64>,
 }
 
 impl Directory {
@@ -83,7 +83,7 @@
     pub fn learn(&mut self, now_ms: u64, entries: &[SocketAddr]) -> bool {
         let before = self.targets(now_ms).len();
         for entry in entries {
-            self.note_heard(now_ms, *entry, now_ms);
+            self.record_mentioned(now_ms, *entry, now_ms);
         }
         self.targets(now_ms).len() > before
     }
@@ -93,22 +93,22 @@
         let recent = |entry: &&SeenEntry| u64::from(entry.age_ms) < FORGET_MS;
         for entry in entries.iter().filter(recent) {
             let at_ms = now_ms.saturating_sub(u64::from(entry.age_ms));
-            self.note_reached(now_ms, entry.addr, at_ms);
+            self.record_seen(now_ms, entry.addr, at_ms);
         }
     }
 
     /// Notes an entry that was reached just now.
     pub fn mark_seen(&mut self, now_ms: u64, entry: SocketAddr) {
-        self.note_reached(now_ms, entry, now_ms);
+        self.record_seen(now_ms, entry, now_ms);
     }
 
-    fn note_reached(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
-        self.note_heard(now_ms, entry, at_ms);
-        self.discoveries += u64::from(note(&mut self.last_seen_ms, now_ms, entry, at_ms));
+    fn record_seen(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
+        self.record_mentioned(now_ms, entry, at_ms);
+        self.discoveries += u64::from(record_time(&mut self.last_seen_ms, now_ms, entry, at_ms));
     }
 
-    fn note_heard(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
-        if note(&mut self.last_mentioned_ms, now_ms, entry, at_ms) {
+    fn record_mentioned(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
+        if record_time(&mut self.last_mentioned_ms, now_ms, entry, at_ms) {
             self.discoveries += 1;
             self.add_target(now_ms, entry, at_ms);
         }
@@ -118,14 +118,14 @@
     fn add_target(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
         let chosen = self.targets.take().zip(self.rendezvous.as_ref());
         self.targets = chosen.and_then(|(mut targets, rendezvous)| {
-            if targets.has_seeds || !targets.hold_ms.contains(&now_ms) {
+            if targets.has_seeds || !targets.valid_ms.contains(&now_ms) {
                 return None;
             }
             if Some(entry) != self.own {
                 targets.entries.insert(entry);
                 targets.entries = rendezvous.select(targets.entries);
             }
-            targets.hold_ms.end = targets.hold_ms.end.min(at_ms + FORGET_MS);
+            targets.valid_ms.end = targets.valid_ms.end.min(at_ms + FORGET_MS);
             Some(targets)
         });
     }
@@ -142,9 +142,9 @@
     /// often than they change, and chosen among all that are known: they are
     /// remembered until one of those is forgotten.
     pub fn targets(&mut self, now_ms: u64) -> BTreeSet<SocketAddr> {
-        let held = self.targets.take();
-        let held = held.filter(|targets| targets.hold_ms.contains(&now_ms));
-        let targets = held.unwrap_or_else(|| self.choose(now_ms));
+        let cached = self.targets.take();
+        let cached = cached.filter(|targets| targets.valid_ms.contains(&now_ms));
+        let targets = cached.unwrap_or_else(|| self.choose(now_ms));
         self.targets.insert(targets).entries.clone()
     }
 
@@ -153,7 +153,7 @@
             let mentioned = self.last_mentioned_ms.iter();
             mentioned.filter(|(_, at_ms)| is_recent(now_ms, **at_ms))
         };
-        let first_ms = recent().map(|(_, at_ms)| *at_ms).min();
+        let oldest_ms = recent().map(|(_, at_ms)| *at_ms).min();
         let mut entries: BTreeSet<SocketAddr> = recent().map(|(entry, _)| *entry).collect();
         let max = self
             .rendezvous
@@ -171,7 +171,7 @@
         Targets {
             entries,
             has_seeds,
-            hold_ms: now_ms..first_ms.map_or(u64::MAX, |first_ms| first_ms + FORGET_MS),
+            valid_ms: now_ms..oldest_ms.map_or(u64::MAX, |oldest_ms| oldest_ms + FORGET_MS),
         }
     }
 
@@ -204,7 +204,12 @@
 }
 
 /// Notes the time of a contact; whether the entry was not known.
-fn note(times: &mut BTreeMap<SocketAddr, u64>, now_ms: u64, entry: SocketAddr, at_ms: u64) -> bool {
+fn record_time(
+    times: &mut BTreeMap<SocketAddr, u64>,
+    now_ms: u64,
+    entry: SocketAddr,
+    at_ms: u64,
+) -> bool {
     let known_ms = times.get(&entry).copied();
     times.insert(entry, at_ms.max(known_ms.unwrap_or(0)));
     known_ms.is_none_or(|known_ms| !is_recent(now_ms, known_ms))
--- a/crates/dispatch/src/gossip.rs
+++ b/crates/dispatch/src/gossip.rs
@@ -31,11 +31,11 @@
 /// What was told on a connection.
 #[derive(Debug, Default)]
 pub struct GossipSender {
-    version: u64,
+    sent_version: u64,
     sent_evacuations_offset: u64,
-    last_crash: u64,
-    entries: Vec<SocketAddr>,
-    listed_ms: Option<u64>,
+    sent_crash_sequence: u64,
+    sent_entries: Vec<SocketAddr>,
+    last_list_ms: Option<u64>,
 }
 
 impl GossipSender {
@@ -46,17 +46,17 @@
         gossip: &GossipState,
         known: impl FnOnce() -> Vec<SeenEntry>,
     ) -> PeerFrame {
-        let is_newer = gossip.table.version > self.version;
-        self.version = gossip.table.version;
-        let is_later = gossip.evacuations.log_offset > self.sent_evacuations_offset;
+        let has_newer_table = gossip.table.version > self.sent_version;
+        self.sent_version = gossip.table.version;
+        let has_newer_evacuations = gossip.evacuations.log_offset > self.sent_evacuations_offset;
         self.sent_evacuations_offset = gossip.evacuations.log_offset;
-        let crashes = gossip.crashes.since(now_ms, self.last_crash);
-        self.last_crash = gossip.crashes.last();
+        let crashes = gossip.crashes.since(now_ms, self.sent_crash_sequence);
+        self.sent_crash_sequence = gossip.crashes.last_sequence();
         PeerFrame {
             entries: self.next_entries(now_ms, gossip, known),
-            table: is_newer.then(|| (*gossip.table).clone()),
+            table: has_newer_table.then(|| (*gossip.table).clone()),
             has_stored_jobs: gossip.has_stored_jobs,
-            evacuations: is_later.then(|| gossip.evacuations.clone()),
+            evacuations: has_newer_evacuations.then(|| gossip.evacuations.clone()),
             crashes,
         }
     }
@@ -70,18 +70,18 @@
         known: impl FnOnce() -> Vec<SeenEntry>,
     ) -> Vec<SeenEntry> {
         let is_list_due = self
-            .listed_ms
+            .last_list_ms
             .is_none_or(|at_ms| now_ms >= at_ms + FULL_LIST_INTERVAL_MS);
-        if !is_list_due && self.entries == gossip.entries {
+        if !is_list_due && self.sent_entries == gossip.entries {
             return Vec::new();
         }
         let mut entries = known();
         if is_list_due {
-            self.listed_ms = Some(now_ms);
+            self.last_list_ms = Some(now_ms);
         } else {
-            entries.retain(|entry| self.entries.binary_search(&entry.addr).is_err());
+            entries.retain(|entry| self.sent_entries.binary_search(&entry.addr).is_err());
         }
-        self.entries.clone_from(&gossip.entries);
+        self.sent_entries.clone_from(&gossip.entries);
         entries
     }
 }
--- a/crates/dispatch/src/ledger/calls.rs
+++ b/crates/dispatch/src/ledger/calls.rs
@@ -20,10 +20,10 @@
 
 /// Longest time that a call about an unknown job waits for the store's word
 /// that its partition is still ours, in milliseconds: two joins.
-const DOUBT_MS: u64 = 1_000;
+const CONFIRMATION_TIMEOUT_MS: u64 = 1_000;
 /// Longest time that a question about an open job waits for its end, in
 /// milliseconds: callers ask within 10 of it and then after 250.
-const STATE_WAIT_MS: u64 = 200;
+const MAX_STATE_WAIT_MS: u64 = 200;
 
 /// A caller that waits for the end of a job.
 #[derive(Debug)]
@@ -36,11 +36,11 @@
 /// A call about a job that is not known here. Another entry may have taken the
 /// job while the partition was its own, which the store tells with a join.
 #[derive(Debug)]
-pub(crate) struct Doubt {
+pub(crate) struct UnconfirmedCall {
     caller: StoredCaller,
     job: Name,
     is_cancel: bool,
-    asked_ms: u64,
+    called_ms: u64,
 }
 
 impl Ledger {
@@ -54,11 +54,11 @@
     ) {
         let answer = match call {
             StoredCall::Submit(job) => self.submit(now_ms, caller, job, dispatcher),
-            StoredCall::State(id) if self.is_doubtful(now_ms, &id) => {
-                self.doubt(now_ms, caller, id, false)
+            StoredCall::State(id) if self.is_unconfirmed(now_ms, &id) => {
+                self.wait_for_confirmation(now_ms, caller, id, false)
             }
-            StoredCall::Cancel(id) if self.is_doubtful(now_ms, &id) => {
-                self.doubt(now_ms, caller, id, true)
+            StoredCall::Cancel(id) if self.is_unconfirmed(now_ms, &id) => {
+                self.wait_for_confirmation(now_ms, caller, id, true)
             }
             StoredCall::State(id) => self.state_or_wait(now_ms, caller, &id, dispatcher),
             StoredCall::Cancel(id) => self.cancel(now_ms, caller, &id, dispatcher),
@@ -71,50 +71,53 @@
 
     /// Whether a job is not known here, and the store has not said since that
     /// its partition is ours.
-    fn is_doubtful(&mut self, asked_ms: u64, id: &Name) -> bool {
-        let Some(owned) = self.served(id) else {
+    fn is_unconfirmed(&mut self, called_ms: u64, id: &Name) -> bool {
+        let Some(owned) = self.served_partition(id) else {
             return false;
         };
-        let is_known = owned.jobs.get(id).is_some_and(|entry| entry.is_accepted);
-        !is_known && owned.confirmed_ms < asked_ms
+        let is_known = owned
+            .jobs
+            .get(id)
+            .is_some_and(|owned_job| owned_job.is_accepted);
+        !is_known && owned.confirmed_ms < called_ms
     }
 
     /// Answers a call when the store has been asked again.
-    fn doubt(
+    fn wait_for_confirmation(
         &mut self,
-        asked_ms: u64,
+        called_ms: u64,
         caller: StoredCaller,
         job: Name,
         is_cancel: bool,
     ) -> Option<StoredAnswer> {
-        self.doubts.push(Doubt {
+        self.unconfirmed_calls.push(UnconfirmedCall {
             caller,
             job,
             is_cancel,
-            asked_ms,
+            called_ms,
         });
-        self.join_soon(asked_ms);
+        self.join_soon(called_ms);
         None
     }
 
     /// Answers the calls of which the store has cleared the doubt.
-    pub(crate) fn clear_doubts(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
-        for doubt in std::mem::take(&mut self.doubts) {
-            let is_over = now_ms >= doubt.asked_ms + DOUBT_MS;
-            let answer = if !self.is_doubtful(doubt.asked_ms, &doubt.job) {
-                if doubt.is_cancel {
-                    self.cancel(now_ms, doubt.caller, &doubt.job, dispatcher)
+    pub(crate) fn answer_confirmed_calls(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
+        for call in std::mem::take(&mut self.unconfirmed_calls) {
+            let is_over = now_ms >= call.called_ms + CONFIRMATION_TIMEOUT_MS;
+            let answer = if !self.is_unconfirmed(call.called_ms, &call.job) {
+                if call.is_cancel {
+                    self.cancel(now_ms, call.caller, &call.job, dispatcher)
                 } else {
-                    self.state_or_wait(now_ms, doubt.caller, &doubt.job, dispatcher)
+                    self.state_or_wait(now_ms, call.caller, &call.job, dispatcher)
                 }
             } else if is_over {
                 Some(StoredAnswer::NotOwner)
             } else {
-                self.doubts.push(doubt);
+                self.unconfirmed_calls.push(call);
                 continue;
             };
             if let Some(answer) = answer {
-                self.answer_all(&[doubt.caller], answer);
+                self.answer_all(&[call.caller], answer);
             }
         }
     }
@@ -124,10 +127,10 @@
     }
 
     /// The partition of a job, if its jobs are known and served here.
-    fn served(&mut self, id: &Name) -> Option<&mut OwnedPartition> {
+    fn served_partition(&mut self, id: &Name) -> Option<&mut OwnedPartition> {
         let partition = self.partition_of(id);
         let owned = self.partitions.get_mut(&partition);
-        owned.filter(|owned| owned.serves())
+        owned.filter(|owned| owned.is_serving())
     }
 
     /// Takes a job; no answer while it is on its way to the log.
@@ -141,24 +144,24 @@
         let id = job.id.clone();
         let partition = self.partition_of(&id);
         let owned = self.partitions.get_mut(&partition);
-        let Some(owned) = owned.filter(|owned| owned.takes_jobs()) else {
+        let Some(owned) = owned.filter(|owned| owned.accepts_jobs()) else {
             return Some(StoredAnswer::NotOwner);
         };
         match owned.jobs.get(&id) {
             Some(known) if known.is_accepted => return Some(StoredAnswer::Accepted),
             Some(_) => {
-                owned.join_accept(&id, caller);
+                owned.add_accept_caller(&id, caller);
                 return None;
             }
             None => {}
         }
-        let refusal = if owned.is_held_up() {
+        let refusal = if owned.is_append_delayed() {
             Err(Refusal::NotStorable)
         } else {
             dispatcher.check_stored(&job)
         };
         if let Err(refusal) = refusal {
-            self.refused(&id, &[caller], refusal);
+            self.refuse(&id, &[caller], refusal);
             return None;
         }
         owned.jobs.insert(id.clone(), OwnedJob::new(job));
@@ -183,7 +186,7 @@
             self.watchers.push(Watcher {
                 caller,
                 job: id.clone(),
-                until_ms: now_ms + STATE_WAIT_MS,
+                until_ms: now_ms + MAX_STATE_WAIT_MS,
             });
             return None;
         }
@@ -195,11 +198,11 @@
     pub(crate) fn answer_watchers(&mut self, now_ms: u64, dispatcher: &Dispatcher) {
         for watcher in std::mem::take(&mut self.watchers) {
             let answer = self.state(&watcher.job, dispatcher);
-            let is_open = matches!(
+            let is_unfinished = matches!(
                 answer,
                 StoredAnswer::State(StoredState::Queued | StoredState::Running)
             );
-            if is_open && now_ms < watcher.until_ms {
+            if is_unfinished && now_ms < watcher.until_ms {
                 self.watchers.push(watcher);
             } else {
                 self.answer_all(&[watcher.caller], answer);
@@ -208,16 +211,16 @@
     }
 
     fn state(&mut self, id: &Name, dispatcher: &Dispatcher) -> StoredAnswer {
-        let Some(owned) = self.served(id) else {
+        let Some(owned) = self.served_partition(id) else {
             return StoredAnswer::NotOwner;
         };
-        let Some(entry) = owned.jobs.get(id).filter(|entry| entry.is_accepted) else {
+        let Some(owned_job) = owned.jobs.get(id).filter(|owned_job| owned_job.is_accepted) else {
             return StoredAnswer::Unknown;
         };
-        let has_started = entry.progress != Progress::default()
-            || !entry.crashes.is_empty()
+        let has_started = owned_job.progress != Progress::default()
+            || !owned_job.crashes.is_empty()
             || dispatcher.has_stored_job_started(id);
-        StoredAnswer::State(match entry.end {
+        StoredAnswer::State(match owned_job.end {
             Some((end, _)) => StoredState::Ended(end),
             None if has_started => StoredState::Running,
             None => StoredState::Queued,
@@ -232,16 +235,16 @@
         id: &Name,
         dispatcher: &mut Dispatcher,
     ) -> Option<StoredAnswer> {
-        let Some(owned) = self.served(id) else {
+        let Some(owned) = self.served_partition(id) else {
             return Some(StoredAnswer::NotOwner);
         };
-        let Some(entry) = owned.jobs.get_mut(id) else {
+        let Some(owned_job) = owned.jobs.get_mut(id) else {
             return Some(StoredAnswer::Unknown);
         };
-        if entry.end.is_some() {
+        if owned_job.end.is_some() {
             return Some(StoredAnswer::Cancelled);
         }
-        let end = *entry.closing.get_or_insert(StoredEnd::Cancelled);
+        let end = *owned_job.unrecorded_end.get_or_insert(StoredEnd::Cancelled);
         dispatcher.drop_stored(id);
         let change = Change::JobEnd(id.clone(), end, vec![caller]);
         owned.push(now_ms, change);
@@ -249,16 +252,20 @@
     }
 
     fn pending(&self, queue: &Name, dispatcher: &Dispatcher) -> StoredAnswer {
-        let served = || self.partitions.values().filter(|owned| owned.takes_jobs());
+        let served = || {
+            self.partitions
+                .values()
+                .filter(|owned| owned.accepts_jobs())
+        };
         let jobs = served().flat_map(|owned| &owned.jobs);
-        let is_pending = |(id, entry): &(&Name, &OwnedJob)| {
-            let of_queue = entry
+        let is_pending = |(id, owned_job): &(&Name, &OwnedJob)| {
+            let of_queue = owned_job
                 .job
                 .as_ref()
                 .is_some_and(|job| job.queue.name == *queue);
             of_queue
-                && entry.is_accepted
-                && entry.is_open()
+                && owned_job.is_accepted
+                && owned_job.is_unfinished()
                 && !dispatcher.has_stored_job_started(id)
         };
         StoredAnswer::Pending {
--- a/crates/dispatch/src/ledger/jobs.rs
+++ b/crates/dispatch/src/ledger/jobs.rs
@@ -21,10 +21,10 @@
 const PENDING_END_TTL_MS: u64 = 6_000;
 /// Time for which an ended job is still known, in milliseconds; the platform
 /// asks for 120 s.
-const RETENTION_MS: u64 = 150_000;
+const ENDED_JOB_TTL_MS: u64 = 150_000;
 /// Time that runs have to end when a partition goes to another owner, in
 /// milliseconds: most tasks are shorter.
-const RELEASE_MS: u64 = 1_000;
+const RELEASE_TIMEOUT_MS: u64 = 1_000;
 
 /// An end that an agent offers to whoever owns its job.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
 
 impl Ledger {
     /// Takes over what the dispatcher tells of a job.
-    pub(crate) fn take_event(
+    pub(crate) fn apply_event(
         &mut self,
         now_ms: u64,
         event: StoredEvent,
@@ -57,8 +57,8 @@
                     dispatcher.send_disposition(link, number, Disposition::NotOwner);
                     return;
                 };
-                if let Some(entry) = owned.jobs.get_mut(&job) {
-                    entry.progress.note(position, run, is_done);
+                if let Some(owned_job) = owned.jobs.get_mut(&job) {
+                    owned_job.progress.record_end(position, run, is_done);
                 }
                 owned.push(now_ms, Change::TaskEnd(job, link, number));
             }
@@ -67,8 +67,8 @@
                 let Some(owned) = self.partitions.get_mut(&partition) else {
                     return;
                 };
-                if let Some(entry) = owned.jobs.get_mut(&job) {
-                    entry.progress.lost.insert(position, run);
+                if let Some(owned_job) = owned.jobs.get_mut(&job) {
+                    owned_job.progress.last_lost_runs.insert(position, run);
                     owned.push(now_ms, Change::RunLost(job, position));
                 }
             }
@@ -78,8 +78,8 @@
                 let Some(owned) = self.partitions.get_mut(&partition) else {
                     return;
                 };
-                if let Some(entry) = owned.jobs.get_mut(&job) {
-                    let of_task = entry.crashes.entry(position).or_default();
+                if let Some(owned_job) = owned.jobs.get_mut(&job) {
+                    let of_task = owned_job.crashes.entry(position).or_default();
                     of_task.insert(crash.number, crash.evidence);
                     owned.push(now_ms, Change::Crashed(job, position));
                 }
@@ -96,9 +96,9 @@
                 let Some(owned) = self.partitions.get_mut(&partition) else {
                     return;
                 };
-                let entry = owned.jobs.get_mut(&job);
-                if let Some(entry) = entry.filter(|entry| entry.is_open()) {
-                    entry.closing = Some(end);
+                let owned_job = owned.jobs.get_mut(&job);
+                if let Some(owned_job) = owned_job.filter(|owned_job| owned_job.is_unfinished()) {
+                    owned_job.unrecorded_end = Some(end);
                     owned.push(now_ms, Change::JobEnd(job, end, Vec::new()));
                 }
             }
@@ -111,7 +111,7 @@
             let partition = self.partition_of(&pending.end.task.job);
             let owned = self.partitions.get_mut(&partition);
             let epoch = pending.end.run / RUNS_PER_EPOCH;
-            match owned.filter(|owned| owned.serves() && owned.can_decide(now_ms, epoch)) {
+            match owned.filter(|owned| owned.is_serving() && owned.can_decide(now_ms, epoch)) {
                 Some(owned) => apply_decision(now_ms, owned, &pending, dispatcher),
                 None if now_ms < pending.until_ms => self.pending_ends.push(pending),
                 None => {}
@@ -120,7 +120,12 @@
     }
 
     /// Starts, hands over and forgets jobs of a partition.
-    pub(crate) fn tend(&mut self, now_ms: u64, partition: Partition, dispatcher: &mut Dispatcher) {
+    pub(crate) fn process_jobs(
+        &mut self,
+        now_ms: u64,
+        partition: Partition,
+        dispatcher: &mut Dispatcher,
+    ) {
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
         };
@@ -130,11 +135,11 @@
                 forget_old(now_ms, owned);
             }
             Stage::Releasing { since_ms } => {
-                let is_over = now_ms >= since_ms + RELEASE_MS;
+                let is_over = now_ms >= since_ms + RELEASE_TIMEOUT_MS;
                 for id in owned.jobs.keys().filter(|_| is_over) {
                     dispatcher.drop_stored(id);
                 }
-                if is_clear(owned, dispatcher) {
+                if has_no_runs(owned, dispatcher) {
                     owned.stage = Stage::Flushing;
                 }
             }
@@ -144,14 +149,14 @@
                 owned.push(now_ms, Change::Release);
             }
             // Runs of an earlier owner may be left.
-            Stage::Flushing => self.lose(partition, "released-unsettled", dispatcher),
+            Stage::Flushing => self.give_up(partition, "released-unsettled", dispatcher),
             _ => {}
         }
     }
 }
 
 /// Whether nothing of the partition's jobs can be running here.
-fn is_clear(owned: &OwnedPartition, dispatcher: &Dispatcher) -> bool {
+fn has_no_runs(owned: &OwnedPartition, dispatcher: &Dispatcher) -> bool {
     owned
         .jobs
         .keys()
@@ -159,14 +164,14 @@
 }
 
 /// Runs a job of which nothing has run anywhere.
-pub(crate) fn start_if_new(
+pub(crate) fn start_if_unfinished(
     now_ms: u64,
     owned: &mut OwnedPartition,
     id: &Name,
     dispatcher: &mut Dispatcher,
 ) {
-    let is_open = owned.jobs.get(id).is_some_and(OwnedJob::is_open);
-    if is_open && owned.serves() {
+    let is_unfinished = owned.jobs.get(id).is_some_and(OwnedJob::is_unfinished);
+    if is_unfinished && owned.is_serving() {
         start(now_ms, owned, id, dispatcher);
     }
 }
@@ -174,18 +179,20 @@
 /// Runs the jobs of earlier owners, when nothing of theirs runs any more and the
 /// log says so; and those that could not be run at once.
 fn start_due(now_ms: u64, owned: &mut OwnedPartition, dispatcher: &mut Dispatcher) {
-    let is_due = |entry: &OwnedJob| entry.is_accepted && !entry.is_started && entry.is_open();
-    let due = owned.jobs.iter().filter(|(_, entry)| is_due(entry));
+    let is_due = |owned_job: &OwnedJob| {
+        owned_job.is_accepted && !owned_job.is_started && owned_job.is_unfinished()
+    };
+    let due = owned.jobs.iter().filter(|(_, owned_job)| is_due(owned_job));
     let due: Vec<Name> = due.map(|(id, _)| id.clone()).collect();
     if due.is_empty() {
         return;
     }
-    if owned.may_start_old {
+    if owned.has_taken_over {
         for id in due {
             start(now_ms, owned, &id, dispatcher);
         }
     } else if now_ms >= owned.former_runs_gone_at_ms {
-        owned.reopen(now_ms);
+        owned.take_over(now_ms);
     }
 }
 
@@ -220,56 +227,67 @@
 ) -> Option<Disposition> {
     let is_old = end.run / RUNS_PER_EPOCH < owned.started_epoch;
     let id = &end.task.job;
-    let Some(entry) = owned.jobs.get_mut(id) else {
+    let Some(owned_job) = owned.jobs.get_mut(id) else {
         return Some(Disposition::Superseded);
     };
-    let position = entry.job.as_ref().and_then(|job| job.position(&end.task));
-    let is_noted = match position {
-        Some(position) => entry.progress.has(position, end.run),
+    let position = owned_job
+        .job
+        .as_ref()
+        .and_then(|job| job.position(&end.task));
+    let is_known_end = match position {
+        Some(position) => owned_job.progress.has_end(position, end.run),
         // Of an ended job only the runs are known.
-        None => entry.progress.done.values().any(|run| *run == end.run),
+        None => owned_job.progress.done.values().any(|run| *run == end.run),
     };
-    if is_noted {
+    if is_known_end {
         // It may be on its way to the log still.
-        return entry.end.map(|_| Disposition::Recorded);
+        return owned_job.end.map(|_| Disposition::Recorded);
     }
     let is_countable = |position: &u32| {
-        let is_superseded = entry.progress.is_superseded(*position, end.run);
-        entry.is_open() && !is_old && !is_superseded
+        let is_superseded = owned_job.progress.is_superseded(*position, end.run);
+        owned_job.is_unfinished() && !is_old && !is_superseded
     };
     let Some(position) = position.filter(is_countable) else {
         return Some(Disposition::Superseded);
     };
-    let is_done = entry.progress.done.contains_key(&position);
-    let is_taken = !entry.is_started || dispatcher.apply_retained_end(now_ms, id, position, end);
-    if is_done || !is_taken {
+    let is_done = owned_job.progress.done.contains_key(&position);
+    let is_applied =
+        !owned_job.is_started || dispatcher.apply_retained_end(now_ms, id, position, end);
+    if is_done || !is_applied {
         return Some(Disposition::Superseded);
     }
-    entry.progress.note(position, end.run, end.is_done);
+    owned_job
+        .progress
+        .record_end(position, end.run, end.is_done);
     None
 }
 
 /// Runs a job; it is tried again while an earlier time of it is being stopped.
 fn start(now_ms: u64, owned: &mut OwnedPartition, id: &Name, dispatcher: &mut Dispatcher) {
-    let Some(entry) = owned.jobs.get_mut(id) else {
+    let Some(owned_job) = owned.jobs.get_mut(id) else {
         return;
     };
-    if let Some(job) = &entry.job {
-        entry.is_started = dispatcher.run_stored(now_ms, job, owned.epoch, entry);
+    if let Some(job) = &owned_job.job {
+        owned_job.is_started = dispatcher.run_stored(now_ms, job, owned.epoch, owned_job);
     }
 }
 
 /// Drops jobs that ended long ago.
 fn forget_old(now_ms: u64, owned: &mut OwnedPartition) {
-    let is_old = |entry: &OwnedJob| {
-        let ended_ms = entry.end.map(|(_, ended_ms)| ended_ms);
-        ended_ms.is_some_and(|ended_ms| now_ms >= ended_ms + RETENTION_MS)
+    let is_old = |owned_job: &OwnedJob| {
+        let ended_ms = owned_job.end.map(|(_, ended_ms)| ended_ms);
+        ended_ms.is_some_and(|ended_ms| now_ms >= ended_ms + ENDED_JOB_TTL_MS)
     };
-    let old = owned.jobs.iter_mut().filter(|(_, entry)| is_old(entry));
+    let old = owned
+        .jobs
+        .iter_mut()
+        .filter(|(_, owned_job)| is_old(owned_job));
     let mut forgotten = Vec::new();
-    for (id, entry) in old {
+    for (id, owned_job) in old {
         // It is dropped when that lies in the log; until then only once.
-        entry.end = entry.end.map(|(end, _)| (end, u64::MAX - RETENTION_MS));
+        owned_job.end = owned_job
+            .end
+            .map(|(end, _)| (end, u64::MAX - ENDED_JOB_TTL_MS));
         forgotten.push(id.clone());
     }
     for id in forgotten {
--- a/crates/dispatch/src/ledger/log.rs
+++ b/crates/dispatch/src/ledger/log.rs
@@ -10,7 +10,7 @@
 use crate::Partition;
 use crate::Refusal;
 use crate::StoredAnswer;
-use crate::ledger::jobs::start_if_new;
+use crate::ledger::jobs::start_if_unfinished;
 use crate::ledger::partition::Change;
 use crate::ledger::partition::Stage;
 
@@ -28,53 +28,53 @@
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
         };
-        let is_ours = owned.epoch == epoch;
+        let is_current_epoch = owned.epoch == epoch;
         let is_awaited = owned
             .batch
             .as_ref()
             .is_some_and(|batch| batch.number == number);
-        if !is_ours || !is_awaited {
+        if !is_current_epoch || !is_awaited {
             return;
         }
         match result {
             AppendResult::Appended(end) => {
                 owned.end = Some(end);
                 if let Some(batch) = owned.batch.take() {
-                    self.in_log(now_ms, partition, batch.changes, dispatcher);
+                    self.apply_appended(now_ms, partition, batch.changes, dispatcher);
                 }
             }
-            AppendResult::Fenced => self.lose(partition, "fenced", dispatcher),
-            AppendResult::UnexpectedEnd => self.lose(partition, "overtaken", dispatcher),
+            AppendResult::Fenced => self.give_up(partition, "fenced", dispatcher),
+            AppendResult::UnexpectedEnd => self.give_up(partition, "overtaken", dispatcher),
             AppendResult::UnexpectedNumber(expected) => {
                 let is_outcome_unknown = owned
                     .batch
                     .as_ref()
                     .is_some_and(|batch| batch.is_outcome_unknown);
                 if is_outcome_unknown || expected == number {
-                    self.lose(partition, "number", dispatcher);
+                    self.give_up(partition, "number", dispatcher);
                 } else {
                     owned.renumber(now_ms, expected);
                 }
             }
-            AppendResult::Refused => self.held_up(now_ms, partition, false),
-            AppendResult::NoAnswer => self.held_up(now_ms, partition, true),
+            AppendResult::Refused => self.append_failed(now_ms, partition, false),
+            AppendResult::NoAnswer => self.append_failed(now_ms, partition, true),
         }
     }
 
     /// The store did not take the records: the append is sent again, and jobs
     /// that were not sent yet are refused.
-    fn held_up(&mut self, now_ms: u64, partition: Partition, is_outcome_unknown: bool) {
+    fn append_failed(&mut self, now_ms: u64, partition: Partition, is_outcome_unknown: bool) {
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
         };
         owned.retry(now_ms, is_outcome_unknown);
         for (id, callers) in owned.withdraw_accepts() {
-            self.refused(&id, &callers, Refusal::NotStorable);
+            self.refuse(&id, &callers, Refusal::NotStorable);
         }
     }
 
     /// Changes lie in the log: those who wait for them are told.
-    fn in_log(
+    fn apply_appended(
         &mut self,
         now_ms: u64,
         partition: Partition,
@@ -96,14 +96,14 @@
                         owned.stage = Stage::Serving;
                     }
                 }
-                Change::Reopen => owned.reopened(),
+                Change::TakeOver => owned.taken_over(),
                 // What follows it in the batch lies in the log as well.
                 Change::Release => {}
                 Change::Accept(id, callers) => {
-                    if let Some(entry) = owned.jobs.get_mut(&id) {
-                        entry.is_accepted = true;
+                    if let Some(owned_job) = owned.jobs.get_mut(&id) {
+                        owned_job.is_accepted = true;
                     }
-                    start_if_new(now_ms, owned, &id, dispatcher);
+                    start_if_unfinished(now_ms, owned, &id, dispatcher);
                     self.event("accepted", Some(id), format!("partition={}", partition.0));
                     self.answer_all(&callers, StoredAnswer::Accepted);
                 }
@@ -113,9 +113,9 @@
                 Change::RunLost(id, position) => dispatcher.run_loss_recorded(&id, position),
                 Change::Crashed(id, position) => dispatcher.crash_recorded(&id, position),
                 Change::JobEnd(id, end, callers) => {
-                    if let Some(entry) = owned.jobs.get_mut(&id) {
-                        entry.end = Some((end, now_ms));
-                        entry.job = None;
+                    if let Some(owned_job) = owned.jobs.get_mut(&id) {
+                        owned_job.end = Some((end, now_ms));
+                        owned_job.job = None;
                     }
                     self.event("recorded", Some(id), format!("end={end:?}"));
                     self.answer_all(&callers, StoredAnswer::Cancelled);
@@ -126,7 +126,7 @@
             }
         }
         if is_released {
-            self.lose(partition, "released", dispatcher);
+            self.give_up(partition, "released", dispatcher);
         }
     }
 
@@ -148,7 +148,11 @@
         };
         let errors = owned.load(now_ms, records);
         owned.stage = Stage::Serving;
-        let open = owned.jobs.values().filter(|entry| entry.is_open()).count();
+        let open = owned
+            .jobs
+            .values()
+            .filter(|owned_job| owned_job.is_unfinished())
+            .count();
         let detail = format!(
             "partition={} epoch={} jobs={} open={open}",
             partition.0,
@@ -181,7 +185,7 @@
                 // All that it would tell lies in the log.
                 let changes = batch.changes.clone();
                 owned.batch = None;
-                self.in_log(now_ms, partition, changes, dispatcher);
+                self.apply_appended(now_ms, partition, changes, dispatcher);
             }
             Ok(Some(batch)) => {
                 let append = LedgerAction::Append {
@@ -195,7 +199,7 @@
             }
             Err(error) => {
                 self.event("record-malformed", None, error.to_string());
-                self.lose(partition, "record-malformed", dispatcher);
+                self.give_up(partition, "record-malformed", dispatcher);
             }
         }
     }
--- a/crates/dispatch/src/ledger/mod.rs
+++ b/crates/dispatch/src/ledger/mod.rs
@@ -28,7 +28,7 @@
 use crate::StoredAnswer;
 use crate::StoredCaller;
 use crate::dispatcher::EntryEvent;
-use crate::ledger::calls::Doubt;
+use crate::ledger::calls::UnconfirmedCall;
 use crate::ledger::calls::Watcher;
 use crate::ledger::jobs::PendingEnd;
 use crate::ledger::partition::Change;
@@ -43,12 +43,12 @@
 pub const MEMBER_TTL_MS: u64 = 1_200;
 /// Part of the store's rate that job records may take; the rest is left for
 /// joins, repeats and what else is written.
-const WRITES_SHARE: f64 = 0.8;
+const JOB_WRITES_FRACTION: f64 = 0.8;
 /// Least pause between two joins, in milliseconds: while calls wait for one, and
 /// after the group changed, since it often does so again.
 const MIN_JOIN_INTERVAL_MS: u64 = 100;
 /// Pause between two joins, in milliseconds.
-const JOIN_MS: u64 = 300;
+const JOIN_INTERVAL_MS: u64 = 300;
 
 /// Settings of a ledger.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
     /// Pause between two appends to a partition, in milliseconds, with which
     /// all partitions together stay below what the store takes.
     fn append_pause_ms(&self) -> u64 {
-        let rate_per_s = f64::from(self.store_writes_per_s.max(1)) * WRITES_SHARE;
+        let rate_per_s = f64::from(self.store_writes_per_s.max(1)) * JOB_WRITES_FRACTION;
         (f64::from(self.partitions) * 1_000.0 / rate_per_s).ceil() as u64
     }
 }
@@ -120,7 +120,7 @@
     pub(crate) settings: LedgerSettings,
     pub(crate) partitions: BTreeMap<Partition, OwnedPartition>,
     /// The epoch and next number of partitions that were given up.
-    numbers: BTreeMap<Partition, (u32, u64)>,
+    given_up_numbers: BTreeMap<Partition, (u32, u64)>,
     is_active: bool,
     is_stopping: bool,
     has_left: bool,
@@ -131,7 +131,7 @@
     pub(crate) next_load: u64,
     last_join_ms: u64,
     pub(crate) watchers: Vec<Watcher>,
-    pub(crate) doubts: Vec<Doubt>,
+    pub(crate) unconfirmed_calls: Vec<UnconfirmedCall>,
     pub(crate) pending_ends: Vec<PendingEnd>,
     pub(crate) actions: Vec<LedgerAction>,
 }
@@ -143,7 +143,7 @@
         Self {
             settings,
             partitions: BTreeMap::new(),
-            numbers: BTreeMap::new(),
+            given_up_numbers: BTreeMap::new(),
             is_active: false,
             is_stopping: false,
             has_left: false,
@@ -153,7 +153,7 @@
             next_load: 1,
             last_join_ms: 0,
             watchers: Vec::new(),
-            doubts: Vec::new(),
+            unconfirmed_calls: Vec::new(),
             pending_ends: Vec::new(),
             actions: Vec::new(),
         }
@@ -203,8 +203,8 @@
         assignment: Option<Assignment>,
         dispatcher: &mut Dispatcher,
     ) {
-        self.join_due_ms = Some(now_ms.max(sent_ms + JOIN_MS));
-        if !self.doubts.is_empty() {
+        self.join_due_ms = Some(now_ms.max(sent_ms + JOIN_INTERVAL_MS));
+        if !self.unconfirmed_calls.is_empty() {
             self.join_soon(now_ms);
         }
         let Some(assignment) = assignment else {
@@ -238,13 +238,13 @@
 
     fn claim(&mut self, now_ms: u64, sent_ms: u64, partition: Partition) {
         let epoch = u32::try_from(self.generation).unwrap_or(u32::MAX);
-        let first = match self.numbers.get(&partition) {
+        let first_number = match self.given_up_numbers.get(&partition) {
             Some((last, next)) if *last == epoch => *next,
             _ => 0,
         };
         // The last owner was listed before this answer was made.
         let former_runs_gone_at_ms = now_ms + OWNER_LEASE_MS + RUNS_GONE_AFTER_MS;
-        let mut owned = OwnedPartition::claim(epoch, sent_ms, former_runs_gone_at_ms, first);
+        let mut owned = OwnedPartition::claim(epoch, sent_ms, former_runs_gone_at_ms, first_number);
         owned.append_pause_ms = self.settings.append_pause_ms();
         self.partitions.insert(partition, owned);
         self.event(
@@ -260,7 +260,7 @@
             return;
         };
         match owned.stage {
-            Stage::Claiming | Stage::Loading => self.lose(partition, "unlisted", dispatcher),
+            Stage::Claiming | Stage::Loading => self.give_up(partition, "unlisted", dispatcher),
             Stage::Serving | Stage::Verifying => {
                 owned.stage = Stage::Releasing { since_ms: now_ms };
                 for id in owned.jobs.keys() {
@@ -273,11 +273,16 @@
 
     /// Gives a partition up at once: nothing is known to lie in the log any
     /// more, and nothing of it may run.
-    pub(crate) fn lose(&mut self, partition: Partition, cause: &str, dispatcher: &mut Dispatcher) {
+    pub(crate) fn give_up(
+        &mut self,
+        partition: Partition,
+        cause: &str,
+        dispatcher: &mut Dispatcher,
+    ) {
         let Some(mut owned) = self.partitions.remove(&partition) else {
             return;
         };
-        self.numbers
+        self.given_up_numbers
             .insert(partition, (owned.epoch, owned.next_number));
         for id in owned.jobs.keys() {
             dispatcher.drop_stored(id);
@@ -314,16 +319,16 @@
         self.expire(now_ms, dispatcher);
         let owned: Vec<Partition> = self.partitions.keys().copied().collect();
         for partition in &owned {
-            self.tend(now_ms, *partition, dispatcher);
+            self.process_jobs(now_ms, *partition, dispatcher);
         }
         for event in dispatcher.take_stored_events() {
-            self.take_event(now_ms, event, dispatcher);
+            self.apply_event(now_ms, event, dispatcher);
         }
         self.decide_on_pending_ends(now_ms, dispatcher);
         for partition in owned {
             self.flush(now_ms, partition, dispatcher);
         }
-        self.clear_doubts(now_ms, dispatcher);
+        self.answer_confirmed_calls(now_ms, dispatcher);
         self.answer_watchers(now_ms, dispatcher);
         self.join_if_due(now_ms);
         self.next_due_ms(now_ms)
@@ -332,10 +337,10 @@
     /// Gives up what the store has not listed as ours for too long.
     fn expire(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
         let is_over = |owned: &OwnedPartition| now_ms > owned.confirmed_ms + OWNER_LEASE_MS;
-        let over = self.partitions.iter().filter(|(_, owned)| is_over(owned));
-        let over: Vec<Partition> = over.map(|(partition, _)| *partition).collect();
-        for partition in over {
-            self.lose(partition, "unconfirmed", dispatcher);
+        let unconfirmed = self.partitions.iter().filter(|(_, owned)| is_over(owned));
+        let unconfirmed: Vec<Partition> = unconfirmed.map(|(partition, _)| *partition).collect();
+        for partition in unconfirmed {
+            self.give_up(partition, "unconfirmed", dispatcher);
         }
     }
 
@@ -356,7 +361,7 @@
             self.actions.push(LedgerAction::Leave);
             return;
         }
-        let is_releasing = self.partitions.values().any(OwnedPartition::is_leaving);
+        let is_releasing = self.partitions.values().any(OwnedPartition::is_releasing);
         if !is_releasing {
             // What is no longer listed may go to others now.
             self.accepted_generation = self.generation;
@@ -380,7 +385,7 @@
         due_ms.map(|due_ms| due_ms.max(now_ms + 1))
     }
 
-    pub(crate) fn refused(&mut self, id: &Name, callers: &[StoredCaller], refusal: Refusal) {
+    pub(crate) fn refuse(&mut self, id: &Name, callers: &[StoredCaller], refusal: Refusal) {
         self.actions.push(LedgerAction::Event(EntryEvent {
             event: "refused",
             job: Some(id.clone()),
--- a/crates/dispatch/src/ledger/partition.rs
+++ b/crates/dispatch/src/ledger/partition.rs
@@ -14,13 +14,13 @@
 
 /// Pause before an append without an answer is sent again, in milliseconds: the
 /// store usually answers within 4.
-const RETRY_MS: u64 = 60;
+const RETRY_PAUSE_MS: u64 = 60;
 /// Time for which progress that nobody waits for may gather, in milliseconds;
 /// the platform counts an end 100 ms after the minion listed it.
-const GATHER_MS: u64 = 50;
+const MAX_GATHER_MS: u64 = 50;
 /// Most records of one append: 64 texts of 4,000 bytes are an eighth of what
 /// the platform takes.
-const MAX_CHANGES: usize = 64;
+const MAX_BATCH_CHANGES: usize = 64;
 
 /// How an append ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
     /// How it ended, once that lies in the log, and when.
     pub(crate) end: Option<(StoredEnd, u64)>,
     /// How it is about to end.
-    pub(crate) closing: Option<StoredEnd>,
+    pub(crate) unrecorded_end: Option<StoredEnd>,
 }
 
 impl OwnedJob {
@@ -92,7 +92,7 @@
             is_accepted: false,
             is_started: false,
             end: None,
-            closing: None,
+            unrecorded_end: None,
         }
     }
 
@@ -109,12 +109,12 @@
             is_accepted: true,
             is_started: false,
             end: Some((end, now_ms)),
-            closing: None,
+            unrecorded_end: None,
         }
     }
 
-    pub(crate) fn is_open(&self) -> bool {
-        self.end.is_none() && self.closing.is_none()
+    pub(crate) fn is_unfinished(&self) -> bool {
+        self.end.is_none() && self.unrecorded_end.is_none()
     }
 }
 
@@ -140,7 +140,7 @@
     Forget(Name),
     /// Jobs of earlier owners are about to be started; what the last owner said
     /// of having left nothing behind is over.
-    Reopen,
+    TakeOver,
     /// Our own word of that.
     Release,
 }
@@ -161,7 +161,7 @@
     /// Where the partition must end, if that is known.
     pub(crate) expected_end: Option<u64>,
     /// When it is sent again; `None` while an answer is awaited.
-    pub(crate) retry_ms: Option<u64>,
+    pub(crate) send_at_ms: Option<u64>,
     /// Whether an attempt got no answer.
     pub(crate) is_outcome_unknown: bool,
     /// Whether an attempt was not taken.
@@ -183,8 +183,8 @@
     /// The last epoch that started jobs of earlier owners.
     pub(crate) started_epoch: u32,
     /// Whether that is ours.
-    pub(crate) may_start_old: bool,
-    is_reopening: bool,
+    pub(crate) has_taken_over: bool,
+    is_taking_over: bool,
     pub(crate) next_number: u64,
     /// Where the partition ended with our last append.
     pub(crate) end: Option<u64>,
@@ -194,11 +194,11 @@
     pub(crate) load: u64,
     pub(crate) batch: Option<Batch>,
     pub(crate) jobs: BTreeMap<Name, OwnedJob>,
-    waiting: Vec<Change>,
-    gather_until_ms: u64,
+    pending_changes: Vec<Change>,
+    batch_due_ms: u64,
     /// Least pause between two appends, and when the next may be sent.
     pub(crate) append_pause_ms: u64,
-    paced_ms: u64,
+    next_append_ms: u64,
 }
 
 impl OwnedPartition {
@@ -206,7 +206,7 @@
         epoch: u32,
         confirmed_ms: u64,
         former_runs_gone_at_ms: u64,
-        first: u64,
+        first_number: u64,
     ) -> Self {
         Self {
             epoch,
@@ -215,18 +215,18 @@
             confirmed_ms,
             former_runs_gone_at_ms,
             started_epoch: 0,
-            may_start_old: false,
-            is_reopening: false,
-            next_number: first,
+            has_taken_over: false,
+            is_taking_over: false,
+            next_number: first_number,
             load: 0,
             end: None,
             newer_epoch: None,
             batch: None,
             jobs: BTreeMap::new(),
-            waiting: vec![Change::Claim],
-            gather_until_ms: 0,
+            pending_changes: vec![Change::Claim],
+            batch_due_ms: 0,
             append_pause_ms: 0,
-            paced_ms: 0,
+            next_append_ms: 0,
         }
     }
 
@@ -239,17 +239,17 @@
         }
     }
 
-    pub(crate) fn serves(&self) -> bool {
+    pub(crate) fn is_serving(&self) -> bool {
         self.stage == Stage::Serving
     }
 
     /// Whether jobs are taken here; the log refuses them if that is not so.
-    pub(crate) fn takes_jobs(&self) -> bool {
+    pub(crate) fn accepts_jobs(&self) -> bool {
         matches!(self.stage, Stage::Serving | Stage::Releasing { .. })
     }
 
     /// Whether it is on its way to another owner.
-    pub(crate) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_releasing(&self) -> bool {
         matches!(
             self.stage,
             Stage::Releasing { .. } | Stage::Flushing | Stage::Leaving
@@ -257,22 +257,22 @@
     }
 
     /// Whether the store has not taken the last records at once.
-    pub(crate) fn is_held_up(&self) -> bool {
+    pub(crate) fn is_append_delayed(&self) -> bool {
         let batch = self.batch.as_ref();
         batch.is_some_and(|batch| batch.is_retried)
     }
 
     /// Makes known that jobs of earlier owners are about to be started here.
-    pub(crate) fn reopen(&mut self, now_ms: u64) {
-        if !self.is_reopening {
-            self.is_reopening = true;
-            self.push(now_ms, Change::Reopen);
+    pub(crate) fn take_over(&mut self, now_ms: u64) {
+        if !self.is_taking_over {
+            self.is_taking_over = true;
+            self.push(now_ms, Change::TakeOver);
         }
     }
 
     /// Whether nothing of earlier owners runs any more.
     pub(crate) fn has_no_former_runs(&self, now_ms: u64) -> bool {
-        self.may_start_old || now_ms >= self.former_runs_gone_at_ms
+        self.has_taken_over || now_ms >= self.former_runs_gone_at_ms
     }
 
     /// Whether the end of a run that was started in this epoch can be judged: an
@@ -282,25 +282,25 @@
     }
 
     /// Jobs of earlier owners may be started.
-    pub(crate) fn reopened(&mut self) {
+    pub(crate) fn taken_over(&mut self) {
         self.started_epoch = self.epoch;
-        self.may_start_old = true;
+        self.has_taken_over = true;
     }
 
     pub(crate) fn push(&mut self, now_ms: u64, change: Change) {
-        if self.waiting.is_empty() {
-            self.gather_until_ms = now_ms + GATHER_MS;
+        if self.pending_changes.is_empty() {
+            self.batch_due_ms = now_ms + MAX_GATHER_MS;
         }
         if change.is_urgent() {
-            self.gather_until_ms = now_ms;
+            self.batch_due_ms = now_ms;
         }
-        self.waiting.push(change);
+        self.pending_changes.push(change);
     }
 
     /// Adds a caller to those that wait for a job to be accepted.
-    pub(crate) fn join_accept(&mut self, id: &Name, caller: StoredCaller) {
+    pub(crate) fn add_accept_caller(&mut self, id: &Name, caller: StoredCaller) {
         let sent = self.batch.iter_mut().flat_map(|batch| &mut batch.changes);
-        for change in self.waiting.iter_mut().chain(sent) {
+        for change in self.pending_changes.iter_mut().chain(sent) {
             if let Change::Accept(accepted, callers) = change
                 && accepted == id
             {
@@ -313,7 +313,7 @@
     /// Takes back the jobs that were not sent to the log yet.
     pub(crate) fn withdraw_accepts(&mut self) -> Vec<(Name, Vec<StoredCaller>)> {
         let mut withdrawn = Vec::new();
-        self.waiting.retain(|change| match change {
+        self.pending_changes.retain(|change| match change {
             Change::Accept(id, callers) => {
                 withdrawn.push((id.clone(), callers.clone()));
                 false
@@ -330,12 +330,12 @@
     pub(crate) fn take_changes(&mut self) -> Vec<Change> {
         let sent = self.batch.take().map(|batch| batch.changes);
         let mut changes = sent.unwrap_or_default();
-        changes.append(&mut self.waiting);
+        changes.append(&mut self.pending_changes);
         changes
     }
 
     pub(crate) fn is_flushed(&self) -> bool {
-        self.waiting.is_empty() && self.batch.is_none()
+        self.pending_changes.is_empty() && self.batch.is_none()
     }
 
     /// The batch to send now, if one is due.
@@ -344,9 +344,9 @@
             self.fill_batch(now_ms)?;
         }
         let batch = self.batch.as_mut();
-        let is_due = |batch: &&mut Batch| batch.retry_ms.is_some_and(|due_ms| now_ms >= due_ms);
+        let is_due = |batch: &&mut Batch| batch.send_at_ms.is_some_and(|due_ms| now_ms >= due_ms);
         Ok(batch.filter(is_due).map(|batch| {
-            batch.retry_ms = None;
+            batch.send_at_ms = None;
             &*batch
         }))
     }
@@ -359,11 +359,13 @@
             let end = self.end;
             return self.set_batch(now_ms, vec![Change::Verify], end);
         }
-        if self.waiting.is_empty() || now_ms < self.gather_until_ms.max(self.paced_ms) {
+        if self.pending_changes.is_empty() || now_ms < self.batch_due_ms.max(self.next_append_ms) {
             return Ok(());
         }
-        let rest = self.waiting.split_off(self.waiting.len().min(MAX_CHANGES));
-        let changes = std::mem::replace(&mut self.waiting, rest);
+        let rest = self
+            .pending_changes
+            .split_off(self.pending_changes.len().min(MAX_BATCH_CHANGES));
+        let changes = std::mem::replace(&mut self.pending_changes, rest);
         self.set_batch(now_ms, changes, None)
     }
 
@@ -374,7 +376,7 @@
         expected_end: Option<u64>,
     ) -> Result<(), postcard::Error> {
         let records = self.records(&changes)?;
-        self.paced_ms = now_ms + self.append_pause_ms;
+        self.next_append_ms = now_ms + self.append_pause_ms;
         let number = self.next_number;
         if !records.is_empty() {
             self.next_number += 1;
@@ -385,7 +387,7 @@
             changes,
             records,
             expected_end,
-            retry_ms: Some(now_ms),
+            send_at_ms: Some(now_ms),
             is_outcome_unknown: false,
             is_retried: false,
         });
@@ -394,17 +396,17 @@
 
     pub(crate) fn next_due_ms(&self) -> Option<u64> {
         match &self.batch {
-            Some(batch) => batch.retry_ms,
+            Some(batch) => batch.send_at_ms,
             None if self.newer_epoch.is_some() => Some(0),
-            None if self.waiting.is_empty() => None,
-            None => Some(self.gather_until_ms.max(self.paced_ms)),
+            None if self.pending_changes.is_empty() => None,
+            None => Some(self.batch_due_ms.max(self.next_append_ms)),
         }
     }
 
     /// The append is tried again; a claim with the number that is expected.
     pub(crate) fn retry(&mut self, now_ms: u64, is_outcome_unknown: bool) {
         if let Some(batch) = &mut self.batch {
-            batch.retry_ms = Some(now_ms + RETRY_MS);
+            batch.send_at_ms = Some(now_ms + RETRY_PAUSE_MS);
             batch.is_outcome_unknown |= is_outcome_unknown;
             batch.is_retried = true;
         }
@@ -414,7 +416,7 @@
     pub(crate) fn renumber(&mut self, now_ms: u64, expected: u64) {
         if let Some(batch) = &mut self.batch {
             batch.number = expected;
-            batch.retry_ms = Some(now_ms);
+            batch.send_at_ms = Some(now_ms);
             self.next_number = expected + 1;
         }
     }
--- a/crates/dispatch/src/ledger/records.rs
+++ b/crates/dispatch/src/ledger/records.rs
@@ -22,11 +22,11 @@
         &mut self,
         changes: &[Change],
     ) -> Result<Vec<LogRecord>, postcard::Error> {
-        let closing = changes.iter().filter_map(|change| match change {
+        let ended_jobs = changes.iter().filter_map(|change| match change {
             Change::JobEnd(id, ..) => Some(id),
             _ => None,
         });
-        let closing: BTreeSet<&Name> = closing.collect();
+        let ended_jobs: BTreeSet<&Name> = ended_jobs.collect();
         let mut records: BTreeMap<Name, LogRecord> = BTreeMap::new();
         let mut add = |record: LogRecord| records.insert(record.key.clone(), record);
         for change in changes {
@@ -34,7 +34,7 @@
                 Change::Claim | Change::Verify => {
                     add(LogRecord::owner(self.epoch));
                 }
-                Change::Reopen => {
+                Change::TakeOver => {
                     add(LogRecord::drop_key(RELEASED_KEY.into()));
                     add(LogRecord::started(self.epoch));
                 }
@@ -42,38 +42,41 @@
                     add(LogRecord::released());
                 }
                 Change::Accept(id, _) => {
-                    let job = self.jobs.get(id).and_then(|entry| entry.job.clone());
+                    let job = self
+                        .jobs
+                        .get(id)
+                        .and_then(|owned_job| owned_job.job.clone());
                     if let Some(job) = job {
                         add(LogRecord::job(id, &JobRecord::Open(job))?);
                     }
                 }
-                Change::TaskEnd(id, ..) | Change::RunLost(id, _) if closing.contains(id) => {}
+                Change::TaskEnd(id, ..) | Change::RunLost(id, _) if ended_jobs.contains(id) => {}
                 Change::TaskEnd(id, ..) | Change::RunLost(id, _) => {
-                    let entry = self.jobs.get_mut(id);
-                    if let Some(entry) = entry.filter(|entry| entry.end.is_none()) {
-                        entry.has_progress_record = true;
-                        add(LogRecord::progress(id, &entry.progress)?);
+                    let owned_job = self.jobs.get_mut(id);
+                    if let Some(owned_job) = owned_job.filter(|owned_job| owned_job.end.is_none()) {
+                        owned_job.has_progress_record = true;
+                        add(LogRecord::progress(id, &owned_job.progress)?);
                     }
                 }
-                Change::Crashed(id, _) if closing.contains(id) => {}
+                Change::Crashed(id, _) if ended_jobs.contains(id) => {}
                 Change::Crashed(id, _) => {
-                    let entry = self.jobs.get(id);
-                    if let Some(entry) = entry.filter(|entry| entry.end.is_none()) {
-                        add(LogRecord::crashes(id, &entry.crashes)?);
+                    let owned_job = self.jobs.get(id);
+                    if let Some(owned_job) = owned_job.filter(|owned_job| owned_job.end.is_none()) {
+                        add(LogRecord::crashes(id, &owned_job.crashes)?);
                     }
                 }
                 Change::JobEnd(id, end, _) => {
-                    let entry = self.jobs.get(id);
-                    let done = entry.map(|entry| entry.progress.done.clone());
+                    let owned_job = self.jobs.get(id);
+                    let done = owned_job.map(|owned_job| owned_job.progress.done.clone());
                     let ended = JobRecord::Ended {
                         end: *end,
                         done: done.unwrap_or_default(),
                     };
                     add(LogRecord::job(id, &ended)?);
-                    if entry.is_some_and(|entry| entry.has_progress_record) {
+                    if owned_job.is_some_and(|owned_job| owned_job.has_progress_record) {
                         add(LogRecord::drop_key(progress_key(id)));
                     }
-                    if entry.is_some_and(|entry| !entry.crashes.is_empty()) {
+                    if owned_job.is_some_and(|owned_job| !owned_job.crashes.is_empty()) {
                         add(LogRecord::drop_key(crashes_key(id)));
                     }
                 }
@@ -99,9 +102,9 @@
         for record in records.iter().filter(|record| !record.value.is_empty()) {
             match record.content() {
                 Ok(RecordContent::Job(id, JobRecord::Open(job))) => {
-                    let mut entry = OwnedJob::new(job);
-                    entry.is_accepted = true;
-                    self.jobs.insert(id, entry);
+                    let mut owned_job = OwnedJob::new(job);
+                    owned_job.is_accepted = true;
+                    self.jobs.insert(id, owned_job);
                 }
                 Ok(RecordContent::Job(id, JobRecord::Ended { end, done })) => {
                     self.jobs.insert(id, OwnedJob::ended(end, done, now_ms));
@@ -113,20 +116,20 @@
                     crashes.insert(id, of_job);
                 }
                 Ok(RecordContent::Owner) => {}
-                Ok(RecordContent::Released) => self.reopen(now_ms),
+                Ok(RecordContent::Released) => self.take_over(now_ms),
                 Ok(RecordContent::Started(epoch)) => self.started_epoch = epoch,
                 Err(error) => errors.push(error),
             }
         }
         for (id, of_job) in progress {
-            if let Some(entry) = self.jobs.get_mut(&id) {
-                entry.progress = of_job;
-                entry.has_progress_record = true;
+            if let Some(owned_job) = self.jobs.get_mut(&id) {
+                owned_job.progress = of_job;
+                owned_job.has_progress_record = true;
             }
         }
         for (id, of_job) in crashes {
-            if let Some(entry) = self.jobs.get_mut(&id) {
-                entry.crashes = of_job;
+            if let Some(owned_job) = self.jobs.get_mut(&id) {
+                owned_job.crashes = of_job;
             }
         }
         errors
--- a/crates/dispatch/src/minion_calls.rs
+++ b/crates/dispatch/src/minion_calls.rs
@@ -50,7 +50,7 @@
     #[must_use]
     pub fn can_be_from(&self, started_unix_ms: Option<u64>) -> bool {
         match (self.started_unix_ms, started_unix_ms) {
-            (Some(own_ms), Some(told_ms)) => own_ms == told_ms,
+            (Some(own_ms), Some(answered_ms)) => own_ms == answered_ms,
             _ => true,
         }
     }
--- a/crates/dispatch/src/stored.rs
+++ b/crates/dispatch/src/stored.rs
@@ -75,10 +75,11 @@
     pub fn objective_ms(&self) -> u64 {
         let mut ends_ms: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let earlier = step.after.iter();
-            let earlier = earlier.filter_map(|before| ends_ms.get(*before as usize));
-            let begins_ms = earlier.max().copied().unwrap_or(0);
-            ends_ms.push(begins_ms.saturating_add(step.declared_ms));
+            let dependencies = step.after.iter();
+            let dependencies =
+                dependencies.filter_map(|dependency| ends_ms.get(*dependency as usize));
+            let start_ms = dependencies.max().copied().unwrap_or(0);
+            ends_ms.push(start_ms.saturating_add(step.declared_ms));
         }
         let critical_path_ms = ends_ms.iter().max().copied().unwrap_or(0);
         let stretched_ms = (critical_path_ms as f64 * self.queue.stretch) as u64;
@@ -90,8 +91,8 @@
         let step = usize::try_from(task.step).ok()?;
         let counts = self.steps.iter().map(|step| step.count);
         let before: u32 = counts.take(step).sum();
-        let is_there = task.index < self.steps.get(step)?.count;
-        is_there.then_some(before + task.index)
+        let exists = task.index < self.steps.get(step)?.count;
+        exists.then_some(before + task.index)
     }
 }
 
@@ -244,12 +245,12 @@
     pub(crate) failures: BTreeMap<u32, BTreeSet<u32>>,
     /// Last runs by position whose ends must not count: the task was started
     /// anew.
-    pub(crate) lost: BTreeMap<u32, u32>,
+    pub(crate) last_lost_runs: BTreeMap<u32, u32>,
 }
 
 impl Progress {
     /// Notes how a run ended.
-    pub(crate) fn note(&mut self, position: u32, run: u32, is_done: bool) {
+    pub(crate) fn record_end(&mut self, position: u32, run: u32, is_done: bool) {
         if is_done {
             self.done.insert(position, run);
         } else {
@@ -258,14 +259,16 @@
     }
 
     /// Whether the end of this run is noted.
-    pub(crate) fn has(&self, position: u32, run: u32) -> bool {
+    pub(crate) fn has_end(&self, position: u32, run: u32) -> bool {
         let failures = self.failures.get(&position);
         self.done.get(&position) == Some(&run) || failures.is_some_and(|runs| runs.contains(&run))
     }
 
     /// Whether the end of this run must not count.
     pub(crate) fn is_superseded(&self, position: u32, run: u32) -> bool {
-        self.lost.get(&position).is_some_and(|last| run <= *last)
+        self.last_lost_runs
+            .get(&position)
+            .is_some_and(|last_lost| run <= *last_lost)
     }
 
     /// Runs of a task that failed.
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -1175,7 +1175,7 @@
             let book = self.entries[entry].core.dispatcher.crashes();
             let told = self.sent_crashes.entry((entry, other)).or_default();
             let crashes = book.since(now_ms, *told);
-            *told = book.last();
+            *told = book.last_sequence();
             if !crashes.is_empty() {
                 self.post(Side::Entry(other), Event::Crashes(crashes));
             }
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -353,7 +353,7 @@
     /// Tells other entries of crashes that became known here.
     fn gossip_crashes(&mut self) {
         let crashes = self.dispatcher.crashes();
-        if self.gossip.borrow().crashes.last() != crashes.last() {
+        if self.gossip.borrow().crashes.last_sequence() != crashes.last_sequence() {
             let crashes = crashes.clone();
             self.gossip.send_modify(|gossip| gossip.crashes = crashes);
         }
