--- a/crates/dispatch/src/crashes.rs
+++ b/crates/dispatch/src/crashes.rs
@@ -1,10 +1,12 @@
-//! Crashes of minions under tasks, as agents and entries tell each other.
+//! Crashes of minions under tasks, and the bounded set of recent crashes that agents and
+//! entries exchange.
 //!
-//! A job may come again at another entry, or get another owner. So that a task which
-//! crashes its minions does not begin there without a record, entries pass on the
-//! crashes that they know of, and the agents beside these minions tell those that they
-//! greet. Each crash has a number by which it counts once. They are known for a while and
-//! up to a number.
+//! A caller may send a job again to another entry, and a stored job may get another owner.
+//! The new entry must know how often a task of the job has crashed its minions. Entries
+//! therefore gossip the crashes that they know, and an agent lists the crashes of its
+//! minions when it greets an entry. The number of a crash makes each process count it
+//! once. A process forgets a crash after [`CRASH_TTL_MS`], and the oldest ones when it
+//! knows more than [`MAX_KNOWN_CRASHES`].
 
 use std::collections::BTreeMap;
 
@@ -19,26 +21,28 @@
 use crate::RunKey;
 use crate::TaskId;
 
-/// Time for which a crash is known, in milliseconds: callers come again within seconds.
+/// Age at which a crash is forgotten, in milliseconds. Callers send a job again within
+/// seconds.
 pub(crate) const CRASH_TTL_MS: u64 = 30_000;
-/// Most crashes that are known; the oldest are forgotten first.
+/// Largest number of known crashes; the oldest are forgotten first.
 const MAX_KNOWN_CRASHES: usize = 1_024;
 
 /// A crash of a minion under a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Number of the crash: the same wherever it is told.
+    /// Number that identifies the crash in all processes.
     pub number: u64,
-    /// The task.
+    /// Task whose run had started on the minion, or may have.
     pub task: TaskId,
-    /// How surely the task was at work.
+    /// How certain it is that the task was running when the minion crashed.
     pub evidence: CrashEvidence,
-    /// Time since, in milliseconds, when it is told.
+    /// Time from the crash until this value was sent, in milliseconds.
     pub age_ms: u64,
 }
 
 impl Crash {
-    /// A crash that is just seen, under a run that an entry ordered of an agent.
+    /// Returns a crash that was observed just now. The entry gave the run to the agent
+    /// with this order; run, order and agent determine the number of the crash.
     pub(crate) fn observed(
         run: &RunKey,
         order: OrderId,
@@ -59,23 +63,25 @@
     }
 }
 
-/// A crash that is known.
+/// A crash and the time at which it was observed.
 #[derive(Clone, Debug)]
 struct KnownCrash {
     crash: Crash,
+    /// Time of the crash on the own clock, in milliseconds.
     observed_at_ms: u64,
 }
 
-/// The crashes that a process knows of.
+/// The recent crashes that a process knows.
 #[derive(Clone, Debug, Default)]
 pub struct KnownCrashes {
-    /// By the order in which they became known.
+    /// Crashes by sequence number: the first crash that became known here has 1.
     by_sequence: BTreeMap<u64, KnownCrash>,
+    /// Sequence number of the newest crash; 0 before the first.
     last_sequence: u64,
 }
 
 impl KnownCrashes {
-    /// Takes over a crash; false if it is known or too old.
+    /// Adds a crash. Returns false if the crash is known already or too old.
     pub(crate) fn learn(&mut self, now_ms: u64, crash: Crash) -> bool {
         let mut known = self.by_sequence.values();
         let is_known = known.any(|other| other.crash.number == crash.number);
@@ -97,26 +103,28 @@
         true
     }
 
-    /// Forgets what is too old.
+    /// Forgets the crashes that are too old.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         let is_kept =
             |_: &u64, known: &mut KnownCrash| now_ms < known.observed_at_ms + CRASH_TTL_MS;
         self.by_sequence.retain(is_kept);
     }
 
-    /// The crashes under tasks of a job.
+    /// Returns the known crashes under tasks of a job.
     pub(crate) fn of_job<'a>(&'a self, job: &'a Name) -> impl Iterator<Item = &'a Crash> {
         let crashes = self.by_sequence.values().map(|known| &known.crash);
         crashes.filter(|crash| crash.task.job == *job)
     }
 
-    /// Number of crashes that became known so far.
+    /// Returns the sequence number of the newest crash, which is the number of crashes that
+    /// became known so far.
     #[must_use]
     pub fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
-    /// The crashes that became known after so many others, with their ages.
+    /// Returns the crashes that became known after the one with this sequence number, with
+    /// their present ages.
     #[must_use]
     pub fn since(&self, now_ms: u64, sequence: u64) -> Vec<Crash> {
         let later = self.by_sequence.range(sequence + 1..);
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -1,4 +1,7 @@
-//! The entries that a process knows, and how long it remembers them.
+//! The entries that a process knows, and which of them it connects to.
+//!
+//! Every process starts with seeds from its settings and learns further entries by gossip.
+//! It forgets an entry that nobody has mentioned for [`FORGET_MS`].
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,46 +13,54 @@
 use crate::SeenEntry;
 use crate::rendezvous::RendezvousHash;
 
-/// Entries that an agent keeps a link to: its messages stay the same in a larger
-/// fleet, and each entry has agents enough while there are fewer entries than agents.
+/// Largest number of entries that an agent keeps a link to. With this limit, the number of
+/// its messages doesn't grow with the fleet, and each entry has enough agents as long as
+/// there are fewer entries than agents.
 pub const MAX_LINKED_ENTRIES: usize = 12;
 
-/// Other entries that an entry connects to; as many connect to it on average,
-/// so that some hundred entries know each other after a few lists.
+/// Largest number of other entries that an entry connects to. On average as many connect
+/// to it, so some hundred entries know each other after a few exchanges of their lists.
 pub const MAX_LINKED_PEERS: usize = 8;
 
-/// Time without any contact after which an entry is forgotten, in
-/// milliseconds; long enough for a restart and for a cut to heal.
+/// Time after its last mention at which an entry is forgotten, in milliseconds. It is long
+/// enough for a restart of the entry and for a network partition to heal.
 const FORGET_MS: u64 = 30_000;
 
-/// Entries by address.
+/// The addresses of known entries, with the times at which they were last mentioned and
+/// last seen.
 #[derive(Clone, Debug)]
 pub struct Directory {
+    /// Own address, if the process is an entry.
     own: Option<SocketAddr>,
+    /// Entries named in the settings; they are never forgotten.
     seeds: BTreeSet<SocketAddr>,
-    /// When each was last named or reached.
+    /// Time in milliseconds at which each entry was last reached, or named by others.
     last_mentioned_ms: BTreeMap<SocketAddr, u64>,
-    /// When each was last reached, by anybody.
+    /// Time in milliseconds at which this process or another one last reached each entry.
     last_seen_ms: BTreeMap<SocketAddr, u64>,
+    /// Chooses the targets if their number is limited.
     rendezvous: Option<RendezvousHash>,
+    /// Cached targets.
     targets: Option<Targets>,
-    /// Times that an entry was named or reached which was not known before.
+    /// How many times an entry was mentioned or reached that was not known, or had been
+    /// forgotten.
     discoveries: u64,
 }
 
-/// The targets as they were last chosen.
+/// Cached result of the last choice of targets.
 #[derive(Clone, Debug)]
 struct Targets {
     entries: BTreeSet<SocketAddr>,
-    /// Whether seeds were among those to choose from.
+    /// Whether the seeds were candidates, because there were too few other entries.
     has_seeds: bool,
-    /// Since when they hold, and until when none is forgotten.
+    /// Times in milliseconds between which the cache is valid: from the choice until the
+    /// first candidate is forgotten.
     valid_ms: Range<u64>,
 }
 
 impl Directory {
-    /// A directory that starts with seeds, which are never forgotten, and
-    /// never names the process itself as a target.
+    /// Returns a directory that knows only the seeds, which it never forgets. `own` is the
+    /// address of the process itself, which is never a target.
     #[must_use]
     pub fn new(own: Option<SocketAddr>, seeds: impl IntoIterator<Item = SocketAddr>) -> Self {
         Self {
@@ -63,9 +74,9 @@
         }
     }
 
-    /// The same, with at most this many targets: those that rank highest for
-    /// the chooser, by rendezvous hashing, so that a change of the set moves
-    /// few links.
+    /// Limits the number of targets to `max`. Rendezvous hashing with the name of this
+    /// process, `chooser`, picks them, so that few links move when the set of entries
+    /// changes.
     #[must_use]
     pub fn with_max_targets(mut self, chooser: Name, max: usize) -> Self {
         self.rendezvous = Some(RendezvousHash::new(chooser, max));
@@ -73,13 +84,14 @@
         self
     }
 
-    /// Takes over other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.seeds = seeds.into_iter().collect();
         self.targets = None;
     }
 
-    /// Notes addresses that somebody reached; true if one was not a target.
+    /// Adds addresses that another process has recently reached, as mentioned just now.
+    /// Returns true if the number of targets grew.
     pub fn learn(&mut self, now_ms: u64, entries: &[SocketAddr]) -> bool {
         let before = self.targets(now_ms).len();
         for entry in entries {
@@ -88,7 +100,8 @@
         self.targets(now_ms).len() > before
     }
 
-    /// Notes entries that others reached, as long ago as they say.
+    /// Adds entries that other entries reached, with the ages that they state. Entries that
+    /// are too old are ignored.
     pub fn merge_seen(&mut self, now_ms: u64, entries: &[SeenEntry]) {
         let recent = |entry: &&SeenEntry| u64::from(entry.age_ms) < FORGET_MS;
         for entry in entries.iter().filter(recent) {
@@ -97,7 +110,7 @@
         }
     }
 
-    /// Notes an entry that was reached just now.
+    /// Records that this process just reached an entry.
     pub fn mark_seen(&mut self, now_ms: u64, entry: SocketAddr) {
         self.record_seen(now_ms, entry, now_ms);
     }
@@ -114,7 +127,8 @@
         }
     }
 
-    /// Chooses between the targets and an entry that was not known before.
+    /// Updates the cached targets for an entry that was not known, or drops the cache if it
+    /// doesn't tell enough.
     fn add_target(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
         let chosen = self.targets.take().zip(self.rendezvous.as_ref());
         self.targets = chosen.and_then(|(mut targets, rendezvous)| {
@@ -130,17 +144,17 @@
         });
     }
 
-    /// A number that rises when an entry becomes known, so that it is dialed
-    /// and told of at once: after a start of all processes, it would be without
-    /// agents until the next look.
+    /// Returns a number that rises whenever an entry becomes known. Processes watch it to
+    /// connect to a new entry and to pass on its address at once. After a start of all
+    /// processes, the entry would otherwise have no agents until the next periodic check.
     #[must_use]
     pub fn discoveries(&self) -> u64 {
         self.discoveries
     }
 
-    /// The entries, but this one, that are worth a connection. Looked at far more
-    /// often than they change, and chosen among all that are known: they are
-    /// remembered until one of those is forgotten.
+    /// Returns the entries to connect to, without this one. The choice considers all known
+    /// entries and is read far more often than it changes, so it is cached until one of
+    /// those entries is forgotten.
     pub fn targets(&mut self, now_ms: u64) -> BTreeSet<SocketAddr> {
         let cached = self.targets.take();
         let cached = cached.filter(|targets| targets.valid_ms.contains(&now_ms));
@@ -161,7 +175,8 @@
             .map_or(usize::MAX, RendezvousHash::max);
         let has_seeds = entries.len() < max;
         if has_seeds {
-            // Seeds may be long gone, so they do not take the places of others.
+            // Seeds may no longer exist, so they are candidates only if there is room for
+            // them beside the other entries.
             entries.extend(self.seeds.iter().copied());
         }
         entries.retain(|entry| Some(*entry) != self.own);
@@ -175,16 +190,17 @@
         }
     }
 
-    /// What is told to agents: this entry and those reached lately.
+    /// Returns the addresses that an entry sends to its agents: its own and those of the
+    /// recently seen entries.
     #[must_use]
     pub fn recent_addrs(&self, now_ms: u64) -> Vec<SocketAddr> {
         let reached = self.known(now_ms);
         reached.into_iter().map(|entry| entry.addr).collect()
     }
 
-    /// What is told to other entries: this entry and those reached lately, with
-    /// the time since then. It grows on its way, so that one that is gone is
-    /// forgotten everywhere.
+    /// Returns the list that an entry sends to other entries: itself and the recently seen
+    /// entries, with the time since each was last seen. Every receiver adds to this age, so
+    /// that an entry that is gone is forgotten everywhere.
     #[must_use]
     pub fn known(&self, now_ms: u64) -> Vec<SeenEntry> {
         let own = self.own.map(|addr| (addr, now_ms));
@@ -203,7 +219,8 @@
     }
 }
 
-/// Notes the time of a contact; whether the entry was not known.
+/// Records that an entry was seen or mentioned at `at_ms`. Returns true if the entry was
+/// not in `times`, or its time there was too old.
 fn record_time(
     times: &mut BTreeMap<SocketAddr, u64>,
     now_ms: u64,
--- a/crates/dispatch/src/evacuations.rs
+++ b/crates/dispatch/src/evacuations.rs
@@ -1,10 +1,11 @@
-//! Availability zones that operators are emptying: nothing is started there
-//! until they take the zone back.
+//! Availability zones under evacuation: no task starts in such a zone until operators end
+//! its evacuation.
 //!
-//! Entries learn it with the configuration and place nothing there, so that the
-//! room that is left counts at once. Agents learn it from entries, ahead of any
-//! order on the same link, and refuse starts: an entry that has not heard of it
-//! yet, or stood still, starts nothing in such a zone either.
+//! Entries read the evacuations with the configuration. They place no tasks in these zones
+//! and at once count only the capacity outside them. Agents receive the evacuations from
+//! entries, ahead of any order on the same link, and refuse starts in their zone. So an
+//! entry that has not received the evacuation yet, or was suspended, starts nothing there
+//! either.
 
 use std::collections::BTreeSet;
 
@@ -12,26 +13,27 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The zones that are being emptied, as of a position in the operators' records.
+/// The evacuated zones, as of an offset in the log of the operators' records.
 ///
-/// The position orders two of these, wherever they come from: the same records
-/// lead to the same zones, and later records overrule earlier ones.
+/// Of two values, whatever process they come from, the one with the higher offset is
+/// newer: all processes derive the same zones from the same records, and later records
+/// override earlier ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// Records that are taken account of; 0 before any was read.
+    /// Offset up to which records are included; 0 before any was read.
     pub log_offset: u64,
-    /// The zones.
+    /// Names of the evacuated zones.
     pub zones: BTreeSet<Name>,
 }
 
 impl Evacuations {
-    /// Whether a zone is being emptied.
+    /// Returns whether a zone is evacuated.
     #[must_use]
     pub fn contains(&self, zone: &Name) -> bool {
         self.zones.contains(zone)
     }
 
-    /// Takes over what is newer; whether it was.
+    /// Replaces this value by `newer` if that has a higher offset. Returns whether it had.
     pub fn advance(&mut self, newer: &Self) -> bool {
         let is_newer = newer.log_offset > self.log_offset;
         if is_newer {
@@ -40,7 +42,7 @@
         is_newer
     }
 
-    /// Names for the log.
+    /// Returns the names of the zones for log lines, separated by commas.
     pub(crate) fn names(&self) -> String {
         let names: Vec<&str> = self.zones.iter().map(AsRef::as_ref).collect();
         names.join(",")
--- a/crates/dispatch/src/gossip.rs
+++ b/crates/dispatch/src/gossip.rs
@@ -1,4 +1,5 @@
-//! What an entry tells other entries, and what was told on a connection.
+//! Gossip between entries: the state that an entry spreads, and the updates that it sends
+//! on each connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,37 +10,44 @@
 use crate::RoutingTable;
 use crate::SeenEntry;
 
-/// Time from a frame with all known entries to the next, in milliseconds: a little
-/// less than five keepalives. Entries that became known are told at once.
+/// Time between two frames with all known entries on a connection, in milliseconds: a
+/// little less than five keepalives between entries. An entry that became known is sent at
+/// once.
 const FULL_LIST_INTERVAL_MS: u64 = 4_500;
 
-/// What an entry tells the others.
+/// State that an entry spreads to the other entries.
 #[derive(Clone, Debug, Default)]
 pub struct GossipState {
-    /// The configuration in force.
+    /// Configuration that the entry uses.
     pub table: Arc<RoutingTable>,
-    /// The zones that are being emptied.
+    /// Evacuated zones.
     pub evacuations: Evacuations,
-    /// The entries that are known, in order.
+    /// Addresses of the recently seen entries, sorted.
     pub entries: Vec<SocketAddr>,
-    /// Whether there are stored jobs.
+    /// Whether the deployment has stored jobs, as far as the entry knows.
     pub has_stored_jobs: bool,
-    /// Crashes of minions under tasks.
+    /// Recent crashes of minions under tasks.
     pub crashes: KnownCrashes,
 }
 
-/// What was told on a connection.
+/// Position of one connection in the gossip: what was sent on it so far.
 #[derive(Debug, Default)]
 pub struct GossipSender {
+    /// Version of the configuration that was sent last.
     sent_version: u64,
+    /// Log offset of the evacuations that were sent last.
     sent_evacuations_offset: u64,
+    /// Sequence number of the newest crash that was sent.
     sent_crash_sequence: u64,
+    /// Entries known when the last list was sent, sorted.
     sent_entries: Vec<SocketAddr>,
+    /// Time of the last frame with all entries, in milliseconds.
     last_list_ms: Option<u64>,
 }
 
 impl GossipSender {
-    /// What changed since the last frame; everything in the first one.
+    /// Returns the next frame: what changed since the last frame on the connection, or
+    /// everything if there was none. `known` returns the recently seen entries with ages.
     pub fn next_frame(
         &mut self,
         now_ms: u64,
@@ -61,8 +69,8 @@
         }
     }
 
-    /// All entries from time to time, since their ages are news too; otherwise
-    /// those that became known.
+    /// Returns the entries for the next frame: all of them when a full list is due, because
+    /// receivers also need their ages, otherwise those that became known since.
     fn next_entries(
         &mut self,
         now_ms: u64,
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, their steps and tasks, and how jobs end.
+//! Jobs, their steps and tasks, and the outcomes of jobs.
 
 use std::sync::Arc;
 
@@ -10,89 +10,89 @@
 use crate::Queue;
 use crate::Resources;
 
-/// A caller that waits at an entry.
+/// Number of a caller that waits at an entry for the outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// Names one task.
+/// Identifies a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    /// Id of its job, chosen by the caller.
+    /// Id of the job, chosen by the caller.
     pub job: Name,
-    /// Number of its step.
+    /// Index of the step in the job.
     pub step: u32,
-    /// Its number in the step.
+    /// Index of the task in the step.
     pub index: u32,
 }
 
-/// Tasks that are alike.
+/// A number of tasks of a job that are alike.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// Number of tasks.
     pub count: u32,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub needs: Resources,
-    /// Run time that the caller declared, in milliseconds.
+    /// Run time of each task as declared by the caller, in milliseconds.
     pub declared_ms: u64,
-    /// Steps that must be done before this one.
+    /// Indices of the steps that must be done before this one starts.
     pub after: Vec<u32>,
-    /// Label that a minion must have.
+    /// Label that a minion must have to run the tasks.
     pub required_label: Option<Name>,
-    /// Label of the minions near the data.
+    /// Label of the minions near the data of the tasks; they are preferred.
     pub preferred_label: Option<Name>,
-    /// Most tasks of the step on one minion at one time; 0 for no limit.
+    /// Largest number of tasks of the step on one minion at a time; 0 for no limit.
     pub max_per_minion: u32,
 }
 
-/// A job that its caller waits for.
+/// A job whose caller waits for the outcome.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Id chosen by the caller.
+    /// Id of the job, chosen by the caller.
     pub id: Name,
-    /// Text that every task receives.
+    /// Text that is passed to every task.
     pub spec: Name,
-    /// Its steps.
+    /// Steps, referred to by their index.
     pub steps: Vec<Step>,
-    /// The queue it came in by.
+    /// Queue to which the caller submitted the job.
     pub queue: Arc<Queue>,
-    /// Time that the caller waits, in milliseconds.
+    /// Time for which the caller waits, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Why a job was refused. Nothing of it has run or will run.
+/// Why a job was refused. No task of it has run or will run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error, Serialize, Deserialize)]
 pub enum Refusal {
-    /// No configuration has been read yet.
+    /// The entry has no configuration yet.
     #[error("no configuration yet")]
     NoConfiguration,
-    /// No minion of the service is known.
+    /// The entry knows no minion of the service.
     #[error("no minion of the service is known")]
     NoMinion,
-    /// It would end too late to be of use.
+    /// The job would miss its objective because of the load.
     #[error("the queue is too long for this job to end in time")]
     Overloaded,
-    /// No minion is large enough for one of its tasks.
+    /// A task of the job needs more resources than any minion has.
     #[error("a task needs more than any minion has")]
     NeverFits,
-    /// The entry is about to stop.
+    /// The entry is stopping.
     #[error("this entry is stopping")]
     Stopping,
-    /// Tasks of an earlier submission of the same job are still being stopped.
+    /// The entry is still stopping tasks of an earlier submission of the job.
     #[error("an earlier submission of this job is still being stopped")]
     StillStopping,
-    /// The store takes no records at present.
+    /// The store takes no records at present, so the job can't be stored.
     #[error("the store cannot keep the job at present")]
     NotStorable,
-    /// The job asks for something that is not built.
+    /// The job needs a feature that is not implemented.
     #[error("this kind of job is not supported")]
     Unsupported,
-    /// All minions that could run it are in zones that are being emptied.
+    /// All minions that could run the job are in evacuated zones.
     #[error("the zones of the minions that could run this job are being emptied")]
     Evacuated,
 }
 
 impl Refusal {
-    /// Name for metrics and logs.
+    /// Returns the name for metrics and logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -109,22 +109,22 @@
     }
 }
 
-/// How a job ended for its caller.
+/// Outcome of a job for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
     /// All tasks are done.
     Completed,
-    /// A task failed in all its attempts.
+    /// A task failed in as many runs as its queue allows.
     Failed,
-    /// Some of it ran, and the rest cannot end in time.
+    /// Some tasks ran or may have run, and the rest can't end in time.
     TooLate,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
-    /// It was refused, and nothing of it ran or will run.
+    /// The job was refused, and no task of it ran or will run.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
-        /// When to come back, in milliseconds.
+        /// Time after which the caller should submit the job again, in milliseconds.
         retry_after_ms: u64,
     },
 }
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -1,34 +1,36 @@
-//! Times that bound how long a task can outlive the entry that ordered it.
+//! Grants, leases and timeouts: they bound how long a run can outlive the entry that
+//! ordered it.
 //!
-//! A caller whose connection broke sends its job again 1,300 ms later, to any
-//! entry. Before that, everything that the first entry ordered must be gone:
+//! A caller whose connection broke sends its job again 1,300 ms later, to any entry. All
+//! runs that the first entry ordered must have ended by then:
 //!
 //! ```text
-//! entry's last frame --GRANT_MS--> agent stops the entry's tasks
-//!   --STOP_TIMEOUT_MS--> a stop without an answer: no lease is extended any more
-//!   --MINION_LEASE_MS, on a clock that may be 2% slow--> the minion kills them
+//! entry's last frame --GRANT_MS--> agent stops the entry's runs
+//!   --STOP_TIMEOUT_MS--> a stop is unanswered: agent no longer extends the lease
+//!   --MINION_LEASE_MS, on a clock that may be 2% slow--> minion kills all its runs
 //! ```
 
-/// Time for which a frame of an entry lets its tasks run at an agent, in
-/// milliseconds. Four keepalives fit, so that one late frame does no harm.
+/// Length of the grant that each frame of an entry gives its runs at an agent, in
+/// milliseconds. It spans four keepalives, so that one delayed frame doesn't end it.
 pub const GRANT_MS: u64 = 400;
-/// Longest pause between two frames on a link, in milliseconds.
+/// Maximum time between two frames on a link, in milliseconds.
 pub const KEEPALIVE_MS: u64 = 100;
-/// Lease that an agent asks of its minion, in milliseconds. The minion kills
-/// all its tasks that long after the agent went silent.
+/// Length of the lease that an agent requests from its minion, in milliseconds. The minion
+/// kills all its runs this long after the agent's last call.
 pub const MINION_LEASE_MS: u64 = 450;
-/// Time after which an agent stops to extend the minion's lease because a
-/// stop has no answer, in milliseconds.
+/// Time after which an unanswered stop makes the agent no longer extend the minion's lease,
+/// in milliseconds.
 pub const STOP_TIMEOUT_MS: u64 = 250;
-/// Time that a minion may take to stop a task, and rounding, in milliseconds.
+/// Time for a minion to end a run whose lease has expired, and for rounding, in
+/// milliseconds.
 pub const STOP_GRACE_MS: u64 = 60;
-/// Time after the last frame to an agent at which nothing that was ordered
-/// there runs any more, whatever happened to the agent, in milliseconds.
+/// Time after an entry's last frame to an agent at which no run that the entry ordered there
+/// is left, whatever happened to the agent, in milliseconds.
 pub const RUNS_GONE_AFTER_MS: u64 =
     GRANT_MS + STOP_TIMEOUT_MS + MINION_LEASE_MS + MINION_LEASE_MS / 50 + STOP_GRACE_MS;
 
-/// Longest time after which a call without an answer is carried out, in milliseconds:
-/// the platform's calls come seconds late.
+/// Longest time after which a minion may still carry out an unanswered call, in
+/// milliseconds. The platform can deliver calls seconds after they were sent.
 pub(crate) const MAX_CALL_DELAY_MS: u64 = 12_000;
 
 const _: () = assert!(
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,10 +1,15 @@
-//! The decisions on jobs whose entry is their home.
+//! The decisions of entries and agents: which tasks start where and when, and what follows
+//! when they end.
 //!
-//! An entry keeps a job for as long as its caller waits, divides it into tasks
-//! and orders agents to start them. An agent alone admits tasks to its minion
-//! and counts what runs there. Nothing here opens a socket, starts a thread or
-//! reads a clock: events and the present time in milliseconds go in, actions
-//! come out.
+//! - An entry ([`Dispatcher`]) takes jobs from callers and keeps a job for as long as its
+//!   caller waits. It divides the job into tasks and orders agents to start them.
+//! - An agent ([`Agent`]) sits beside one minion. It alone admits tasks to the minion and
+//!   accounts for the minion's resources.
+//! - Stored jobs outlive their callers and entries. Their records are in the partitioned
+//!   job log, and the entry that owns a partition runs its jobs ([`Ledger`]).
+//!
+//! This crate does no I/O, starts no thread and reads no clock. Callers pass in events and
+//! the present time in milliseconds, and carry out the actions that come out.
 //!
 //! ```
 //! use gannetvane_dispatch::Resources;
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -1,4 +1,8 @@
-//! Frames between processes, encoded by `postcard`.
+//! Frames between entries and agents and among entries, encoded by `postcard`.
+//!
+//! An agent opens a link to each of its entries and sends a [`Greeting`]. The entry then sends
+//! [`EntryFrame`]s and the agent [`AgentFrame`]s. Entries exchange [`PeerFrame`]s, and calls
+//! about stored jobs on connections of their own.
 
 use std::net::SocketAddr;
 
@@ -16,80 +20,83 @@
 use crate::StoredCall;
 use crate::TaskId;
 
-/// One connection between an entry and another process, numbered by the
-/// process that holds this end.
+/// Number of a connection between an entry and another process. Each of the two processes
+/// numbers its own connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// Number of a start order, unique within one run of an entry.
+/// Number of a start order, unique for one incarnation of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId(pub u64);
 
-/// First frame of the process that opened a connection to an entry.
+/// First frame on a connection to an entry, from the process that opened it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Greeting {
-    /// An agent whose minion has nothing of an earlier connection left.
+    /// The sender is an agent. No run that this entry ordered on an earlier connection is
+    /// left on its minion.
     Agent(AgentHello),
-    /// Another entry, and where it accepts connections.
+    /// The sender is an entry that gossips on this connection; it accepts connections at
+    /// this address.
     Entry(SocketAddr),
-    /// Another entry that asks about stored jobs.
+    /// The sender is an entry that sends [`StoredRequest`]s on this connection.
     StoredCalls,
 }
 
-/// A call about a stored job, from the entry that its caller reached.
+/// Call about a stored job, sent by the entry that the caller reached to the entry that may
+/// own the partition of the job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredRequest {
-    /// Number of the call on its connection.
+    /// Number of the call, unique on its connection.
     pub number: u64,
-    /// The call.
+    /// What is called for.
     pub call: StoredCall,
 }
 
-/// The answer of the entry that owns the job's partition.
+/// Answer to a [`StoredRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredReply {
-    /// Number of the call.
+    /// Number of the call that is answered.
     pub number: u64,
-    /// The answer.
+    /// Result of the call.
     pub answer: StoredAnswer,
 }
 
-/// Who an agent is and what its minion offers.
+/// An agent and its minion, as the agent introduces them to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentHello {
-    /// The run of the agent.
+    /// Id of the agent's process; another one after a restart.
     pub node: NodeId,
-    /// Name of its host, the same after a restart.
+    /// Name of the agent's host; the same after a restart.
     pub host: Name,
-    /// Availability zone.
+    /// Availability zone of the host.
     pub zone: Name,
-    /// The service of its minion.
+    /// Service whose tasks the minion runs.
     pub service: Name,
-    /// Labels of its minion.
+    /// Labels of the minion.
     pub labels: Vec<Name>,
-    /// All of its minion's room.
+    /// Capacity of the minion.
     pub capacity: Resources,
-    /// The agent's steady clock in milliseconds.
+    /// The agent's steady clock when it sent the frame, in milliseconds.
     pub clock_ms: u64,
-    /// Ends that wait for an owner.
+    /// Retained ends for which no owner has decided a disposition yet.
     pub retained_ends: Vec<RetainedEnd>,
-    /// Crashes of its minions under tasks.
+    /// Recent crashes of the agent's minions under tasks.
     pub crashes: Vec<Crash>,
-    /// The life of its minion: its id and its birth.
+    /// Incarnation of the minion: its id, and its start time if the minion reports it.
     pub incarnation: Name,
 }
 
-/// Work that comes for a service, and work that waits for room there.
+/// Work that callers submit for a service, and work that waits for resources there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Work that came of late, in thousandths of a core.
+    /// Recent rate of work, in thousandths of a core.
     pub offered_milli: u32,
-    /// Work that waits at entries, in cores by milliseconds.
+    /// Work that waits at entries, in core-milliseconds (cores times milliseconds).
     pub waiting_core_ms: u32,
 }
 
 impl Demand {
-    /// Both together.
+    /// Returns the sum of two demands.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -98,7 +105,7 @@
         }
     }
 
-    /// What is left without the other; never below zero.
+    /// Returns this demand less the other, at least zero.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self {
@@ -108,145 +115,152 @@
     }
 }
 
-/// Frame from an entry to an agent.
+/// Frame from an entry to an agent, sent at least every [`KEEPALIVE_MS`](crate::KEEPALIVE_MS).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryFrame {
-    /// Time on the agent's steady clock until which the tasks of this link
-    /// may run. A frame that arrives later than that is void, with its orders.
+    /// End of the grant: the entry's runs may go on until this time on the agent's steady
+    /// clock, in milliseconds. The agent ignores a frame that arrives after this time, with
+    /// its orders.
     pub grant_until_ms: u64,
-    /// This agent's part of the demand on its service that the entry knows.
+    /// The entry's demand on the agent's service, divided by the number of agents of the
+    /// service that the entry is linked to.
     pub demand: Demand,
-    /// What to do.
+    /// Orders, carried out in this order.
     pub orders: Vec<Order>,
 }
 
-/// What an entry asks of an agent.
+/// Order of an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Order {
     /// Start a task.
     Start(StartOrder),
-    /// Tasks wait for room: offer some when there is any.
+    /// Tasks wait for resources at the entry: offer some when there are any.
     Probe(Probe),
-    /// The job failed on several hosts, so its failures say nothing of this one.
+    /// The job with this id failed on several hosts: don't count its failures against this
+    /// minion.
     DiscountFailures(Name),
-    /// The room that was offered is of no use any more.
+    /// The entry no longer needs the resources that the agent reserved for it.
     DeclineOffer,
-    /// Stop what an earlier order started, or forget it.
+    /// Stop the run that the order with this number started, or forget the order.
     Stop(OrderId),
-    /// The end with this number in the minion's lifetime is settled.
+    /// The disposition of the retained end with this number of the minion's incarnation.
     Disposition(u64, Disposition),
-    /// Entries to connect to.
+    /// Addresses of recently seen entries, of which the agent chooses those to connect to.
     Entries(Vec<SocketAddr>),
-    /// Zones in which nothing is to be started.
+    /// Evacuated zones, in which no task may start.
     Evacuations(Evacuations),
 }
 
-/// What becomes of an end of a stored task.
+/// What the owner of a stored job decided on a retained end of one of its tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Disposition {
-    /// It lies in the job log.
+    /// The end is recorded in the job log.
     Recorded,
-    /// The task was started anew, or its job is gone: the end must not count.
+    /// The task was started again, or its job has ended or is unknown: the end must not
+    /// count.
     Superseded,
-    /// Another entry owns the job now.
+    /// The entry doesn't own the partition of the job.
     NotOwner,
 }
 
-/// An end of a stored task that its minion keeps until it is settled.
+/// End of a stored task's run that the minion retains until the owner has decided on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetainedEnd {
-    /// Its number in the minion's lifetime.
+    /// Number of the end, unique for the minion's incarnation.
     pub number: u64,
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// Whether its work is done; otherwise it failed.
+    /// Whether the run did its work; otherwise it failed.
     pub is_done: bool,
 }
 
-/// The order to start a task.
+/// Order to start a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
     /// Number of the order.
     pub id: OrderId,
-    /// The task.
+    /// Task to start.
     pub task: TaskId,
-    /// Number of the run, rising with each start of the task.
+    /// Number of the run; it rises with each start of the task.
     pub run: u32,
-    /// Text for the task.
+    /// Text that is passed to the task.
     pub spec: Name,
-    /// Whether minions crashed under it, so that it runs beside no other such task:
-    /// a crash then tells which of them is at fault.
+    /// Whether minions crashed under the task. The agent runs it beside no suspect task of
+    /// another job, so that a crash shows which job caused it.
     pub is_suspect: bool,
-    /// What it needs.
+    /// Resources that the task needs.
     pub needs: Resources,
-    /// Run time expected on a minion of ordinary speed, in milliseconds.
+    /// Expected run time on a minion of ordinary speed, in milliseconds.
     pub expected_ms: u32,
-    /// Whether the minion keeps its end until that is settled.
+    /// Whether the task belongs to a stored job, so that the minion retains the run's end
+    /// until the owner has decided on it.
     pub is_stored: bool,
 }
 
-/// Tasks that found no room anywhere and could start at this agent.
+/// Tasks that wait for resources at an entry and could start at the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// What each of them needs.
+    /// Resources that each of the tasks needs.
     pub needs: Resources,
-    /// How many there are at most.
+    /// Largest number of tasks to reserve resources for.
     pub tasks: u32,
-    /// Time in milliseconds within which they should start.
+    /// Time within which the tasks should start, in milliseconds. The agent serves probes
+    /// with less time first.
     pub slack_ms: u32,
 }
 
-/// Frame from an agent to an entry.
+/// Frame from an agent to an entry, sent at least every [`KEEPALIVE_MS`](crate::KEEPALIVE_MS).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentFrame {
-    /// The agent's steady clock in milliseconds.
+    /// The agent's steady clock when it sent the frame, in milliseconds.
     pub clock_ms: u64,
-    /// Start orders received on this link so far.
+    /// Number of start orders received on this link so far.
     pub starts_received: u64,
-    /// Room that is neither taken nor promised.
+    /// Resources that are neither used by runs nor reserved for other entries.
     pub free: Resources,
-    /// Speed of the minion of late, in thousandths of the ordinary one.
+    /// Recent speed of the minion, in thousandths of the ordinary speed.
     pub speed_permille: u32,
-    /// Whether starts are admitted.
+    /// Whether the agent accepts starts on this link at present.
     pub is_accepting_starts: bool,
-    /// Whether some of the free room is kept for this entry, until a start or
-    /// word that it is not needed.
+    /// Whether the agent reserves some of the free resources for this entry, until the entry
+    /// starts a task, declines or lets the offer expire.
     pub has_offer: bool,
-    /// What all entries told this agent of their demand, together.
+    /// Sum of the demands that all entries sent to this agent.
     pub demand: Demand,
-    /// What happened.
+    /// Reports since the last frame.
     pub reports: Vec<Report>,
 }
 
-/// What an agent tells of an order.
+/// Report of an agent to an entry, on an order or on the minion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
-    /// The run has ended, or will never begin.
+    /// A run ended, or will never start.
     Ended {
-        /// The order.
+        /// Order that started the run.
         order: OrderId,
-        /// How.
+        /// How the run ended.
         end: RunEnd,
-        /// Time that it ran, in milliseconds.
+        /// Time that the run took, in milliseconds.
         ran_ms: u32,
-        /// Number under which the minion keeps the end until it is settled.
+        /// Number under which the minion retains the end; `None` if it doesn't.
         retained_number: Option<u64>,
     },
-    /// Ends that wait for an owner.
+    /// Retained ends for which no owner has decided a disposition yet.
     RetainedEnds(Vec<RetainedEnd>),
-    /// All room of the minion, which has shrunk or grown.
+    /// New capacity of the minion, which has shrunk or grown.
     Capacity(Resources),
-    /// How far a run is.
+    /// Progress of a run.
     Progress {
-        /// The order.
+        /// Order that started the run.
         order: OrderId,
-        /// Part of the work that is done.
+        /// Percentage of the work that is done.
         percent: u8,
-        /// Time since the start, in milliseconds.
+        /// Time from the start of the run to the latest reading of its progress, in
+        /// milliseconds.
         elapsed_ms: u32,
-        /// Time since the percentage last changed, in milliseconds.
+        /// Time from the last change of the percentage to the latest reading, in milliseconds.
         idle_ms: u32,
     },
 }
@@ -254,41 +268,44 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// Its work is done.
+    /// The run did its work.
     Done,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped on the entry's order.
+    /// The run was stopped on the entry's order.
     Stopped,
-    /// It ended with its lease or its minion, which may never have taken it.
+    /// The run ended with its lease or its minion. The minion may never have started it.
     Lost,
-    /// Its minion crashed, and had taken it.
+    /// The minion crashed after it had taken the run, or may have; the evidence says how
+    /// certain it is that the task was running.
     Crashed(CrashEvidence),
-    /// Its minion ended, and a later life of the minion that keeps the id may carry
-    /// out the call that starts it, until the agent has shown its epoch there and
-    /// greets again.
+    /// The minion ended, but a later incarnation with the same id may still carry out the
+    /// delayed call that starts the run. That is ruled out once the agent has shown its
+    /// epoch to that incarnation; the agent then greets again.
     Unsettled {
-        /// What that tells of the task, if the minion crashed and had taken it.
+        /// Evidence against the task, if the minion crashed and had taken the run.
         crash: Option<CrashEvidence>,
     },
-    /// It never began.
+    /// The run never started.
     NotStarted(NotStartedReason),
 }
 
-/// How surely a task was at work when its minion crashed.
+/// How certain it is that a task was running when its minion crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashEvidence {
-    /// The minion had answered for it, and its work may have ended untold since.
+    /// The minion had reported the run or may have taken it, but the run may have ended since
+    /// without a report.
     Weak,
-    /// A connection broke while the minion had it.
+    /// A connection to the minion broke while the minion had the run.
     Strong,
-    /// The agent was lost with the minion, so that nobody saw the end of the run.
+    /// The agent was lost with the minion, so nobody observed the end of the run.
     Unseen,
 }
 
 impl CrashEvidence {
-    /// How much all signs together speak against a task. A host that is lost with all
-    /// that runs there says nothing by itself.
+    /// Returns the weight of all crash evidence against a task. Unseen evidence counts only
+    /// beside strong evidence: the loss of a host with all its runs alone says nothing about
+    /// a task.
     pub(crate) fn weight(all_evidence: impl Iterator<Item = Self> + Clone) -> u32 {
         let is_proven = all_evidence
             .clone()
@@ -302,47 +319,48 @@
     }
 }
 
-/// Why a run never began.
+/// Why a run never started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotStartedReason {
-    /// The agent has no room.
+    /// The agent has too few free resources, already runs the task, may not extend the
+    /// minion's lease, or runs a suspect task of another job.
     Full,
-    /// The minion is leaving, or the agent is.
+    /// The minion or the agent is leaving.
     Closing,
-    /// The minion refused it.
+    /// The minion refused the run because it is unhealthy.
     Unhealthy,
-    /// The minion gave no answer; the run was forbidden there.
+    /// The start is unanswered; the agent has made sure that the minion doesn't carry it out
+    /// later.
     NoAnswer,
-    /// The minion has seen this run or a later one.
+    /// The minion has already seen this run or a later one of the task.
     OldRun,
 }
 
-/// An entry that somebody reached, and how long ago.
+/// An entry that some process reached, and how long ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenEntry {
-    /// Where it accepts connections.
+    /// Address at which the entry accepts connections.
     pub addr: SocketAddr,
-    /// Time since it was reached, in milliseconds.
+    /// Time since the entry was last seen, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Frame between entries.
+/// Gossip frame between entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerFrame {
-    /// Entries that the sender knows; empty in most frames.
+    /// Entries that the sender has recently seen; empty in most frames.
     pub entries: Vec<SeenEntry>,
-    /// The configuration of the sender, when it changed since the last frame.
+    /// Configuration of the sender, if it changed since the last frame.
     pub table: Option<RoutingTable>,
-    /// Whether the sender knows of stored jobs.
+    /// Whether the deployment has stored jobs, as far as the sender knows.
     pub has_stored_jobs: bool,
-    /// The zones that are being emptied, when the sender's picture changed since
-    /// the last frame.
+    /// Evacuated zones that the sender knows, if they changed since the last frame.
     pub evacuations: Option<Evacuations>,
-    /// Crashes of minions under tasks that became known since the last frame.
+    /// Crashes of minions under tasks that became known to the sender since the last frame.
     pub crashes: Vec<Crash>,
 }
 
-/// Answer of an entry to each frame of another one: the connection works.
+/// Answer to each [`PeerFrame`]; it shows the sender that the connection works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerAck;
 
@@ -350,7 +368,7 @@
 ///
 /// # Errors
 ///
-/// An error of `postcard` when the value has no encoding.
+/// Returns the error of `postcard` if the value can't be encoded.
 pub fn encode<T: Serialize>(frame: &T) -> Result<Vec<u8>, postcard::Error> {
     postcard::to_stdvec(frame)
 }
@@ -359,7 +377,7 @@
 ///
 /// # Errors
 ///
-/// An error of `postcard` when the bytes are no such frame.
+/// Returns the error of `postcard` if the bytes are no frame of type `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, postcard::Error> {
     postcard::from_bytes(bytes)
 }
--- a/crates/dispatch/src/minion_calls.rs
+++ b/crates/dispatch/src/minion_calls.rs
@@ -1,21 +1,22 @@
-//! What an agent exchanges with its minion, in the project's own terms.
+//! Reports, calls and answers between an agent and its minion, independent of the protocol
+//! of the platform.
 
 use gannetvane_wire::Name;
 
 use crate::Resources;
 use crate::TaskId;
 
-/// One run of a task.
+/// Identifies a run of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunKey {
-    /// The task.
+    /// Task that runs.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run; it rises with each start of the task.
     pub run: u32,
 }
 
-/// One life of a minion, from its start to its end. A minion that starts again may
-/// keep its id; then only its birth tells the lives apart.
+/// One incarnation of a minion, from its start to its end. A minion may restart with the
+/// same id; only the start time then tells the incarnations apart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Incarnation {
     id: Name,
@@ -23,8 +24,8 @@
 }
 
 impl Incarnation {
-    /// The life of the minion with this id that began at this time, in
-    /// milliseconds since 1970; `None` when the minion does not tell its birth.
+    /// Returns the incarnation of the minion with this id that started at this time, in
+    /// milliseconds since 1970. The time is `None` if the minion doesn't report it.
     #[must_use]
     pub fn new(id: Name, started_unix_ms: Option<u64>) -> Self {
         Self {
@@ -33,20 +34,21 @@
         }
     }
 
-    /// The id by which calls address the minion. It says nothing of the life.
+    /// Returns the id by which calls address the minion. Several incarnations may share it.
     #[must_use]
     pub fn id(&self) -> &Name {
         &self.id
     }
 
-    /// When it began, in milliseconds since 1970.
+    /// Returns the start time in milliseconds since 1970, if the minion reports it.
     #[must_use]
     pub fn started_unix_ms(&self) -> Option<u64> {
         self.started_unix_ms
     }
 
-    /// Whether an answer to a call that named this life's id can be of this life;
-    /// answers other than listings tell no birth.
+    /// Returns whether an answer with this start time can be from this incarnation. The call
+    /// named the incarnation's id. Only listings state a start time, so the answer to any
+    /// other call can be.
     #[must_use]
     pub fn can_be_from(&self, started_unix_ms: Option<u64>) -> bool {
         match (self.started_unix_ms, started_unix_ms) {
@@ -65,67 +67,68 @@
     }
 }
 
-/// What a minion reports of itself to the agent beside it.
+/// Report of a minion about itself to the agent beside it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MinionReport {
-    /// The minion's lifetime.
+    /// Incarnation of the minion.
     pub incarnation: Incarnation,
-    /// Its service.
+    /// Service whose tasks the minion runs.
     pub service: Name,
-    /// Its availability zone.
+    /// Availability zone of the minion.
     pub zone: Name,
-    /// Its labels.
+    /// Labels of the minion.
     pub labels: Vec<Name>,
-    /// All of its room.
+    /// Capacity of the minion.
     pub capacity: Resources,
-    /// Whether it is about to leave.
+    /// Whether the minion is about to leave and takes no more runs.
     pub is_draining: bool,
-    /// Its steady clock in milliseconds.
+    /// The minion's steady clock in milliseconds.
     pub clock_ms: u64,
-    /// Rises with each report of a lifetime.
+    /// Number that rises with each report of an incarnation.
     pub sequence: u64,
 }
 
-/// What a minion answered to a start.
+/// Result of the call that starts a run on a minion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartResult {
-    /// It runs, or ran before.
+    /// The minion has started the run, now or on an earlier call.
     Started,
     /// The minion has seen this run or a higher one of the task.
     OldRun,
-    /// The order came after its deadline.
+    /// The call arrived after its deadline, and the minion did nothing.
     Late,
-    /// The minion has no room.
+    /// The minion has too few free resources.
     NoRoom,
-    /// The order has a lower epoch than one that the minion has seen.
+    /// The call has a lower epoch than one that the minion has seen.
     Fenced,
-    /// The minion is unhealthy and did nothing.
+    /// The minion is unhealthy, and did nothing.
     Unhealthy,
-    /// The minion cannot read the order.
+    /// The minion could not read the call.
     Invalid,
     /// A minion with another id answered.
     OtherInstance,
     /// The connection was refused: nothing was sent.
     Unreached,
-    /// The connection broke after the call was sent: the minion may have taken it
-    /// and crashed, or may carry it out later.
+    /// The connection broke after the call was sent: the minion may have started the run
+    /// and crashed, or may carry out the call later.
     Broken,
-    /// No answer; it may be carried out later.
+    /// The call timed out; the minion may carry it out later.
     NoAnswer,
 }
 
-/// Whether a minion was heard when it was called.
+/// Whether a minion answered a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
-    /// It answered.
+    /// The minion answered.
     Answered,
-    /// Nobody takes connections at its address: it has crashed or left.
+    /// The connection was refused: the minion has crashed or left.
     Refused,
-    /// No answer.
+    /// The call timed out, or its connection broke.
     Unanswered,
 }
 
 impl StartResult {
+    /// Returns whether the minion answered the call.
     pub(crate) fn call_outcome(self) -> CallOutcome {
         match self {
             Self::NoAnswer | Self::Broken => CallOutcome::Unanswered,
@@ -135,53 +138,53 @@
     }
 }
 
-/// Something that runs on a minion.
+/// A run in progress, as a minion lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActiveRun {
-    /// The run; `None` when its name is not one of ours.
+    /// The run; `None` if this project did not assign the name under which it runs.
     pub key: Option<RunKey>,
-    /// Part of the work that is done.
+    /// Percentage of the work that is done.
     pub percent: u8,
 }
 
-/// A run that ended on a minion.
+/// A run that ended, as a minion lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Number of the end in the minion's lifetime.
+    /// Number of the end, unique for the minion's incarnation.
     pub number: u64,
-    /// The run; `None` when its name is not one of ours.
+    /// The run; `None` if this project did not assign the name under which it ran.
     pub key: Option<RunKey>,
-    /// How it ended.
+    /// How the run ended.
     pub end: crate::RunEnd,
 }
 
-/// What a minion lists.
+/// The runs of a minion, as it lists them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// When the life that answered began, in milliseconds since 1970, if it tells.
+    /// Start time of the incarnation that answered, in milliseconds since 1970; `None` if the
+    /// minion doesn't state it.
     pub started_unix_ms: Option<u64>,
     /// The minion's steady clock in milliseconds.
     pub clock_ms: u64,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<ActiveRun>,
-    /// What ended and is not acknowledged yet.
+    /// Ended runs whose ends the agent has not acknowledged yet.
     pub ended: Vec<EndedRun>,
 }
 
-/// How a call that lists a minion's runs ended.
+/// Result of a call that lists a minion's runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListResult {
-    /// The minion listed what runs.
+    /// The minion listed its runs.
     Listed(Listing),
-    /// A minion with another id is at the address: the one that was meant has
-    /// ended.
+    /// A minion with another id answered: the minion that was called has ended.
     OtherInstance,
-    /// The minion has seen a higher epoch and did nothing.
+    /// The minion has seen a higher epoch, and did nothing.
     Fenced,
     /// The connection was refused: nothing was sent.
     Unreached,
     /// The connection broke before an answer.
     Broken,
-    /// No answer, or one that is no listing.
+    /// The call timed out, or its answer was no listing.
     NoAnswer,
 }
--- a/crates/dispatch/src/rendezvous.rs
+++ b/crates/dispatch/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Which of many entries a process links to.
+//! Choice of the entries that a process connects to, by rendezvous hashing.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -7,12 +7,13 @@
 use gannetvane_wire::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A bound on the entries that are chosen, by rendezvous hashing: a change of
-/// the set moves few links, and any process can tell what another one chooses.
+/// Selects a limited number of entries by rendezvous hashing. When the set of entries
+/// changes, few links move, and any process can compute what another one selects.
 #[derive(Clone, Debug)]
 pub(crate) struct RendezvousHash {
-    /// Whose choice it is; others choose other entries.
+    /// Name of the process that selects; other names lead to other entries.
     chooser: Name,
+    /// Largest number of selected entries.
     max: usize,
 }
 
@@ -25,7 +26,7 @@
         self.max
     }
 
-    /// Those that rank highest for the chooser.
+    /// Returns the entries with the highest ranks for the chooser, at most `max`.
     pub(crate) fn select(&self, entries: BTreeSet<SocketAddr>) -> BTreeSet<SocketAddr> {
         if entries.len() <= self.max {
             return entries;
--- a/crates/dispatch/src/resources.rs
+++ b/crates/dispatch/src/resources.rs
@@ -1,22 +1,22 @@
-//! What a task needs of a minion, and what a minion has.
+//! Resources that tasks need and minions have.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// An amount of a minion's resources.
+/// An amount of resources of a minion: what a task needs, the capacity, or what is free.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
     /// Processor time in thousandths of a core.
     pub cpu_milli: u32,
     /// Memory in megabytes.
     pub memory_mb: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
-// Log lines keep the name `Room`.
+// Log lines print the type as `Room`, which tools may match.
 impl fmt::Debug for Resources {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Room")
@@ -28,7 +28,7 @@
 }
 
 impl Resources {
-    /// Whether `need` fits.
+    /// Returns whether `need` fits into these resources.
     #[must_use]
     pub fn can_fit(&self, need: &Self) -> bool {
         self.cpu_milli >= need.cpu_milli
@@ -36,7 +36,7 @@
             && self.accelerators >= need.accelerators
     }
 
-    /// What is left after `need`; never below zero.
+    /// Returns what is left of each resource after `need`, at least zero.
     #[must_use]
     pub fn minus(&self, need: &Self) -> Self {
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The larger of each.
+    /// Returns the larger amount of each resource.
     #[must_use]
     pub fn max(&self, other: &Self) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of each resource.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
--- a/crates/dispatch/src/route.rs
+++ b/crates/dispatch/src/route.rs
@@ -1,4 +1,4 @@
-//! Queues, and which of them a request belongs to.
+//! Queues of jobs, and the routing of requests to them.
 
 use std::sync::Arc;
 
@@ -6,58 +6,59 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A queue of jobs, as operators configured it.
+/// Configuration of a queue of jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: Name,
-    /// The host name that callers address.
+    /// Host name to which callers send requests, without a port.
     pub host: Name,
-    /// Start of the paths that belong to it.
+    /// Prefix of the paths that belong to the queue.
     pub path_prefix: Name,
-    /// The service whose minions run its tasks.
+    /// Service whose minions run the tasks.
     pub service: Name,
-    /// Longest time that a request may take, in milliseconds.
+    /// Maximum time that a request may take, in milliseconds.
     pub timeout_ms: u64,
-    /// Time beyond the stretched work within which a job should end, in
-    /// milliseconds.
+    /// Fixed part of a job's objective, in milliseconds. A job should end within `stretch`
+    /// times its critical path plus this time.
     pub target_latency_ms: u64,
-    /// Urgency class; 0 goes first.
+    /// Urgency class; jobs with lower numbers go first.
     pub priority: u32,
-    /// Runs of a task that may fail before its job fails.
+    /// Number of failed runs of one task after which its job fails.
     pub max_attempts: u32,
-    /// Factor on the longest chain of work within which a job should end.
+    /// Factor on a job's critical path in its objective.
     pub stretch: f64,
-    /// Whether starts need the word of an advice service, which is not built.
+    /// Whether an advice service must approve starts; this is not implemented.
     pub needs_advice: bool,
 }
 
-/// Why a request belongs to no queue.
+/// Why no queue was found for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// No configuration has been read yet.
+    /// The entry has no configuration yet.
     NoConfiguration,
-    /// No queue has this host and path.
+    /// No queue has the host and a prefix of the path.
     Unknown,
 }
 
-/// All queues of one version of the configuration.
+/// A version of the configuration with all its queues.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutingTable {
-    /// Version of the configuration; 0 before the first.
+    /// Version of the configuration; 0 before the first one was read.
     pub version: u64,
-    /// The queues.
+    /// All queues.
     pub queues: Vec<Arc<Queue>>,
-    /// Largest body of a request in bytes; 0 for no limit of its own.
+    /// Largest body of a request in bytes; 0 if the configuration sets no limit.
     pub max_body_bytes: usize,
 }
 
 impl RoutingTable {
-    /// The queue with the longest prefix that the path begins with.
+    /// Returns the queue of the host with the longest prefix of the path. A port in `host` is
+    /// ignored.
     ///
     /// # Errors
     ///
-    /// [`RouteError`] when there is none.
+    /// Returns a [`RouteError`] if there is no configuration or no such queue.
     pub fn find(&self, host: &str, path: &str) -> Result<Arc<Queue>, RouteError> {
         if self.version == 0 {
             return Err(RouteError::NoConfiguration);
--- a/crates/dispatch/src/stored.rs
+++ b/crates/dispatch/src/stored.rs
@@ -1,7 +1,7 @@
-//! Stored jobs: what callers ask of them, and how they lie in the job log.
+//! Stored jobs: the calls about them, and their records in the job log.
 //!
-//! The job log is divided into partitions by job id. Each partition has one
-//! owner among the entries, which alone appends to it and runs its jobs.
+//! The job log is divided into partitions by job id. Each partition has one owner among the
+//! entries, which alone appends to it and runs its jobs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,31 +23,30 @@
 use crate::Step;
 use crate::TaskId;
 
-/// First run number of a stored task: its owner's epoch times this. Runs of
-/// other jobs stay below, so that an agent that starts anew can tell which ends
-/// on its minion may still have to be recorded. A million epochs fit, 29 years
-/// of a hundred changes of the group a day.
+/// Run numbers per epoch of an owner: the runs of a stored task are numbered from the owner's
+/// epoch times this. The run numbers of other jobs stay below this, so that a restarted agent
+/// can tell which ends on its minion may still have to be recorded. A million epochs fit: 29
+/// years with a hundred changes of the members a day.
 pub(crate) const RUNS_PER_EPOCH: u32 = 4_096;
 
-/// Key of the record that tells that the last owner left nothing behind; job
-/// ids are longer.
+/// Key of the record that says that the last owner left no run behind. Job ids are longer
+/// than this key and the two below, so they never collide.
 pub(crate) const RELEASED_KEY: &str = "released";
-/// Key of the record with the last epoch that started what it had not accepted
-/// itself.
+/// Key of the record with the last epoch whose owner started jobs accepted in earlier epochs.
 const STARTED_KEY: &str = "started";
 /// Key of the record with which an owner claims a partition.
 const OWNER_KEY: &str = "owner";
-/// What follows a job's id in the key of its progress.
+/// Suffix of a job's id in the key of its progress record.
 const PROGRESS_SUFFIX: &str = ".progress";
-/// What follows a job's id in the key of its crashes.
+/// Suffix of a job's id in the key of its crashes record.
 const CRASHES_SUFFIX: &str = ".crashes";
 
-/// One part of the job log.
+/// Number of a partition of the job log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Partition(pub u32);
 
 impl Partition {
-    /// The partition of a job, of this many.
+    /// Returns the partition of the job with this id, out of `partitions`.
     #[must_use]
     pub fn of(job: &str, partitions: u32) -> Self {
         let hash = xxh3_64(job.as_bytes()) % u64::from(partitions.max(1));
@@ -55,22 +54,22 @@
     }
 }
 
-/// A job that is kept until it has ended, whoever serves it.
+/// A job that stays in the job log until it has ended, whichever entry runs it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredJob {
-    /// Id chosen by the caller.
+    /// Id of the job, chosen by the caller.
     pub id: Name,
-    /// Text that every task receives.
+    /// Text that is passed to every task.
     pub spec: Name,
-    /// Its steps.
+    /// Steps, referred to by their index.
     pub steps: Vec<Step>,
-    /// The queue it came in by, as it was then.
+    /// Queue to which the caller submitted the job, as configured at that time.
     pub queue: Arc<Queue>,
 }
 
 impl StoredJob {
-    /// Time from its submission within which it should have ended, in
-    /// milliseconds, by the run times that its caller declared.
+    /// Returns the objective of the job: the time from its submission within which it should
+    /// end, in milliseconds, from the run times that its caller declared.
     #[must_use]
     pub fn objective_ms(&self) -> u64 {
         let mut ends_ms: Vec<u64> = Vec::with_capacity(self.steps.len());
@@ -86,7 +85,8 @@
         stretched_ms.saturating_add(self.queue.target_latency_ms)
     }
 
-    /// The position of a task, counted over all steps.
+    /// Returns the position of a task, counted over all steps from 0; `None` if the job has no
+    /// such task.
     pub(crate) fn position(&self, task: &TaskId) -> Option<u32> {
         let step = usize::try_from(task.step).ok()?;
         let counts = self.steps.iter().map(|step| step.count);
@@ -107,57 +107,57 @@
     }
 }
 
-/// A caller that waits for an answer about a stored job.
+/// Number of a caller at the owner that waits for an answer about a stored job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoredCaller(pub u64);
 
-/// What is asked of the owner of a partition.
+/// Call to the owner of a partition, about a stored job or a queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoredCall {
-    /// Accept a job; a job that is known already is accepted as it is.
+    /// Accept a job. If the job is known already, it stays as it is.
     Submit(StoredJob),
-    /// Tell how far a job is.
+    /// Return the state of the job with this id, after a short wait for its end.
     State(Name),
-    /// Cancel a job.
+    /// Cancel the job with this id.
     Cancel(Name),
-    /// Count the jobs of a queue of which nothing has started.
+    /// Count the jobs of the queue with this name of which no task has started.
     Pending(Name),
 }
 
-/// What the owner answers.
+/// Answer to a [`StoredCall`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredAnswer {
-    /// The job lies in the log.
+    /// The job is in the log.
     Accepted,
     /// The job was refused, and never runs.
     Refused(Refusal),
-    /// How far the job is.
+    /// State of the job.
     State(StoredState),
-    /// The job is cancelled, or had ended.
+    /// The job is cancelled, or had already ended.
     Cancelled,
-    /// There is no such job.
+    /// The owner of the partition has no such job.
     Unknown,
-    /// Jobs of which nothing has started.
+    /// Number of jobs of which no task has started.
     Pending {
-        /// How many.
+        /// Number of jobs.
         jobs: u32,
-        /// In how many partitions they were counted.
+        /// Number of partitions whose jobs were counted.
         partitions: u32,
     },
-    /// This entry does not serve the partition now; nothing was done.
+    /// The entry doesn't serve the partition at present, and did nothing.
     NotOwner,
-    /// It cannot be told whether the call was carried out.
+    /// It is unknown whether the call was carried out.
     OutcomeUnknown,
 }
 
-/// How far a stored job is.
+/// State of a stored job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredState {
-    /// Nothing of it has started.
+    /// No task of the job has started.
     Queued,
-    /// Some of it has started.
+    /// A task of the job has started.
     Running,
-    /// It has ended.
+    /// The job has ended.
     Ended(StoredEnd),
 }
 
@@ -166,90 +166,91 @@
 pub enum StoredEnd {
     /// All tasks are done.
     Completed,
-    /// A task failed in all its attempts.
+    /// A task failed in as many runs as its queue allows.
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// What the dispatcher tells of the stored jobs that it runs.
+/// Event of a stored job that the dispatcher passes to the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum StoredEvent {
-    /// A run ended; its agent keeps the end until it is recorded.
+    /// A run ended. Its minion retains the end until the owner has recorded it.
     TaskEnded {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// The task's position in the job.
+        /// Position of the task in the job.
         position: u32,
-        /// The link to the agent.
+        /// Link to the agent.
         link: LinkId,
-        /// Number under which the minion keeps the end.
+        /// Number under which the minion retains the end.
         number: u64,
         /// Number of the run.
         run: u32,
-        /// Whether its work is done; otherwise it failed.
+        /// Whether the run did its work; otherwise it failed.
         is_done: bool,
     },
-    /// A run was out of reach until it was surely gone. Its end may be kept by
-    /// its minion all the same.
+    /// The entry lost contact to a run for so long that the run must have ended. The minion
+    /// may nevertheless retain an end of it.
     RunLost {
-        /// The job.
+        /// Id of the job.
         job: Name,
-        /// The task's position in the job.
+        /// Position of the task in the job.
         position: u32,
         /// Number of the run.
         run: u32,
     },
-    /// A minion crashed under a task, which is started anew once that is recorded.
+    /// A minion crashed under a task. The task is started again once the crash is recorded.
     Crashed {
-        /// The task's position in its job.
+        /// Position of the task in its job.
         position: u32,
-        /// The crash.
+        /// Crash and its task.
         crash: Crash,
     },
-    /// An agent offers an end that waits for an owner.
+    /// The agent at this link has a retained end that waits for a decision of its owner.
     EndRetained(LinkId, RetainedEnd),
-    /// All tasks are done, or one cannot be.
+    /// A job ended: all its tasks are done, or one failed for good.
     JobEnded(Name, StoredEnd),
 }
 
-/// A record of the job log: a key, and nothing to drop the key.
+/// A record of the job log. The log keeps the newest record of each key; an empty value
+/// drops the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
-    /// The key.
+    /// Key of the record.
     pub key: Name,
-    /// The value; empty to drop the key.
+    /// Encoded value; empty to drop the key.
     pub value: Vec<u8>,
 }
 
-/// Value of the record under a job's id.
+/// Value of the record whose key is a job's id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum JobRecord {
-    /// Accepted, and not ended.
+    /// The job is accepted and has not ended.
     Open(StoredJob),
-    /// Ended.
+    /// The job has ended.
     Ended {
-        /// How.
+        /// How the job ended.
         end: StoredEnd,
-        /// The runs that did its tasks, by position.
+        /// Numbers of the runs that did the tasks, by the task's position.
         done: BTreeMap<u32, u32>,
     },
 }
 
-/// Value of the record with a job's progress.
+/// Value of the record with a job's progress: what became of the runs of its tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Progress {
-    /// Positions of the tasks that are done, with the run that did it.
+    /// Numbers of the runs that did their tasks, by the task's position.
     pub(crate) done: BTreeMap<u32, u32>,
-    /// Failed runs by position.
+    /// Numbers of the failed runs, by the task's position.
     pub(crate) failures: BTreeMap<u32, BTreeSet<u32>>,
-    /// Last runs by position whose ends must not count: the task was started
-    /// anew.
+    /// Number of the last lost run, by the task's position. The ends of this run and of
+    /// earlier ones must not count, because the task is started again.
     pub(crate) last_lost_runs: BTreeMap<u32, u32>,
 }
 
 impl Progress {
-    /// Notes how a run ended.
+    /// Adds the end of a run.
     pub(crate) fn record_end(&mut self, position: u32, run: u32, is_done: bool) {
         if is_done {
             self.done.insert(position, run);
@@ -258,47 +259,52 @@
         }
     }
 
-    /// Whether the end of this run is noted.
+    /// Returns whether the progress contains the end of this run.
     pub(crate) fn has_end(&self, position: u32, run: u32) -> bool {
         let failures = self.failures.get(&position);
         self.done.get(&position) == Some(&run) || failures.is_some_and(|runs| runs.contains(&run))
     }
 
-    /// Whether the end of this run must not count.
+    /// Returns whether the end of this run must not count, because a run at least as late was
+    /// lost.
     pub(crate) fn is_superseded(&self, position: u32, run: u32) -> bool {
         self.last_lost_runs
             .get(&position)
             .is_some_and(|last_lost| run <= *last_lost)
     }
 
-    /// Runs of a task that failed.
+    /// Returns the number of failed runs of a task.
     pub(crate) fn failures(&self, position: u32) -> u32 {
         let failures = self.failures.get(&position).map_or(0, BTreeSet::len);
         u32::try_from(failures).unwrap_or(u32::MAX)
     }
 }
 
-/// Crashes of minions under the tasks of a job, by position and number.
+/// Crashes of minions under the tasks of a job: the evidence, by the task's position and the
+/// number of the crash.
 pub(crate) type JobCrashes = BTreeMap<u32, BTreeMap<u64, CrashEvidence>>;
 
-/// A record that cannot be read.
+/// Error: a record of the job log could not be decoded.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("record {key}: {cause}")]
 pub struct RecordError {
-    /// Its key.
+    /// Key of the record.
     pub key: Name,
-    /// Why not.
+    /// What was wrong with the value.
     pub cause: String,
 }
 
-/// What a record says.
+/// Decoded content of a record. Job ids stand beside the records that belong to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RecordContent {
     Job(Name, JobRecord),
     Progress(Name, Progress),
     Crashes(Name, JobCrashes),
+    /// The claim of an owner.
     Owner,
+    /// The last owner left no run behind.
     Released,
+    /// The last epoch whose owner started jobs accepted in earlier epochs.
     Started(u32),
 }
 
@@ -327,8 +333,8 @@
         })
     }
 
-    /// The claim of an owner. The append counts, so that none of an earlier time
-    /// with the same epoch can follow it.
+    /// Returns the record with which an owner claims its partition. Its append has a number
+    /// too, so that no delayed append with the same epoch can follow it.
     pub(crate) fn owner(epoch: u32) -> Self {
         Self {
             key: OWNER_KEY.into(),
@@ -336,12 +342,13 @@
         }
     }
 
-    /// Whether it is the claim of an owner.
+    /// Returns whether the record is the claim of an owner.
     pub(crate) fn is_claim(&self) -> bool {
         &*self.key == OWNER_KEY
     }
 
-    /// The word that an owner is about to start jobs of earlier owners.
+    /// Returns the record by which an owner says that it is about to start jobs that earlier
+    /// owners accepted.
     pub(crate) fn started(epoch: u32) -> Self {
         Self {
             key: STARTED_KEY.into(),
@@ -349,7 +356,7 @@
         }
     }
 
-    /// The word that an owner left nothing behind.
+    /// Returns the record by which an owner says that it left no run behind.
     pub(crate) fn released() -> Self {
         Self {
             key: RELEASED_KEY.into(),
@@ -357,7 +364,7 @@
         }
     }
 
-    /// A record that drops a key.
+    /// Returns a record that drops a key.
     pub(crate) fn drop_key(key: Name) -> Self {
         Self {
             key,
@@ -372,7 +379,7 @@
         }
     }
 
-    /// Reads the record.
+    /// Decodes the record.
     pub(crate) fn content(&self) -> Result<RecordContent, RecordError> {
         let failed = |error: postcard::Error| self.malformed(&error.to_string());
         match &*self.key {
@@ -398,12 +405,12 @@
     }
 }
 
-/// Key of the record with a job's progress.
+/// Returns the key of the record with a job's progress.
 pub(crate) fn progress_key(id: &Name) -> Name {
     format!("{id}{PROGRESS_SUFFIX}").into()
 }
 
-/// Key of the record with the crashes under a job's tasks.
+/// Returns the key of the record with the crashes under a job's tasks.
 pub(crate) fn crashes_key(id: &Name) -> Name {
     format!("{id}{CRASHES_SUFFIX}").into()
 }
