--- a/crates/dispatch/src/crashes.rs
+++ b/crates/dispatch/src/crashes.rs
@@ -127,8 +127,8 @@
     /// their present ages.
     #[must_use]
     pub fn since(&self, now_ms: u64, sequence: u64) -> Vec<Crash> {
-        let later = self.by_sequence.range(sequence + 1..);
-        let aged = later.map(|(_, known)| Crash {
+        let newer = self.by_sequence.range(sequence + 1..);
+        let aged = newer.map(|(_, known)| Crash {
             age_ms: now_ms.saturating_sub(known.observed_at_ms),
             ..known.crash.clone()
         });
--- a/crates/dispatch/src/ledger/calls.rs
+++ b/crates/dispatch/src/ledger/calls.rs
@@ -252,12 +252,12 @@
     }
 
     fn pending(&self, queue: &Name, dispatcher: &Dispatcher) -> StoredAnswer {
-        let served = || {
+        let accepting = || {
             self.partitions
                 .values()
                 .filter(|owned| owned.accepts_jobs())
         };
-        let jobs = served().flat_map(|owned| &owned.jobs);
+        let jobs = accepting().flat_map(|owned| &owned.jobs);
         let is_pending = |(id, owned_job): &(&Name, &OwnedJob)| {
             let of_queue = owned_job
                 .job
@@ -270,7 +270,7 @@
         };
         StoredAnswer::Pending {
             jobs: u32::try_from(jobs.filter(is_pending).count()).unwrap_or(u32::MAX),
-            partitions: u32::try_from(served().count()).unwrap_or(u32::MAX),
+            partitions: u32::try_from(accepting().count()).unwrap_or(u32::MAX),
         }
     }
 }
--- a/crates/dispatch/src/ledger/jobs.rs
+++ b/crates/dispatch/src/ledger/jobs.rs
@@ -145,7 +145,7 @@
             }
             Stage::Flushing if !owned.is_flushed() => {}
             Stage::Flushing if owned.has_no_former_runs(now_ms) => {
-                owned.stage = Stage::Leaving;
+                owned.stage = Stage::RecordingRelease;
                 owned.push(now_ms, Change::Release);
             }
             // Runs of an earlier owner may be left.
@@ -192,7 +192,7 @@
             start(now_ms, owned, &id, dispatcher);
         }
     } else if now_ms >= owned.former_runs_gone_at_ms {
-        owned.take_over(now_ms);
+        owned.record_takeover(now_ms);
     }
 }
 
--- a/crates/dispatch/src/ledger/log.rs
+++ b/crates/dispatch/src/ledger/log.rs
@@ -96,7 +96,7 @@
                         owned.stage = Stage::Serving;
                     }
                 }
-                Change::TakeOver => owned.taken_over(),
+                Change::Takeover => owned.takeover_recorded(),
                 // What follows it in the batch lies in the log as well.
                 Change::Release => {}
                 Change::Accept(id, callers) => {
--- a/crates/dispatch/src/ledger/mod.rs
+++ b/crates/dispatch/src/ledger/mod.rs
@@ -267,7 +267,7 @@
                     dispatcher.pause_stored(id);
                 }
             }
-            Stage::Releasing { .. } | Stage::Flushing | Stage::Leaving => {}
+            Stage::Releasing { .. } | Stage::Flushing | Stage::RecordingRelease => {}
         }
     }
 
--- a/crates/dispatch/src/ledger/partition.rs
+++ b/crates/dispatch/src/ledger/partition.rs
@@ -59,7 +59,7 @@
     /// What is known is being written before it goes.
     Flushing,
     /// The word that nothing is left behind is on its way.
-    Leaving,
+    RecordingRelease,
 }
 
 /// One stored job at its owner.
@@ -140,7 +140,7 @@
     Forget(Name),
     /// Jobs of earlier owners are about to be started; what the last owner said
     /// of having left nothing behind is over.
-    TakeOver,
+    Takeover,
     /// Our own word of that.
     Release,
 }
@@ -252,7 +252,7 @@
     pub(crate) fn is_releasing(&self) -> bool {
         matches!(
             self.stage,
-            Stage::Releasing { .. } | Stage::Flushing | Stage::Leaving
+            Stage::Releasing { .. } | Stage::Flushing | Stage::RecordingRelease
         )
     }
 
@@ -263,10 +263,10 @@
     }
 
     /// Makes known that jobs of earlier owners are about to be started here.
-    pub(crate) fn take_over(&mut self, now_ms: u64) {
+    pub(crate) fn record_takeover(&mut self, now_ms: u64) {
         if !self.is_taking_over {
             self.is_taking_over = true;
-            self.push(now_ms, Change::TakeOver);
+            self.push(now_ms, Change::Takeover);
         }
     }
 
@@ -282,7 +282,7 @@
     }
 
     /// Jobs of earlier owners may be started.
-    pub(crate) fn taken_over(&mut self) {
+    pub(crate) fn takeover_recorded(&mut self) {
         self.started_epoch = self.epoch;
         self.has_taken_over = true;
     }
--- a/crates/dispatch/src/ledger/records.rs
+++ b/crates/dispatch/src/ledger/records.rs
@@ -34,7 +34,7 @@
                 Change::Claim | Change::Verify => {
                     add(LogRecord::owner(self.epoch));
                 }
-                Change::TakeOver => {
+                Change::Takeover => {
                     add(LogRecord::drop_key(RELEASED_KEY.into()));
                     add(LogRecord::started(self.epoch));
                 }
@@ -116,7 +116,7 @@
                     crashes.insert(id, of_job);
                 }
                 Ok(RecordContent::Owner) => {}
-                Ok(RecordContent::Released) => self.take_over(now_ms),
+                Ok(RecordContent::Released) => self.record_takeover(now_ms),
                 Ok(RecordContent::Started(epoch)) => self.started_epoch = epoch,
                 Err(error) => errors.push(error),
             }
