--- a/crates/dispatch/src/ledger/calls.rs
+++ b/crates/dispatch/src/ledger/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of clients about stored jobs, answered by the owner of the partition.
+//! Calls about stored jobs and their answers, at the owner of the partition.
 
 use gannetvane_wire::Name;
 
@@ -18,33 +18,36 @@
 use crate::ledger::partition::OwnedPartition;
 use crate::stored::Progress;
 
-/// Longest time that a call about an unknown job waits for the store's word
-/// that its partition is still ours, in milliseconds: two joins.
+/// Longest time that a call about an unknown job waits for the store to confirm that this
+/// entry still owns the partition, in milliseconds: enough for two joins.
 const CONFIRMATION_TIMEOUT_MS: u64 = 1_000;
-/// Longest time that a question about an open job waits for its end, in
-/// milliseconds: callers ask within 10 of it and then after 250.
+/// Longest time that a call for the state of an unfinished job waits for the job's end, in
+/// milliseconds. Callers ask within 10 ms of the expected end, and then 250 ms later.
 const MAX_STATE_WAIT_MS: u64 = 200;
 
-/// A caller that waits for the end of a job.
+/// A caller that asked for the state of a job and waits for the job's end.
 #[derive(Debug)]
 pub(crate) struct Watcher {
     caller: StoredCaller,
     job: Name,
+    /// Time at which the caller gets an answer in any case, in milliseconds.
     pub(crate) until_ms: u64,
 }
 
-/// A call about a job that is not known here. Another entry may have taken the
-/// job while the partition was its own, which the store tells with a join.
+/// A call for the state or the cancellation of a job that is not known here. Another entry
+/// may own the partition by now and have accepted the job. The call waits until the answer
+/// to a join confirms that this entry is still the owner.
 #[derive(Debug)]
 pub(crate) struct UnconfirmedCall {
     caller: StoredCaller,
     job: Name,
+    /// Whether the call cancels the job; otherwise it asks for the state.
     is_cancel: bool,
     called_ms: u64,
 }
 
 impl Ledger {
-    /// A call about a stored job.
+    /// Handles a call about a stored job or a queue. The answer is an action, now or later.
     pub fn call(
         &mut self,
         now_ms: u64,
@@ -69,8 +72,8 @@
         }
     }
 
-    /// Whether a job is not known here, and the store has not said since that
-    /// its partition is ours.
+    /// Returns whether a job is not known here, and the store has not confirmed since the call
+    /// that this entry owns the job's partition.
     fn is_unconfirmed(&mut self, called_ms: u64, id: &Name) -> bool {
         let Some(owned) = self.served_partition(id) else {
             return false;
@@ -82,7 +85,8 @@
         !is_known && owned.confirmed_ms < called_ms
     }
 
-    /// Answers a call when the store has been asked again.
+    /// Defers the answer to a call until the store has confirmed the owner, and brings the
+    /// next join forward.
     fn wait_for_confirmation(
         &mut self,
         called_ms: u64,
@@ -100,7 +104,8 @@
         None
     }
 
-    /// Answers the calls of which the store has cleared the doubt.
+    /// Answers the deferred calls whose partition the store has confirmed since, and those
+    /// that have waited for too long.
     pub(crate) fn answer_confirmed_calls(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
         for call in std::mem::take(&mut self.unconfirmed_calls) {
             let is_over = now_ms >= call.called_ms + CONFIRMATION_TIMEOUT_MS;
@@ -126,14 +131,14 @@
         Partition::of(id, self.settings.partitions)
     }
 
-    /// The partition of a job, if its jobs are known and served here.
+    /// Returns the partition of a job if this entry serves it.
     fn served_partition(&mut self, id: &Name) -> Option<&mut OwnedPartition> {
         let partition = self.partition_of(id);
         let owned = self.partitions.get_mut(&partition);
         owned.filter(|owned| owned.is_serving())
     }
 
-    /// Takes a job; no answer while it is on its way to the log.
+    /// Accepts a job. Returns no answer if the answer follows once the job is in the log.
     fn submit(
         &mut self,
         now_ms: u64,
@@ -169,8 +174,8 @@
         None
     }
 
-    /// How far a job is. While it is open, its end is waited for: callers ask
-    /// when they expect it.
+    /// Returns the state of a job. For an unfinished job, the answer is deferred until its end,
+    /// because callers ask when they expect the end.
     fn state_or_wait(
         &mut self,
         now_ms: u64,
@@ -193,8 +198,8 @@
         Some(answer)
     }
 
-    /// Answers those who waited for the end of a job, once it has ended, has
-    /// gone elsewhere, or they have waited for long enough.
+    /// Answers the callers that wait for the end of a job, once the job has ended, its
+    /// partition has another owner, or the caller has waited for [`MAX_STATE_WAIT_MS`].
     pub(crate) fn answer_watchers(&mut self, now_ms: u64, dispatcher: &Dispatcher) {
         for watcher in std::mem::take(&mut self.watchers) {
             let answer = self.state(&watcher.job, dispatcher);
@@ -227,7 +232,7 @@
         })
     }
 
-    /// Cancels a job; no answer while that is on its way to the log.
+    /// Cancels a job. Returns no answer if the answer follows once the end is in the log.
     fn cancel(
         &mut self,
         now_ms: u64,
@@ -251,6 +256,8 @@
         None
     }
 
+    /// Counts the jobs of a queue of which no task has started, in all partitions that accept
+    /// jobs.
     fn pending(&self, queue: &Name, dispatcher: &Dispatcher) -> StoredAnswer {
         let accepting = || {
             self.partitions
--- a/crates/dispatch/src/ledger/jobs.rs
+++ b/crates/dispatch/src/ledger/jobs.rs
@@ -1,5 +1,5 @@
-//! What becomes of the jobs of an owned partition: they are started, their ends
-//! recorded, and ends that were left behind taken over.
+//! The jobs of owned partitions: the owner starts them, records the ends of their runs, and
+//! decides on ends that minions retained for it.
 
 use gannetvane_wire::Name;
 
@@ -16,26 +16,27 @@
 use crate::stored::RUNS_PER_EPOCH;
 use crate::stored::StoredEvent;
 
-/// Time for which an offer waits for us to own its job, in milliseconds: as long
-/// as its agent keeps it.
+/// Time for which a retained end waits until this entry can decide on it, in milliseconds: as
+/// long as its agent offers it.
 const PENDING_END_TTL_MS: u64 = 6_000;
-/// Time for which an ended job is still known, in milliseconds; the platform
-/// asks for 120 s.
+/// Time for which the state of an ended job stays available, in milliseconds; the platform
+/// requires 120 s.
 const ENDED_JOB_TTL_MS: u64 = 150_000;
-/// Time that runs have to end when a partition goes to another owner, in
-/// milliseconds: most tasks are shorter.
+/// Time that runs have to end when a partition is released, in milliseconds; the runs that are
+/// left are then stopped. Most tasks are shorter.
 const RELEASE_TIMEOUT_MS: u64 = 1_000;
 
-/// An end that an agent offers to whoever owns its job.
+/// A retained end, offered by an agent, on which the owner of the job has to decide.
 #[derive(Debug)]
 pub(crate) struct PendingEnd {
     link: LinkId,
     end: RetainedEnd,
+    /// Time after which the end is ignored here, in milliseconds.
     until_ms: u64,
 }
 
 impl Ledger {
-    /// Takes over what the dispatcher tells of a job.
+    /// Applies an event of the dispatcher to the job, and queues the record for the log.
     pub(crate) fn apply_event(
         &mut self,
         now_ms: u64,
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Decides on the ends that agents offer, where their jobs are known.
+    /// Decides on the pending ends whose partition this entry serves, if no earlier owner can
+    /// still start the task again.
     pub(crate) fn decide_on_pending_ends(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
         for pending in std::mem::take(&mut self.pending_ends) {
             let partition = self.partition_of(&pending.end.task.job);
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Starts, hands over and forgets jobs of a partition.
+    /// Starts the due jobs of a partition and drops old ones, or advances its release.
     pub(crate) fn process_jobs(
         &mut self,
         now_ms: u64,
@@ -148,14 +150,14 @@
                 owned.stage = Stage::RecordingRelease;
                 owned.push(now_ms, Change::Release);
             }
-            // Runs of an earlier owner may be left.
+            // Runs of an earlier owner may be left, so no release may be recorded.
             Stage::Flushing => self.give_up(partition, "released-unsettled", dispatcher),
             _ => {}
         }
     }
 }
 
-/// Whether nothing of the partition's jobs can be running here.
+/// Returns whether no run of the partition's jobs, ordered by this entry, can be left.
 fn has_no_runs(owned: &OwnedPartition, dispatcher: &Dispatcher) -> bool {
     owned
         .jobs
@@ -163,7 +165,8 @@
         .all(|id| dispatcher.has_no_stored_runs(id))
 }
 
-/// Runs a job of which nothing has run anywhere.
+/// Starts a newly accepted job, unless it was cancelled or the partition isn't served. No
+/// entry has started a task of it, so it need not wait for runs of earlier owners to end.
 pub(crate) fn start_if_unfinished(
     now_ms: u64,
     owned: &mut OwnedPartition,
@@ -176,8 +179,8 @@
     }
 }
 
-/// Runs the jobs of earlier owners, when nothing of theirs runs any more and the
-/// log says so; and those that could not be run at once.
+/// Starts the jobs that earlier owners accepted, once all runs of earlier owners have ended
+/// and the takeover is recorded; also the jobs that could not be started at once.
 fn start_due(now_ms: u64, owned: &mut OwnedPartition, dispatcher: &mut Dispatcher) {
     let is_due = |owned_job: &OwnedJob| {
         owned_job.is_accepted && !owned_job.is_started && owned_job.is_unfinished()
@@ -196,7 +199,8 @@
     }
 }
 
-/// Records an end that an agent offers, or tells that it must not count.
+/// Decides on a pending end: sends the disposition to the agent, or queues the record, after
+/// which the agent gets its disposition.
 fn apply_decision(
     now_ms: u64,
     owned: &mut OwnedPartition,
@@ -218,7 +222,7 @@
     }
 }
 
-/// What becomes of an offered end; `None` when it is to be recorded.
+/// Returns the disposition of a retained end; `None` if the end has yet to be recorded.
 fn decide(
     now_ms: u64,
     owned: &mut OwnedPartition,
@@ -236,11 +240,11 @@
         .and_then(|job| job.position(&end.task));
     let is_known_end = match position {
         Some(position) => owned_job.progress.has_end(position, end.run),
-        // Of an ended job only the runs are known.
+        // Only the numbers of the runs are left of an ended job.
         None => owned_job.progress.done.values().any(|run| *run == end.run),
     };
     if is_known_end {
-        // It may be on its way to the log still.
+        // The end of an unfinished job may not be in the log yet.
         return owned_job.end.map(|_| Disposition::Recorded);
     }
     let is_countable = |position: &u32| {
@@ -262,7 +266,8 @@
     None
 }
 
-/// Runs a job; it is tried again while an earlier time of it is being stopped.
+/// Passes a job to the dispatcher. The caller tries again while the dispatcher is still
+/// stopping runs of the job from the last time that this entry owned the partition.
 fn start(now_ms: u64, owned: &mut OwnedPartition, id: &Name, dispatcher: &mut Dispatcher) {
     let Some(owned_job) = owned.jobs.get_mut(id) else {
         return;
@@ -272,7 +277,7 @@
     }
 }
 
-/// Drops jobs that ended long ago.
+/// Drops the jobs that ended more than [`ENDED_JOB_TTL_MS`] ago.
 fn forget_old(now_ms: u64, owned: &mut OwnedPartition) {
     let is_old = |owned_job: &OwnedJob| {
         let ended_ms = owned_job.end.map(|(_, ended_ms)| ended_ms);
@@ -284,7 +289,8 @@
         .filter(|(_, owned_job)| is_old(owned_job));
     let mut forgotten = Vec::new();
     for (id, owned_job) in old {
-        // It is dropped when that lies in the log; until then only once.
+        // The job is removed once the log has dropped it. Until then, this end time keeps it
+        // from being dropped again.
         owned_job.end = owned_job
             .end
             .map(|(end, _)| (end, u64::MAX - ENDED_JOB_TTL_MS));
--- a/crates/dispatch/src/ledger/log.rs
+++ b/crates/dispatch/src/ledger/log.rs
@@ -1,5 +1,5 @@
-//! What a ledger exchanges with the job log: appends, what follows when they lie
-//! in the log, and the first read of a partition.
+//! The exchange of a ledger with the job log: appends, what follows once their records are
+//! in the log, and the read of a partition after its claim.
 
 use crate::AppendResult;
 use crate::Dispatcher;
@@ -15,7 +15,8 @@
 use crate::ledger::partition::Stage;
 
 impl Ledger {
-    /// The store answered an append, or did not.
+    /// Handles the result of the append with this epoch and number. Results of earlier appends
+    /// are ignored.
     pub fn appended(
         &mut self,
         now_ms: u64,
@@ -61,8 +62,8 @@
         }
     }
 
-    /// The store did not take the records: the append is sent again, and jobs
-    /// that were not sent yet are refused.
+    /// Schedules an append again that the store did not confirm, and refuses the new jobs that
+    /// were not part of it.
     fn append_failed(&mut self, now_ms: u64, partition: Partition, is_outcome_unknown: bool) {
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Changes lie in the log: those who wait for them are told.
+    /// Applies the changes whose records are now in the log, and answers the callers and
+    /// agents that wait for them.
     fn apply_appended(
         &mut self,
         now_ms: u64,
@@ -97,7 +99,7 @@
                     }
                 }
                 Change::Takeover => owned.takeover_recorded(),
-                // What follows it in the batch lies in the log as well.
+                // The partition is given up below, after the other changes of the batch.
                 Change::Release => {}
                 Change::Accept(id, callers) => {
                     if let Some(owned_job) = owned.jobs.get_mut(&id) {
@@ -130,7 +132,8 @@
         }
     }
 
-    /// The records of a partition were read, or could not be.
+    /// Handles the result of the read with number `load`: the records of the partition, or
+    /// `None` if they could not be read, and the read is repeated.
     pub fn loaded(
         &mut self,
         now_ms: u64,
@@ -165,6 +168,7 @@
         self.event("partition-served", None, detail);
     }
 
+    /// Requests a read of a partition.
     fn load(&mut self, partition: Partition) {
         if let Some(owned) = self.partitions.get_mut(&partition) {
             owned.load = self.next_load;
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Sends what is due to the log.
+    /// Appends the due changes of a partition to the log.
     pub(crate) fn flush(&mut self, now_ms: u64, partition: Partition, dispatcher: &mut Dispatcher) {
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
@@ -182,7 +186,7 @@
         match owned.due_batch(now_ms) {
             Ok(None) => {}
             Ok(Some(batch)) if batch.records.is_empty() => {
-                // All that it would tell lies in the log.
+                // The log already holds everything that these changes would write.
                 let changes = batch.changes.clone();
                 owned.batch = None;
                 self.apply_appended(now_ms, partition, changes, dispatcher);
--- a/crates/dispatch/src/ledger/mod.rs
+++ b/crates/dispatch/src/ledger/mod.rs
@@ -1,12 +1,12 @@
-//! Stored jobs at an entry: the partitions of the job log that it owns, and
-//! what it does for their jobs.
+//! The ledger: the partitions of the job log that an entry owns, and their stored jobs.
 //!
-//! The platform's store divides the partitions among the entries and fences an
-//! owner's appends once another has claimed the partition. It does not stop the
-//! runs of a former owner, so an owner runs tasks only for [`OWNER_LEASE_MS`]
-//! after the store last listed the partition as its own, and the next one waits
-//! until that time and the runs' own leases are over. Jobs that come in
-//! meanwhile have not run anywhere and start at once.
+//! The platform's store assigns the partitions to the members, the entries that have joined.
+//! It fences an owner's appends once another entry has claimed the partition, but it doesn't
+//! stop the runs of the former owner. An owner therefore lets tasks run only for
+//! [`OWNER_LEASE_MS`] after the store last listed the partition as its own. The next owner
+//! waits until this time and the leases of the runs are over before it starts jobs that
+//! earlier owners accepted. Jobs submitted in the meantime have not run anywhere and start
+//! at once.
 
 mod calls;
 mod jobs;
@@ -35,99 +35,105 @@
 use crate::ledger::partition::OwnedPartition;
 use crate::ledger::partition::Stage;
 
-/// Time for which an owner runs tasks after the store last listed a partition
-/// as its own, in milliseconds: five joins, one of them may take long.
+/// Time for which an owner lets tasks run after the store last listed the partition as its
+/// own, in milliseconds: five joins, of which one may take long.
 pub const OWNER_LEASE_MS: u64 = 1_500;
-/// Time without a join after which the store gives an entry's partitions to
-/// others, in milliseconds: three joins may be lost.
+/// Time without a join after which the store assigns an entry's partitions to other members,
+/// in milliseconds: three joins may be lost.
 pub const MEMBER_TTL_MS: u64 = 1_200;
-/// Part of the store's rate that job records may take; the rest is left for
-/// joins, repeats and what else is written.
+/// Fraction of the store's write rate for the records of jobs; the rest is left for joins,
+/// repeated appends and other writes.
 const JOB_WRITES_FRACTION: f64 = 0.8;
-/// Least pause between two joins, in milliseconds: while calls wait for one, and
-/// after the group changed, since it often does so again.
+/// Minimum time between two joins, in milliseconds. It applies while calls wait for a join,
+/// and after the members changed, because they often change again soon.
 const MIN_JOIN_INTERVAL_MS: u64 = 100;
-/// Pause between two joins, in milliseconds.
+/// Usual time between two joins, in milliseconds.
 const JOIN_INTERVAL_MS: u64 = 300;
 
 /// Settings of a ledger.
 #[derive(Clone, Debug)]
 pub struct LedgerSettings {
-    /// Parts of the job log.
+    /// Number of partitions of the job log.
     pub partitions: u32,
-    /// Appends that the store takes each second, from all entries together.
+    /// Number of appends per second that the store takes from all entries together.
     pub store_writes_per_s: u32,
 }
 
 impl LedgerSettings {
-    /// Pause between two appends to a partition, in milliseconds, with which
-    /// all partitions together stay below what the store takes.
+    /// Returns the pause between two appends to a partition, in milliseconds. With this pause,
+    /// all partitions together stay below the store's rate.
     fn append_pause_ms(&self) -> u64 {
         let rate_per_s = f64::from(self.store_writes_per_s.max(1)) * JOB_WRITES_FRACTION;
         (f64::from(self.partitions) * 1_000.0 / rate_per_s).ceil() as u64
     }
 }
 
-/// The partitions that the store lists as ours.
+/// The partitions that the store assigns to this entry, as the answer to a join lists them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// Rises with each change of the group.
+    /// Number that rises with each change of the members.
     pub generation: u64,
-    /// The partitions.
+    /// Partitions of this entry.
     pub partitions: BTreeSet<Partition>,
 }
 
-/// What a ledger asks the process around it to do.
+/// Action that the process around a ledger carries out for it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LedgerAction {
-    /// Join the group of entries or stay in it; the result goes to
-    /// [`Ledger::joined`].
+    /// Join the members, or stay one of them. The result goes to [`Ledger::joined`].
     Join {
-        /// The generation that is taken over.
+        /// Generation of the last assignment that this entry has carried out: it has released
+        /// the partitions that this assignment doesn't list.
         generation: u64,
     },
-    /// Leave the group.
+    /// Leave the members.
     Leave,
-    /// Append to a partition; the result goes to [`Ledger::appended`].
+    /// Append records to a partition, all or none. The result goes to [`Ledger::appended`].
     Append {
-        /// The partition.
+        /// Partition to append to.
         partition: Partition,
-        /// Our epoch there.
+        /// This entry's epoch in the partition.
         epoch: u32,
-        /// Number of the append; one that is repeated is done once.
+        /// Number of the append in the epoch. The store carries out each number once.
         number: u64,
-        /// Where the partition must end; otherwise nothing is done.
+        /// Offset at which the partition must end; otherwise the store does nothing. `None`: at
+        /// any offset.
         expected_end: Option<u64>,
-        /// The records.
+        /// Records to append.
         records: Vec<LogRecord>,
     },
-    /// Read the newest records of a partition; they go to [`Ledger::loaded`].
+    /// Read the newest record of each key of a partition. The result goes to
+    /// [`Ledger::loaded`].
     Load {
-        /// The partition.
+        /// Partition to read.
         partition: Partition,
-        /// Number of the read.
+        /// Number of the read, passed back with the result.
         load: u64,
     },
-    /// Answer a caller.
+    /// Send the answer to a caller.
     Answer(StoredCaller, StoredAnswer),
-    /// Log and count.
+    /// Log and count the event.
     Event(EntryEvent),
 }
 
-/// The stored jobs of an entry.
+/// The stored jobs of an entry and the partitions that it owns.
 #[derive(Debug)]
 pub struct Ledger {
     pub(crate) settings: LedgerSettings,
     pub(crate) partitions: BTreeMap<Partition, OwnedPartition>,
-    /// The epoch and next number of partitions that were given up.
+    /// Last epoch and the next append number in it, for partitions that were given up.
     given_up_numbers: BTreeMap<Partition, (u32, u64)>,
     is_active: bool,
     is_stopping: bool,
     has_left: bool,
+    /// Time of the next join in milliseconds; `None` while a join is under way or the ledger
+    /// isn't active.
     join_due_ms: Option<u64>,
-    /// The newest generation, and the last one taken over.
+    /// Generation of the newest assignment.
     generation: u64,
+    /// Generation of the last assignment that was carried out: no partition is being released.
     accepted_generation: u64,
+    /// Number of the next read of a partition.
     pub(crate) next_load: u64,
     last_join_ms: u64,
     pub(crate) watchers: Vec<Watcher>,
@@ -137,7 +143,7 @@
 }
 
 impl Ledger {
-    /// A ledger that takes no part yet.
+    /// Returns a ledger that is not active: it does not join the members yet.
     #[must_use]
     pub fn new(settings: LedgerSettings) -> Self {
         Self {
@@ -159,18 +165,19 @@
         }
     }
 
-    /// Takes what there is to do since the last call.
+    /// Returns the actions to carry out, and removes them from the ledger.
     pub fn take_actions(&mut self) -> Vec<LedgerAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether there are stored jobs in this deployment, as far as is known.
+    /// Returns whether the ledger takes part in the ownership of partitions. It does once the
+    /// entry knows that the deployment has stored jobs.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.is_active
     }
 
-    /// Begins to take part; `false` if it did already.
+    /// Makes the ledger active. Returns `false` if it is active already or stopping.
     pub fn activate(&mut self, now_ms: u64) -> bool {
         if self.is_active || self.is_stopping {
             return false;
@@ -180,7 +187,7 @@
         true
     }
 
-    /// Begins a planned stop: all partitions go to others.
+    /// Begins a planned stop: releases all partitions.
     pub fn begin_stop(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
         self.is_stopping = true;
         let owned: Vec<Partition> = self.partitions.keys().copied().collect();
@@ -189,13 +196,13 @@
         }
     }
 
-    /// Whether a planned stop has handed everything over.
+    /// Returns whether a planned stop may go on, because the entry owns no partition any more.
     #[must_use]
     pub fn may_stop(&self) -> bool {
         self.partitions.is_empty()
     }
 
-    /// The store answered a join that was sent at `sent_ms`, or did not.
+    /// Handles the result of a join that was sent at `sent_ms`; `None` if it failed.
     pub fn joined(
         &mut self,
         now_ms: u64,
@@ -210,8 +217,8 @@
         let Some(assignment) = assignment else {
             return;
         };
-        // A partition may have gone to another entry and come back only if there
-        // was more than one change.
+        // If there was more than one change, a partition may have had another owner in
+        // between.
         let has_gap = assignment.generation > self.generation + 1;
         if assignment.generation != self.generation {
             self.join_soon(now_ms);
@@ -236,13 +243,14 @@
         }
     }
 
+    /// Begins to claim a partition that the store assigned to this entry.
     fn claim(&mut self, now_ms: u64, sent_ms: u64, partition: Partition) {
         let epoch = u32::try_from(self.generation).unwrap_or(u32::MAX);
         let first_number = match self.given_up_numbers.get(&partition) {
             Some((last, next)) if *last == epoch => *next,
             _ => 0,
         };
-        // The last owner was listed before this answer was made.
+        // The store last listed the former owner before it answered this join.
         let former_runs_gone_at_ms = now_ms + OWNER_LEASE_MS + RUNS_GONE_AFTER_MS;
         let mut owned = OwnedPartition::claim(epoch, sent_ms, former_runs_gone_at_ms, first_number);
         owned.append_pause_ms = self.settings.append_pause_ms();
@@ -254,7 +262,7 @@
         );
     }
 
-    /// A partition goes to another owner.
+    /// Begins to hand a partition over to another owner.
     fn release(&mut self, now_ms: u64, partition: Partition, dispatcher: &mut Dispatcher) {
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
@@ -271,8 +279,8 @@
         }
     }
 
-    /// Gives a partition up at once: nothing is known to lie in the log any
-    /// more, and nothing of it may run.
+    /// Gives a partition up at once. Its runs are stopped, and it is unknown whether the
+    /// changes that were not confirmed are in the log.
     pub(crate) fn give_up(
         &mut self,
         partition: Partition,
@@ -307,12 +315,12 @@
         self.event("partition-left", None, detail);
     }
 
-    /// Does what is due; returns when to call again at the latest. Call it
-    /// before [`Dispatcher::tick`], so that an owner that stood still stops its
-    /// runs before it grants them more time.
+    /// Does what is due. Returns the latest time for the next call, in milliseconds. Call it
+    /// before [`Dispatcher::tick`], so that an owner that was suspended stops its runs before
+    /// it extends their grants.
     pub fn tick(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) -> Option<u64> {
         if !self.is_active {
-            // Offers come again when there is an owner.
+            // Retained ends are offered again when there is an owner.
             dispatcher.take_stored_events();
             return None;
         }
@@ -334,7 +342,8 @@
         self.next_due_ms(now_ms)
     }
 
-    /// Gives up what the store has not listed as ours for too long.
+    /// Gives up the partitions that the store has not listed as this entry's for more than
+    /// [`OWNER_LEASE_MS`].
     fn expire(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
         let is_over = |owned: &OwnedPartition| now_ms > owned.confirmed_ms + OWNER_LEASE_MS;
         let unconfirmed = self.partitions.iter().filter(|(_, owned)| is_over(owned));
@@ -363,7 +372,7 @@
         }
         let is_releasing = self.partitions.values().any(OwnedPartition::is_releasing);
         if !is_releasing {
-            // What is no longer listed may go to others now.
+            // The store may now assign the partitions that are no longer listed to other members.
             self.accepted_generation = self.generation;
         }
         self.actions.push(LedgerAction::Join {
@@ -371,6 +380,7 @@
         });
     }
 
+    /// Returns the latest time for the next tick, in milliseconds.
     fn next_due_ms(&self, now_ms: u64) -> Option<u64> {
         let owned = self.partitions.values();
         let times = owned.flat_map(|owned| {
--- a/crates/dispatch/src/ledger/partition.rs
+++ b/crates/dispatch/src/ledger/partition.rs
@@ -1,4 +1,5 @@
-//! One partition of the job log, at the entry that owns it.
+//! State of one partition of the job log at the entry that owns it: its stage, its jobs, and
+//! the changes on their way to the log.
 
 use std::collections::BTreeMap;
 
@@ -12,73 +13,76 @@
 use crate::stored::JobCrashes;
 use crate::stored::Progress;
 
-/// Pause before an append without an answer is sent again, in milliseconds: the
-/// store usually answers within 4.
+/// Pause before an append that the store did not confirm is sent again, in milliseconds. The
+/// store usually answers within 4 ms.
 const RETRY_PAUSE_MS: u64 = 60;
-/// Time for which progress that nobody waits for may gather, in milliseconds;
-/// the platform counts an end 100 ms after the minion listed it.
+/// Longest time for which changes that are not urgent wait for others to share their append,
+/// in milliseconds. The platform counts an end 100 ms after the minion listed it.
 const MAX_GATHER_MS: u64 = 50;
-/// Most records of one append: 64 texts of 4,000 bytes are an eighth of what
-/// the platform takes.
+/// Largest number of changes in one append. 64 texts of 4,000 bytes are an eighth of what the
+/// platform takes.
 const MAX_BATCH_CHANGES: usize = 64;
 
-/// How an append ended.
+/// Result of an append to the job log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendResult {
-    /// The records lie in the log, and where the partition ended with them.
+    /// The records are in the log, and the partition ended at this offset after them.
     Appended(u64),
-    /// The partition ends elsewhere than expected: nothing was done.
+    /// The partition did not end at the expected offset: nothing was done.
     UnexpectedEnd,
     /// Another entry has appended with a higher epoch: nothing was done.
     Fenced,
-    /// The log expects another number: nothing was done.
+    /// The log expects this number instead of the one sent: nothing was done.
     UnexpectedNumber(u64),
     /// The store refused, and did nothing.
     Refused,
-    /// No answer; it may have been done.
+    /// The call timed out: the records may be in the log.
     NoAnswer,
 }
 
-/// Where the takeover of a partition stands.
+/// Stage of the ownership of a partition, from its claim to its release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// The claim is on its way: it fences the last owner.
+    /// The claim is being appended; it fences the last owner.
     Claiming,
     /// The records are being read.
     Loading,
-    /// Calls are answered and jobs are run.
+    /// The owner answers calls and runs jobs.
     Serving,
-    /// Jobs are run; whether another entry has owned it meanwhile, and taken
-    /// jobs, is being found out.
+    /// Jobs run on while an append finds out whether another entry has owned the partition in
+    /// between and accepted jobs. Calls get [`StoredAnswer::NotOwner`](crate::StoredAnswer::NotOwner)
+    /// in the meantime.
     Verifying,
-    /// It goes to another owner: jobs are taken, and nothing is started.
+    /// The partition goes to another owner: jobs are still accepted, but nothing starts.
     Releasing {
-        /// Since when.
+        /// Time at which the release began, in milliseconds.
         since_ms: u64,
     },
-    /// What is known is being written before it goes.
+    /// No runs are left, and the remaining changes are being appended.
     Flushing,
-    /// The word that nothing is left behind is on its way.
+    /// The record that no run is left behind is being appended.
     RecordingRelease,
 }
 
-/// One stored job at its owner.
+/// A stored job at the owner of its partition.
 #[derive(Debug)]
 pub(crate) struct OwnedJob {
-    /// The job; `None` once it has ended.
+    /// Specification of the job; `None` once its end is in the log.
     pub(crate) job: Option<StoredJob>,
+    /// Progress of the job's tasks, including ends of runs that are not in the log yet.
     pub(crate) progress: Progress,
-    /// Whether the log holds progress of it.
+    /// Whether the log holds a progress record of the job.
     pub(crate) has_progress_record: bool,
-    /// Crashes of minions under its tasks.
+    /// Crashes of minions under the job's tasks.
     pub(crate) crashes: JobCrashes,
-    /// Whether the log holds it.
+    /// Whether the log holds the job.
     pub(crate) is_accepted: bool,
-    /// Whether the dispatcher runs it.
+    /// Whether the job was passed to the dispatcher.
     pub(crate) is_started: bool,
-    /// How it ended, once that lies in the log, and when.
+    /// How the job ended, and the time in milliseconds at which that became known here; set
+    /// once the end is in the log.
     pub(crate) end: Option<(StoredEnd, u64)>,
-    /// How it is about to end.
+    /// How the job ended, set before the end is in the log.
     pub(crate) unrecorded_end: Option<StoredEnd>,
 }
 
@@ -96,6 +100,8 @@
         }
     }
 
+    /// Returns a job that the log holds as ended. `done` has the numbers of the runs that did
+    /// the tasks, by position.
     pub(crate) fn ended(end: StoredEnd, done: BTreeMap<u32, u32>, now_ms: u64) -> Self {
         let progress = Progress {
             done,
@@ -113,95 +119,110 @@
         }
     }
 
+    /// Returns whether the job has no end, recorded or not.
     pub(crate) fn is_unfinished(&self) -> bool {
         self.end.is_none() && self.unrecorded_end.is_none()
     }
 }
 
-/// Something that is to lie in the log, and who waits for it.
+/// A change to append to the log, with the callers or the agent to answer once it is there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// The last owner's fence.
+    /// Claims the partition with a new epoch, which fences the last owner.
     Claim,
-    /// The same by the owner itself with a newer epoch.
+    /// Claims the partition again with the owner's newer epoch, if the partition still ends at
+    /// the owner's last append.
     Verify,
-    /// A new job.
+    /// Adds the job with this id; the callers wait for its acceptance.
     Accept(Name, Vec<StoredCaller>),
-    /// An end of a task; the minion at the link keeps it until then, under this
-    /// number.
+    /// Records the progress of the job with this id after the end of a run. The minion of the
+    /// agent at this link retains the end under this number until it gets the disposition.
     TaskEnd(Name, LinkId, u64),
-    /// The last run of a task was lost, and its end must not count.
+    /// Records that the last run of the task at this position was lost: its end must not count.
     RunLost(Name, u32),
-    /// A minion crashed under a task.
+    /// Records a crash of a minion under the task at this position.
     Crashed(Name, u32),
-    /// The end of a job.
+    /// Records the end of the job with this id; the callers wait for its cancellation.
     JobEnd(Name, StoredEnd, Vec<StoredCaller>),
-    /// A job that ended long ago.
+    /// Drops the job with this id, which ended long ago.
     Forget(Name),
-    /// Jobs of earlier owners are about to be started; what the last owner said
-    /// of having left nothing behind is over.
+    /// Records that this owner is about to start jobs that earlier owners accepted, and drops
+    /// the last owner's record that no run was left behind.
     Takeover,
-    /// Our own word of that.
+    /// Records that this owner leaves no run behind.
     Release,
 }
 
 impl Change {
+    /// Returns whether the change is appended without waiting for others: all but ends of runs
+    /// and drops of old jobs, for which no caller waits.
     fn is_urgent(&self) -> bool {
         !matches!(self, Self::TaskEnd(..) | Self::Forget(_))
     }
 }
 
-/// Changes that are on their way to the log.
+/// Changes that are being appended to the log.
 #[derive(Clone, Debug)]
 pub(crate) struct Batch {
     pub(crate) epoch: u32,
     pub(crate) number: u64,
     pub(crate) changes: Vec<Change>,
     pub(crate) records: Vec<LogRecord>,
-    /// Where the partition must end, if that is known.
+    /// Offset at which the partition must end, if the append depends on it.
     pub(crate) expected_end: Option<u64>,
-    /// When it is sent again; `None` while an answer is awaited.
+    /// Time at which the batch is to be sent, in milliseconds; `None` while an answer is
+    /// awaited.
     pub(crate) send_at_ms: Option<u64>,
-    /// Whether an attempt got no answer.
+    /// Whether an attempt was unanswered, so that its records may be in the log.
     pub(crate) is_outcome_unknown: bool,
-    /// Whether an attempt was not taken.
+    /// Whether an attempt was refused or unanswered.
     pub(crate) is_retried: bool,
 }
 
 /// A partition that this entry owns.
 #[derive(Debug)]
 pub(crate) struct OwnedPartition {
+    /// This entry's present epoch in the partition.
     pub(crate) epoch: u32,
-    /// The epoch with which it was taken over.
+    /// Epoch of the first claim.
     claimed_epoch: u32,
     pub(crate) stage: Stage,
-    /// When the store was last known to list it as ours: the time at which that
-    /// call was sent.
+    /// Send time in milliseconds of the newest join whose answer listed the partition as this
+    /// entry's.
     pub(crate) confirmed_ms: u64,
-    /// When runs of the last owner are surely gone.
+    /// Time in milliseconds from which no run of the last owner can be left.
     pub(crate) former_runs_gone_at_ms: u64,
-    /// The last epoch that started jobs of earlier owners.
+    /// Last epoch whose owner started jobs that earlier owners accepted.
     pub(crate) started_epoch: u32,
-    /// Whether that is ours.
+    /// Whether this owner's takeover is recorded, so that it may start such jobs.
     pub(crate) has_taken_over: bool,
+    /// Whether the takeover was queued for the log.
     is_taking_over: bool,
+    /// Number of the next append in the present epoch.
     pub(crate) next_number: u64,
-    /// Where the partition ended with our last append.
+    /// Offset at which the partition ended after this entry's last append.
     pub(crate) end: Option<u64>,
-    /// The epoch with which it is to be claimed again.
+    /// Newer epoch with which the partition has yet to be claimed again.
     newer_epoch: Option<u32>,
-    /// Number of the read that is awaited.
+    /// Number of the read whose result is awaited.
     pub(crate) load: u64,
+    /// Changes that are being appended.
     pub(crate) batch: Option<Batch>,
+    /// Jobs by id.
     pub(crate) jobs: BTreeMap<Name, OwnedJob>,
+    /// Changes for the next batches.
     pending_changes: Vec<Change>,
+    /// Time in milliseconds until which the pending changes wait for others.
     batch_due_ms: u64,
-    /// Least pause between two appends, and when the next may be sent.
+    /// Minimum pause between two appends, in milliseconds.
     pub(crate) append_pause_ms: u64,
+    /// Time in milliseconds from which the next append is allowed by the pause.
     next_append_ms: u64,
 }
 
 impl OwnedPartition {
+    /// Returns a partition that this entry begins to claim with a new epoch; `first_number` is
+    /// the number of its first append.
     pub(crate) fn claim(
         epoch: u32,
         confirmed_ms: u64,
@@ -230,8 +251,8 @@
         }
     }
 
-    /// Finds out whether another entry has owned the partition since, and fences
-    /// it.
+    /// Begins to claim the partition again with a newer epoch. This finds out whether another
+    /// entry has owned it in between, and fences that entry.
     pub(crate) fn verify(&mut self, epoch: u32) {
         if matches!(self.stage, Stage::Serving | Stage::Verifying) {
             self.stage = Stage::Verifying;
@@ -243,12 +264,13 @@
         self.stage == Stage::Serving
     }
 
-    /// Whether jobs are taken here; the log refuses them if that is not so.
+    /// Returns whether the entry accepts jobs. A job that another owner should have got is
+    /// harmless: the log fences its append.
     pub(crate) fn accepts_jobs(&self) -> bool {
         matches!(self.stage, Stage::Serving | Stage::Releasing { .. })
     }
 
-    /// Whether it is on its way to another owner.
+    /// Returns whether the partition is on its way to another owner.
     pub(crate) fn is_releasing(&self) -> bool {
         matches!(
             self.stage,
@@ -256,13 +278,13 @@
         )
     }
 
-    /// Whether the store has not taken the last records at once.
+    /// Returns whether the store did not take the present batch at the first attempt.
     pub(crate) fn is_append_delayed(&self) -> bool {
         let batch = self.batch.as_ref();
         batch.is_some_and(|batch| batch.is_retried)
     }
 
-    /// Makes known that jobs of earlier owners are about to be started here.
+    /// Queues the record that this owner is about to start jobs of earlier owners.
     pub(crate) fn record_takeover(&mut self, now_ms: u64) {
         if !self.is_taking_over {
             self.is_taking_over = true;
@@ -270,23 +292,25 @@
         }
     }
 
-    /// Whether nothing of earlier owners runs any more.
+    /// Returns whether no run of earlier owners can be left.
     pub(crate) fn has_no_former_runs(&self, now_ms: u64) -> bool {
         self.has_taken_over || now_ms >= self.former_runs_gone_at_ms
     }
 
-    /// Whether the end of a run that was started in this epoch can be judged: an
-    /// earlier owner may still start its task anew.
+    /// Returns whether this owner can decide on the end of a run that was started in `epoch`.
+    /// While runs of earlier owners can be left, an earlier owner may still start the task of
+    /// such a run again.
     pub(crate) fn can_decide(&self, now_ms: u64, epoch: u32) -> bool {
         epoch >= self.claimed_epoch || self.has_no_former_runs(now_ms)
     }
 
-    /// Jobs of earlier owners may be started.
+    /// Allows this owner to start jobs of earlier owners, because its takeover is in the log.
     pub(crate) fn takeover_recorded(&mut self) {
         self.started_epoch = self.epoch;
         self.has_taken_over = true;
     }
 
+    /// Queues a change for the log.
     pub(crate) fn push(&mut self, now_ms: u64, change: Change) {
         if self.pending_changes.is_empty() {
             self.batch_due_ms = now_ms + MAX_GATHER_MS;
@@ -297,7 +321,7 @@
         self.pending_changes.push(change);
     }
 
-    /// Adds a caller to those that wait for a job to be accepted.
+    /// Adds a caller to those that wait for the acceptance of a job.
     pub(crate) fn add_accept_caller(&mut self, id: &Name, caller: StoredCaller) {
         let sent = self.batch.iter_mut().flat_map(|batch| &mut batch.changes);
         for change in self.pending_changes.iter_mut().chain(sent) {
@@ -310,7 +334,7 @@
         }
     }
 
-    /// Takes back the jobs that were not sent to the log yet.
+    /// Removes the new jobs that are in no batch yet. Returns their ids and callers.
     pub(crate) fn withdraw_accepts(&mut self) -> Vec<(Name, Vec<StoredCaller>)> {
         let mut withdrawn = Vec::new();
         self.pending_changes.retain(|change| match change {
@@ -326,7 +350,7 @@
         withdrawn
     }
 
-    /// All changes that are not known to lie in the log.
+    /// Removes and returns all changes that are not known to be in the log.
     pub(crate) fn take_changes(&mut self) -> Vec<Change> {
         let sent = self.batch.take().map(|batch| batch.changes);
         let mut changes = sent.unwrap_or_default();
@@ -338,7 +362,7 @@
         self.pending_changes.is_empty() && self.batch.is_none()
     }
 
-    /// The batch to send now, if one is due.
+    /// Returns the batch to send now, if one is due.
     pub(crate) fn due_batch(&mut self, now_ms: u64) -> Result<Option<&Batch>, postcard::Error> {
         if self.batch.is_none() {
             self.fill_batch(now_ms)?;
@@ -351,7 +375,7 @@
         }))
     }
 
-    /// Makes a batch of what waits, when it has gathered for long enough.
+    /// Makes a batch of the pending changes if they are due.
     fn fill_batch(&mut self, now_ms: u64) -> Result<(), postcard::Error> {
         if let Some(epoch) = self.newer_epoch.take() {
             self.epoch = epoch;
@@ -394,6 +418,8 @@
         Ok(())
     }
 
+    /// Returns the time in milliseconds at which a batch is due; `None` if there is nothing to
+    /// send or an answer is awaited.
     pub(crate) fn next_due_ms(&self) -> Option<u64> {
         match &self.batch {
             Some(batch) => batch.send_at_ms,
@@ -403,7 +429,7 @@
         }
     }
 
-    /// The append is tried again; a claim with the number that is expected.
+    /// Schedules the batch to be sent again after [`RETRY_PAUSE_MS`].
     pub(crate) fn retry(&mut self, now_ms: u64, is_outcome_unknown: bool) {
         if let Some(batch) = &mut self.batch {
             batch.send_at_ms = Some(now_ms + RETRY_PAUSE_MS);
@@ -412,7 +438,7 @@
         }
     }
 
-    /// Sends the batch again with the number that the log expects.
+    /// Schedules the batch to be sent again at once, with the number that the log expects.
     pub(crate) fn renumber(&mut self, now_ms: u64, expected: u64) {
         if let Some(batch) = &mut self.batch {
             batch.number = expected;
--- a/crates/dispatch/src/ledger/records.rs
+++ b/crates/dispatch/src/ledger/records.rs
@@ -1,4 +1,4 @@
-//! What an owned partition writes to the log, and how it reads it.
+//! Encoding of a partition's changes into records of the log, and the reverse.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
 use crate::stored::progress_key;
 
 impl OwnedPartition {
-    /// Records for the changes: one for each job and key, as it stands now.
+    /// Returns the records for the changes: one for each key, with the present state of the job.
     pub(crate) fn records(
         &mut self,
         changes: &[Change],
@@ -90,10 +90,11 @@
         Ok(records.into_values().collect())
     }
 
-    /// Takes over what the log holds; records that cannot be read are returned.
+    /// Loads the jobs from the records of the log. Returns the errors of the records that
+    /// could not be decoded.
     pub(crate) fn load(&mut self, now_ms: u64, records: &[LogRecord]) -> Vec<RecordError> {
         if records.iter().all(LogRecord::is_claim) {
-            // Nobody has owned it before.
+            // The partition has only claims, so no earlier owner can have left runs.
             self.former_runs_gone_at_ms = now_ms;
         }
         let mut errors = Vec::new();
