--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -63,16 +63,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error, Serialize, Deserialize)]
 pub enum Refusal {
     /// The entry has no configuration yet.
-    #[error("no configuration yet")]
+    #[error("the entry has no configuration yet")]
     NoConfiguration,
     /// The entry knows no minion of the service.
     #[error("no minion of the service is known")]
     NoMinion,
     /// The job would miss its objective because of the load.
-    #[error("the queue is too long for this job to end in time")]
+    #[error("the queue is so long that this job would miss its objective")]
     Overloaded,
     /// A task of the job needs more resources than any minion has.
-    #[error("a task needs more than any minion has")]
+    #[error("a task needs more resources than any minion has")]
     NeverFits,
     /// The entry is stopping.
     #[error("this entry is stopping")]
@@ -81,13 +81,13 @@
     #[error("an earlier submission of this job is still being stopped")]
     StillStopping,
     /// The store takes no records at present, so the job can't be stored.
-    #[error("the store cannot keep the job at present")]
+    #[error("the store takes no records at present, so the job cannot be stored")]
     NotStorable,
     /// The job needs a feature that is not implemented.
     #[error("this kind of job is not supported")]
     Unsupported,
     /// All minions that could run the job are in evacuated zones.
-    #[error("the zones of the minions that could run this job are being emptied")]
+    #[error("all minions that could run this job are in evacuated zones")]
     Evacuated,
 }
 
--- a/crates/dispatch/src/stored.rs
+++ b/crates/dispatch/src/stored.rs
@@ -286,7 +286,7 @@
 
 /// Error: a record of the job log could not be decoded.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("record {key}: {cause}")]
+#[error("record {key} of the job log cannot be decoded: {cause}")]
 pub struct RecordError {
     /// Key of the record.
     pub key: Name,
@@ -387,7 +387,8 @@
             RELEASED_KEY => return Ok(RecordContent::Released),
             STARTED_KEY => {
                 let bytes = self.value.as_slice().try_into();
-                let bytes = bytes.map_err(|_| self.malformed("not four bytes"))?;
+                let bytes =
+                    bytes.map_err(|_| self.malformed("the epoch is not four bytes long"))?;
                 return Ok(RecordContent::Started(u32::from_be_bytes(bytes)));
             }
             _ => {}
