--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Updates the cached targets for an entry that was not known, or drops the cache if it
-    /// doesn't tell enough.
+    /// Adds an entry that was not known to the cached targets. Drops the cache if it has
+    /// expired, if the seeds were candidates, or if the number of targets is not limited.
     fn add_target(&mut self, now_ms: u64, entry: SocketAddr, at_ms: u64) {
         let chosen = self.targets.take().zip(self.rendezvous.as_ref());
         self.targets = chosen.and_then(|(mut targets, rendezvous)| {
--- a/crates/dispatch/src/ledger/log.rs
+++ b/crates/dispatch/src/ledger/log.rs
@@ -99,7 +99,8 @@
                     }
                 }
                 Change::Takeover => owned.takeover_recorded(),
-                // The partition is given up below, after the other changes of the batch.
+                // The other changes of the batch are in the log as well, so the partition is
+                // given up only after them.
                 Change::Release => {}
                 Change::Accept(id, callers) => {
                     if let Some(owned_job) = owned.jobs.get_mut(&id) {
--- a/crates/dispatch/src/ledger/mod.rs
+++ b/crates/dispatch/src/ledger/mod.rs
@@ -80,13 +80,13 @@
 /// Action that the process around a ledger carries out for it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LedgerAction {
-    /// Join the members, or stay one of them. The result goes to [`Ledger::joined`].
+    /// Become a member or stay one. The result goes to [`Ledger::joined`].
     Join {
         /// Generation of the last assignment that this entry has carried out: it has released
         /// the partitions that this assignment doesn't list.
         generation: u64,
     },
-    /// Leave the members.
+    /// Stop being a member, so that the store assigns this entry no partitions.
     Leave,
     /// Append records to a partition, all or none. The result goes to [`Ledger::appended`].
     Append {
@@ -121,7 +121,8 @@
 pub struct Ledger {
     pub(crate) settings: LedgerSettings,
     pub(crate) partitions: BTreeMap<Partition, OwnedPartition>,
-    /// Last epoch and the next append number in it, for partitions that were given up.
+    /// This entry's last epoch and the next append number in it, for each partition that it
+    /// gave up.
     given_up_numbers: BTreeMap<Partition, (u32, u64)>,
     is_active: bool,
     is_stopping: bool,
@@ -131,7 +132,8 @@
     join_due_ms: Option<u64>,
     /// Generation of the newest assignment.
     generation: u64,
-    /// Generation of the last assignment that was carried out: no partition is being released.
+    /// Generation of the last assignment that was carried out, with no partition left to
+    /// release.
     accepted_generation: u64,
     /// Number of the next read of a partition.
     pub(crate) next_load: u64,
@@ -143,7 +145,7 @@
 }
 
 impl Ledger {
-    /// Returns a ledger that is not active: it does not join the members yet.
+    /// Returns a ledger that is not active, so that the entry is no member yet.
     #[must_use]
     pub fn new(settings: LedgerSettings) -> Self {
         Self {
--- a/crates/dispatch/src/ledger/partition.rs
+++ b/crates/dispatch/src/ledger/partition.rs
@@ -264,8 +264,8 @@
         self.stage == Stage::Serving
     }
 
-    /// Returns whether the entry accepts jobs. A job that another owner should have got is
-    /// harmless: the log fences its append.
+    /// Returns whether the entry accepts jobs. If another entry owns the partition by now, the
+    /// log refuses the append of such a job.
     pub(crate) fn accepts_jobs(&self) -> bool {
         matches!(self.stage, Stage::Serving | Stage::Releasing { .. })
     }
@@ -358,6 +358,7 @@
         changes
     }
 
+    /// Returns whether all changes are in the log.
     pub(crate) fn is_flushed(&self) -> bool {
         self.pending_changes.is_empty() && self.batch.is_none()
     }
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -1,8 +1,8 @@
 //! Frames between entries and agents and among entries, encoded by `postcard`.
 //!
 //! An agent opens a link to each of its entries and sends a [`Greeting`]. The entry then sends
-//! [`EntryFrame`]s and the agent [`AgentFrame`]s. Entries exchange [`PeerFrame`]s, and calls
-//! about stored jobs on connections of their own.
+//! [`EntryFrame`]s and the agent [`AgentFrame`]s. Entries send each other [`PeerFrame`]s on
+//! one kind of connection, and calls about stored jobs on another.
 
 use std::net::SocketAddr;
 
@@ -25,15 +25,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// Number of a start order, unique for one incarnation of an entry.
+/// Number of a start order, unique for an entry until its process restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId(pub u64);
 
 /// First frame on a connection to an entry, from the process that opened it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Greeting {
-    /// The sender is an agent. No run that this entry ordered on an earlier connection is
-    /// left on its minion.
+    /// The sender is an agent. No run ordered on a closed connection is left on its minion.
     Agent(AgentHello),
     /// The sender is an entry that gossips on this connection; it accepts connections at
     /// this address.
--- a/crates/dispatch/src/minion_calls.rs
+++ b/crates/dispatch/src/minion_calls.rs
@@ -16,7 +16,7 @@
 }
 
 /// One incarnation of a minion, from its start to its end. A minion may restart with the
-/// same id; only the start time then tells the incarnations apart.
+/// same id; only the start times of its incarnations then differ.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Incarnation {
     id: Name,
