--- a/crates/dispatch/src/ledger/log.rs
+++ b/crates/dispatch/src/ledger/log.rs
@@ -1,5 +1,5 @@
-//! What a ledger exchanges with the job log: appends, what follows when they lie
-//! in the log, and the first read of a partition.
+//! The exchange of a ledger with the job log: appends, what follows once their records are
+//! in the log, and the read of a partition after its claim.
 
 use crate::AppendResult;
 use crate::Dispatcher;
@@ -10,12 +10,13 @@
 use crate::Partition;
 use crate::Refusal;
 use crate::StoredAnswer;
-use crate::ledger::jobs::start_if_new;
+use crate::ledger::jobs::start_if_unfinished;
 use crate::ledger::partition::Change;
 use crate::ledger::partition::Stage;
 
 impl Ledger {
-    /// The store answered an append, or did not.
+    /// Handles the result of the append with this epoch and number. Results of earlier appends
+    /// are ignored.
     pub fn appended(
         &mut self,
         now_ms: u64,
@@ -28,53 +29,54 @@
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
         };
-        let is_ours = owned.epoch == epoch;
+        let is_current_epoch = owned.epoch == epoch;
         let is_awaited = owned
             .batch
             .as_ref()
             .is_some_and(|batch| batch.number == number);
-        if !is_ours || !is_awaited {
+        if !is_current_epoch || !is_awaited {
             return;
         }
         match result {
             AppendResult::Appended(end) => {
                 owned.end = Some(end);
                 if let Some(batch) = owned.batch.take() {
-                    self.in_log(now_ms, partition, batch.changes, dispatcher);
+                    self.apply_appended(now_ms, partition, batch.changes, dispatcher);
                 }
             }
-            AppendResult::Fenced => self.lose(partition, "fenced", dispatcher),
-            AppendResult::UnexpectedEnd => self.lose(partition, "overtaken", dispatcher),
+            AppendResult::Fenced => self.give_up(partition, "fenced", dispatcher),
+            AppendResult::UnexpectedEnd => self.give_up(partition, "overtaken", dispatcher),
             AppendResult::UnexpectedNumber(expected) => {
                 let is_outcome_unknown = owned
                     .batch
                     .as_ref()
                     .is_some_and(|batch| batch.is_outcome_unknown);
                 if is_outcome_unknown || expected == number {
-                    self.lose(partition, "number", dispatcher);
+                    self.give_up(partition, "number", dispatcher);
                 } else {
                     owned.renumber(now_ms, expected);
                 }
             }
-            AppendResult::Refused => self.held_up(now_ms, partition, false),
-            AppendResult::NoAnswer => self.held_up(now_ms, partition, true),
+            AppendResult::Refused => self.append_failed(now_ms, partition, false),
+            AppendResult::NoAnswer => self.append_failed(now_ms, partition, true),
         }
     }
 
-    /// The store did not take the records: the append is sent again, and jobs
-    /// that were not sent yet are refused.
-    fn held_up(&mut self, now_ms: u64, partition: Partition, is_outcome_unknown: bool) {
+    /// Schedules an append again that the store did not confirm, and refuses the new jobs that
+    /// were not part of it.
+    fn append_failed(&mut self, now_ms: u64, partition: Partition, is_outcome_unknown: bool) {
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
         };
         owned.retry(now_ms, is_outcome_unknown);
         for (id, callers) in owned.withdraw_accepts() {
-            self.refused(&id, &callers, Refusal::NotStorable);
+            self.refuse(&id, &callers, Refusal::NotStorable);
         }
     }
 
-    /// Changes lie in the log: those who wait for them are told.
-    fn in_log(
+    /// Applies the changes whose records are now in the log, and answers the callers and
+    /// agents that wait for them.
+    fn apply_appended(
         &mut self,
         now_ms: u64,
         partition: Partition,
@@ -96,14 +98,15 @@
                         owned.stage = Stage::Serving;
                     }
                 }
-                Change::Reopen => owned.reopened(),
-                // What follows it in the batch lies in the log as well.
+                Change::Takeover => owned.takeover_recorded(),
+                // The other changes of the batch are in the log as well, so the partition is
+                // given up only after them.
                 Change::Release => {}
                 Change::Accept(id, callers) => {
-                    if let Some(entry) = owned.jobs.get_mut(&id) {
-                        entry.is_accepted = true;
+                    if let Some(owned_job) = owned.jobs.get_mut(&id) {
+                        owned_job.is_accepted = true;
                     }
-                    start_if_new(now_ms, owned, &id, dispatcher);
+                    start_if_unfinished(now_ms, owned, &id, dispatcher);
                     self.event("accepted", Some(id), format!("partition={}", partition.0));
                     self.answer_all(&callers, StoredAnswer::Accepted);
                 }
@@ -113,9 +116,9 @@
                 Change::RunLost(id, position) => dispatcher.run_loss_recorded(&id, position),
                 Change::Crashed(id, position) => dispatcher.crash_recorded(&id, position),
                 Change::JobEnd(id, end, callers) => {
-                    if let Some(entry) = owned.jobs.get_mut(&id) {
-                        entry.end = Some((end, now_ms));
-                        entry.job = None;
+                    if let Some(owned_job) = owned.jobs.get_mut(&id) {
+                        owned_job.end = Some((end, now_ms));
+                        owned_job.job = None;
                     }
                     self.event("recorded", Some(id), format!("end={end:?}"));
                     self.answer_all(&callers, StoredAnswer::Cancelled);
@@ -126,11 +129,12 @@
             }
         }
         if is_released {
-            self.lose(partition, "released", dispatcher);
+            self.give_up(partition, "released", dispatcher);
         }
     }
 
-    /// The records of a partition were read, or could not be.
+    /// Handles the result of the read with number `load`: the records of the partition, or
+    /// `None` if they could not be read, and the read is repeated.
     pub fn loaded(
         &mut self,
         now_ms: u64,
@@ -148,7 +152,11 @@
         };
         let errors = owned.load(now_ms, records);
         owned.stage = Stage::Serving;
-        let open = owned.jobs.values().filter(|entry| entry.is_open()).count();
+        let open = owned
+            .jobs
+            .values()
+            .filter(|owned_job| owned_job.is_unfinished())
+            .count();
         let detail = format!(
             "partition={} epoch={} jobs={} open={open}",
             partition.0,
@@ -161,6 +169,7 @@
         self.event("partition-served", None, detail);
     }
 
+    /// Requests a read of a partition.
     fn load(&mut self, partition: Partition) {
         if let Some(owned) = self.partitions.get_mut(&partition) {
             owned.load = self.next_load;
@@ -170,7 +179,7 @@
         }
     }
 
-    /// Sends what is due to the log.
+    /// Appends the due changes of a partition to the log.
     pub(crate) fn flush(&mut self, now_ms: u64, partition: Partition, dispatcher: &mut Dispatcher) {
         let Some(owned) = self.partitions.get_mut(&partition) else {
             return;
@@ -178,10 +187,10 @@
         match owned.due_batch(now_ms) {
             Ok(None) => {}
             Ok(Some(batch)) if batch.records.is_empty() => {
-                // All that it would tell lies in the log.
+                // The log already holds everything that these changes would write.
                 let changes = batch.changes.clone();
                 owned.batch = None;
-                self.in_log(now_ms, partition, changes, dispatcher);
+                self.apply_appended(now_ms, partition, changes, dispatcher);
             }
             Ok(Some(batch)) => {
                 let append = LedgerAction::Append {
@@ -195,7 +204,7 @@
             }
             Err(error) => {
                 self.event("record-malformed", None, error.to_string());
-                self.lose(partition, "record-malformed", dispatcher);
+                self.give_up(partition, "record-malformed", dispatcher);
             }
         }
     }
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -366,7 +366,7 @@
     /// Spreads crashes that became known here to other entries.
     fn gossip_crashes(&mut self) {
         let crashes = self.dispatcher.crashes();
-        if self.gossip.borrow().crashes.last() != crashes.last() {
+        if self.gossip.borrow().crashes.last_sequence() != crashes.last_sequence() {
             let crashes = crashes.clone();
             self.gossip.send_modify(|gossip| gossip.crashes = crashes);
         }
