--- a/crates/dispatch/tests/at_most_once.rs
+++ b/crates/dispatch/tests/at_most_once.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_killed_entry_leaves_nothing_running_when_the_job_comes_again() {
+fn a_killed_entry_leaves_nothing_running_when_the_job_is_resent() {
     let mut session = Session::new(2, 3);
     // They would still be at work when the job comes again.
     let job = session.submit(0, "a", 8, 1_900);
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn a_frozen_entry_leaves_nothing_running_when_the_job_comes_again() {
+fn a_suspended_entry_leaves_nothing_running_when_the_job_is_resent() {
     let mut session = Session::new(2, 3);
     let job = session.submit(0, "a", 8, 1_900);
     session.run(200);
     session.suspend_entry(0, 5_000);
-    session.break_caller(job);
+    session.disconnect_caller(job);
     session.run_until_answered(job, 6_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     session.run(6_000);
@@ -60,19 +60,19 @@
 }
 
 #[test]
-fn an_entry_that_thaws_starts_nothing_for_callers_that_left() {
+fn an_entry_that_resumes_starts_nothing_for_callers_that_left() {
     let mut session = Session::new(2, 3);
     // More tasks than fit, so that some wait at the entry.
     let job = session.submit(0, "a", 60, 300);
     session.run(100);
     session.suspend_entry(0, 1_350);
-    session.break_caller(job);
+    session.disconnect_caller(job);
     session.run(8_000);
     assert_clean(&session);
 }
 
 #[test]
-fn a_killed_agent_leaves_its_runs_to_their_lease_before_they_start_elsewhere() {
+fn runs_of_a_killed_agent_start_elsewhere_only_after_their_lease() {
     let mut session = Session::new(1, 3);
     let job = session.submit(0, "a", 9, 800);
     session.run(150);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_agent_that_comes_back_stops_what_its_predecessor_left() {
+fn a_restarted_agent_stops_the_runs_of_its_predecessor() {
     let mut session = Session::new(1, 1);
     let job = session.submit(0, "a", 8, 1_500);
     session.run(150);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_frozen_agent_does_not_carry_out_old_orders() {
+fn a_suspended_agent_does_not_carry_out_old_orders() {
     let mut session = Session::new(1, 2);
     session.suspend_agent(0, 2_000);
     let job = session.submit(0, "a", 12, 600);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn orders_that_a_cut_held_up_are_void_when_it_heals() {
+fn orders_that_a_cut_held_up_have_expired_when_it_heals() {
     let mut session = Session::new(2, 2);
     let job = session.submit(0, "a", 12, 700);
     session.cut(0, 0);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_start_without_an_answer_is_forbidden_before_it_starts_elsewhere() {
+fn an_unanswered_start_is_forbidden_before_its_task_starts_elsewhere() {
     let mut session = Session::new(1, 3);
     // Every order to the first minion is carried out seconds later.
     session.call_delay =
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_stop_without_an_answer_lets_the_lease_lapse() {
+fn the_lease_lapses_after_an_unanswered_stop() {
     let mut session = Session::new(2, 1);
     let job = session.submit(0, "a", 4, 1_800);
     session.run(100);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn no_lease_is_extended_while_a_stop_has_no_answer() {
+fn no_lease_is_extended_while_a_stop_is_unanswered() {
     let mut session = Session::new(2, 1);
     session.submit(0, "a", 4, 1_800);
     session.run(100);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_crashed_minion_costs_its_runs_only() {
+fn a_crashed_minion_loses_only_its_own_runs() {
     let mut session = Session::new(1, 3);
     let job = session.submit(0, "a", 9, 500);
     session.run(100);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_minion_that_drains_gets_nothing_more() {
+fn a_draining_minion_gets_no_more_tasks() {
     let mut session = Session::new(1, 2);
     session.drain_minion(0);
     session.run(20);
@@ -229,13 +229,13 @@
 }
 
 #[test]
-fn a_hanging_minion_is_told_by_its_progress() {
+fn a_stalled_minion_is_detected_by_its_progress() {
     let mut session = Session::new(1, 4);
     for number in 0..10 {
         session.submit(0, &format!("warm-{number}"), 4, 200);
         session.run(60);
     }
-    session.minions[0].behavior = Behavior::Hanging;
+    session.minions[0].behavior = Behavior::Stalled;
     let job = session.submit(0, "a", 16, 200);
     session.run_until_answered(job, 3_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_late_report_of_an_earlier_lifetime_changes_nothing() {
+fn a_delayed_report_of_an_earlier_incarnation_changes_nothing() {
     let mut session = Session::new(1, 2);
     session.crash_minion(0);
     session.run(2_000);
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_new_lifetime_takes_over_although_its_first_listings_get_no_answer() {
+fn a_new_incarnation_takes_over_although_its_first_listings_are_unanswered() {
     let mut session = Session::new(1, 1);
     session.crash_minion(0);
     let crashed_ms = session.now_ms;
@@ -289,11 +289,11 @@
 }
 
 #[test]
-fn a_run_that_ended_before_its_start_was_sent_again_is_not_run_anew() {
+fn a_run_that_ended_before_its_start_was_sent_again_does_not_run_again() {
     let mut session = Session::new(1, 1);
-    let began_ms = session.now_ms;
+    let sent_ms = session.now_ms;
     // The start is carried out at once, and its answer is lost.
-    session.call_delay = Box::new(move |now_ms, _| (now_ms < began_ms + 30).then_some(0));
+    session.call_delay = Box::new(move |now_ms, _| (now_ms < sent_ms + 30).then_some(0));
     let job = session.submit(0, "a", 1, 40);
     session.run_until_answered(job, 1_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -304,13 +304,13 @@
 /// Share of 60 jobs of 8 tasks that are answered within their objective of
 /// 1.6 times 60 ms and 60 ms more, while this share of the calls to minions is
 /// carried out seconds later and gets no answer.
-fn share_in_time(loss: f64) -> f64 {
+fn fraction_in_time(loss: f64) -> f64 {
     const JOBS: usize = 60;
     let mut session = Session::new(1, 4);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     session.call_delay = Box::new(move |_, _| {
-        let is_lost = rng.random::<f64>() < loss;
-        is_lost.then(|| rng.random_range(2_000..12_000))
+        let is_delayed = rng.random::<f64>() < loss;
+        is_delayed.then(|| rng.random_range(2_000..12_000))
     });
     let jobs: Vec<usize> = (0..JOBS)
         .map(|number| {
@@ -335,17 +335,17 @@
     few = { 0.06, 0.9 },
     half = { 0.5, 0.4 },
 )]
-fn calls_without_an_answer_cost_few_jobs_their_time(loss: f64, least: f64) {
-    let share = share_in_time(loss);
-    assert!(share >= least, "{share} in time");
+fn few_jobs_miss_their_objective_because_of_unanswered_calls(loss: f64, min_fraction: f64) {
+    let fraction = fraction_in_time(loss);
+    assert!(fraction >= min_fraction, "{fraction} in time");
 }
 
 #[test]
-fn a_job_that_comes_again_at_once_waits_until_the_first_one_is_gone() {
+fn a_job_resent_at_once_waits_until_its_first_submission_is_gone() {
     let mut session = Session::new(1, 2);
     let job = session.submit(0, "a", 12, 600);
     session.run(100);
-    session.break_caller_and_resend(job);
+    session.disconnect_caller_and_resend(job);
     session.run_until_answered(job, 4_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     assert_clean(&session);
--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -31,7 +31,7 @@
 #[test]
 fn nothing_is_started_that_does_not_fit_the_smaller_room() {
     let mut driver = Driver::new();
-    driver.starts(&["a", "b"]);
+    driver.start_tasks(&["a", "b"]);
     driver.report_capacity(HALF, 2);
     assert_eq!(driver.start_of(3, "c"), 0, "it is full now");
     driver.report_capacity(NO_ROOM, 3);
@@ -57,7 +57,7 @@
     driver.answer(StartResult::NoAnswer);
     let mut actions = Vec::new();
     for _ in 0..10 {
-        actions.extend(driver.pass(20));
+        actions.extend(driver.advance(20));
     }
     let is_start = |action: &AgentAction| matches!(action, AgentAction::Start { .. });
     let is_stop = |action: &AgentAction| matches!(action, AgentAction::Stop { .. });
--- a/crates/dispatch/tests/crash_evidence.rs
+++ b/crates/dispatch/tests/crash_evidence.rs
@@ -13,9 +13,9 @@
 use gannetvane_dispatch::StartResult;
 
 use driver::Driver;
+use driver::empty_listing;
 use driver::incarnation_at;
 use driver::key;
-use driver::listed;
 use driver::starts_in;
 
 /// How the only run ended with its minion, as the entry was told.
@@ -62,31 +62,31 @@
 #[test]
 fn a_run_whose_minion_broke_off_a_waiting_listing_is_a_crash_of_its_task() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     driver.list_running(&["a"], 0, 0);
     driver.answer_with(&ListResult::Broken);
     assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Strong));
 }
 
 #[test]
-fn a_run_that_may_have_ended_untold_is_a_weak_sign() {
+fn a_run_that_may_have_ended_unreported_is_weak_evidence() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     driver.answer_with(&ListResult::NoAnswer);
     assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Weak));
 }
 
 #[test]
-fn a_connection_that_broke_while_the_minion_lived_on_is_no_strong_sign_later() {
+fn a_broken_connection_to_a_minion_that_ran_on_is_no_strong_evidence_later() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     driver.answer_with(&ListResult::Broken);
     driver.list_running(&["a"], 0, 0);
     assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Weak));
 }
 
 #[test]
-fn a_start_that_was_taken_after_a_connection_broke_is_a_weak_sign() {
+fn a_start_accepted_after_a_broken_connection_is_weak_evidence() {
     let mut driver = Driver::new();
     driver.start_of(1, "a");
     driver.answer_with(&ListResult::Broken);
@@ -97,7 +97,7 @@
 #[test]
 fn a_run_that_was_stopped_before_the_crash_is_no_crash_of_its_task() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     driver.order(Order::Stop(OrderId(1)));
     driver
         .agent
@@ -107,10 +107,10 @@
 }
 
 #[test]
-fn a_start_whose_connection_broke_late_is_a_weak_sign() {
+fn a_start_whose_connection_broke_late_is_weak_evidence() {
     let mut driver = Driver::new();
     driver.start();
-    driver.pass(30);
+    driver.advance(30);
     driver.answer(StartResult::Broken);
     assert_eq!(evidence(end(&mut driver)), Some(CrashEvidence::Weak));
 }
@@ -125,10 +125,10 @@
             call, incarnation, ..
         } = action
         {
-            driver.answer_call(&incarnation, call, listed());
+            driver.answer_call(&incarnation, call, empty_listing());
         }
     }
-    assert!(starts_in(&driver.pass(1)) > 0);
+    assert!(starts_in(&driver.advance(1)) > 0);
 }
 
 #[test]
@@ -140,9 +140,9 @@
 }
 
 #[test]
-fn a_minion_that_told_its_departure_has_not_crashed() {
+fn a_minion_that_announced_its_departure_has_not_crashed() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     driver.list_running(&["a"], 0, 0);
     driver.agent.minion_left(incarnation_at(1_000).id());
     driver.answer_with(&ListResult::Broken);
--- a/crates/dispatch/tests/crashing.rs
+++ b/crates/dispatch/tests/crashing.rs
@@ -13,10 +13,10 @@
 /// Minions that may crash under one task of a job whose caller waits.
 const MAX_CRASHES: usize = 2;
 /// The same over all entries that a job is at one after the other.
-const MAX_CRASHES_IN_ALL: usize = 3;
+const MAX_CRASHES_OVER_ENTRIES: usize = 3;
 /// Starts of a task that are too many if each of them crashes its minion: three more
 /// than the crashes that give it up at the latest.
-const STARTS_TOO_MANY: usize = 6;
+const MIN_EXCESSIVE_STARTS: usize = 6;
 
 /// A session whose minions keep their ids, or not.
 fn session(agents: usize, keeps_ids: bool) -> Session {
@@ -46,8 +46,8 @@
     session.run(8_000);
     assert!(session.crashes["bad"] <= MAX_CRASHES);
     let outcome = session.outcome(bad);
-    let is_told = matches!(outcome, Some(JobOutcome::Failed | JobOutcome::TooLate));
-    assert!(is_told, "{outcome:?}");
+    let is_given_up = matches!(outcome, Some(JobOutcome::Failed | JobOutcome::TooLate));
+    assert!(is_given_up, "{outcome:?}");
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
@@ -94,14 +94,14 @@
 
 /// What good jobs come to, as the share that is complete in time, with this part
 /// of all jobs crashing a minion.
-fn good_in_time(part: usize) -> f64 {
+fn good_fraction_in_time(bad_divisor: usize) -> f64 {
     let mut session = session(24, false);
     let (mut good, mut jobs) = (Vec::new(), 0);
     for _ in 0..160 {
         for entry in 0..3 {
             jobs += 1;
             let id = format!("job-{jobs}");
-            let is_bad = part > 0 && jobs % part == part / 2;
+            let is_bad = bad_divisor > 0 && jobs % bad_divisor == bad_divisor / 2;
             if is_bad {
                 session.crashing.insert(id.clone());
             }
@@ -114,8 +114,8 @@
     }
     session.run(4_000);
     assert!(session.violations.is_empty(), "{:?}", session.violations);
-    let most = session.crashes.values().max().copied().unwrap_or(0);
-    assert!(most <= MAX_CRASHES, "{most}");
+    let max_crashes = session.crashes.values().max().copied().unwrap_or(0);
+    assert!(max_crashes <= MAX_CRASHES, "{max_crashes}");
     // The objective of these jobs, in milliseconds.
     let in_time = |job: &&usize| {
         let caller = &session.callers[**job];
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn good_jobs_keep_their_worth_beside_one_crashing_job_in_a_hundred() {
-    let without = good_in_time(0);
-    let beside = good_in_time(100);
+fn good_jobs_meet_their_objective_beside_one_crashing_job_in_a_hundred() {
+    let without = good_fraction_in_time(0);
+    let beside = good_fraction_in_time(100);
     println!("in time: {without:.3} without, {beside:.3} beside crashing jobs");
     assert!(beside >= 0.98 * without, "{beside:.3} of {without:.3}");
 }
@@ -164,7 +164,7 @@
             _ => session.submit(entry, &format!("single-{round}"), 1, 100),
         };
         if round % 100 == 50 {
-            for agent in (0..4).map(|place| (number + 3 * place) % 11) {
+            for agent in (0..4).map(|step| (number + 3 * step) % 11) {
                 match keeps_ids {
                     true => session.restart_with_same_id(agent, 600),
                     false => session.crash_minion_for(agent, 600),
@@ -184,18 +184,18 @@
 }
 
 /// Loses this many of a hundred calls; they are carried out later.
-fn lose_calls(session: &mut Session, percent: u32) {
+fn delay_calls(session: &mut Session, percent: u32) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     session.call_delay = Box::new(move |_, _| (rng.random_range(0..100) < percent).then_some(300));
 }
 
 /// Minions that one of twenty crashing jobs took down at most, each some time after its
 /// start was answered, beneath a stream of quick jobs.
-fn most_crashes(after_ms: u64, lost_percent: u32) -> usize {
+fn max_crashes_of_a_job(after_ms: u64, delayed_percent: u32) -> usize {
     let mut session = session(24, true);
     session.has_prompt_minions = true;
     session.crash_after_ms = Some(after_ms);
-    lose_calls(&mut session, lost_percent);
+    delay_calls(&mut session, delayed_percent);
     for round in 0..3_000 {
         session.submit(round % 3, &format!("good-{round}"), 2, 20);
         if round % 120 == 119 && round < 2_500 {
@@ -213,29 +213,29 @@
 #[parameterized(
     at_once = { 0, 0 },
     later = { 20, 0 },
-    at_once_with_calls_lost = { 0, 5 },
-    soon_with_calls_lost = { 2, 5 },
-    later_with_calls_lost = { 20, 5 },
+    at_once_with_delayed_calls = { 0, 5 },
+    soon_with_delayed_calls = { 2, 5 },
+    later_with_delayed_calls = { 20, 5 },
 )]
-fn a_task_that_crashes_minions_after_its_start_is_given_up(after_ms: u64, lost_percent: u32) {
-    let most = most_crashes(after_ms, lost_percent);
-    assert!(most < STARTS_TOO_MANY, "{most}");
+fn a_task_that_crashes_minions_after_its_start_is_given_up(after_ms: u64, delayed_percent: u32) {
+    let max_crashes = max_crashes_of_a_job(after_ms, delayed_percent);
+    assert!(max_crashes < MIN_EXCESSIVE_STARTS, "{max_crashes}");
 }
 
 #[parameterized(
     calm = { 20, 0 },
-    soon_with_calls_lost = { 2, 3 },
+    soon_with_delayed_calls = { 2, 3 },
 )]
 fn a_stored_task_that_crashes_minions_after_its_start_is_given_up(
     after_ms: u64,
-    lost_percent: u32,
+    delayed_percent: u32,
 ) {
     let mut session = session(12, true);
     session.has_prompt_minions = true;
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
     session.crash_after_ms = Some(after_ms);
-    lose_calls(&mut session, lost_percent);
+    delay_calls(&mut session, delayed_percent);
     for round in 0..500 {
         for number in 0..12 {
             session.store(&format!("{:016x}", 0x1000 + round * 12 + number), 4, 20);
@@ -247,24 +247,24 @@
         }
         session.run(50);
     }
-    let most = session.crashes.values().max().copied().unwrap_or(0);
-    assert!(most < STARTS_TOO_MANY, "{most}");
+    let max_crashes = session.crashes.values().max().copied().unwrap_or(0);
+    assert!(max_crashes < MIN_EXCESSIVE_STARTS, "{max_crashes}");
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
 /// Minions that read nothing for a while before they crash, one after the other: what
 /// was sent to them meanwhile has no answer but a broken connection.
 #[test]
-fn minions_that_stall_before_they_crash_fail_no_job_without_cause() {
+fn minions_that_are_unresponsive_before_they_crash_fail_no_job_without_cause() {
     let mut session = session(11, false);
     session.has_prompt_minions = true;
     for round in 0..600 {
         session.submit(round % 3, &format!("short-{round}"), 4, 60);
         session.submit(round % 3, &format!("long-{round}"), 2, 300);
         if round % 40 == 0 {
-            for place in 0..4 {
-                let agent = (round / 40 + 3 * place) % 11;
-                session.hang_and_crash(agent, 5 + 70 * place as u64);
+            for step in 0..4 {
+                let agent = (round / 40 + 3 * step) % 11;
+                session.stop_responding_and_crash(agent, 5 + 70 * step as u64);
             }
         }
         session.run(20);
@@ -301,7 +301,7 @@
 
 fn assert_given_up(session: &Session, id: &str) {
     let crashed = crashes(session, id);
-    assert!(crashed <= MAX_CRASHES_IN_ALL, "{crashed}");
+    assert!(crashed <= MAX_CRASHES_OVER_ENTRIES, "{crashed}");
 }
 
 /// The owner of a crashing stored job is killed when two minions have crashed.
@@ -319,19 +319,19 @@
 
 /// A caller whose connection broke sends a crashing job again at another entry.
 #[test]
-fn a_crashing_task_is_given_up_wherever_its_job_comes_again() {
+fn a_crashing_task_is_given_up_after_its_job_is_resent_to_another_entry() {
     let mut session = session(8, true);
     session.crashing.insert("bad".to_owned());
     let job = session.submit(0, "bad", 1, 900);
     run_until_crashes(&mut session, "bad", 2);
-    session.break_caller(job);
+    session.disconnect_caller(job);
     session.run(8_000);
     assert_given_up(&session, "bad");
 }
 
 /// Each entry is killed before it hears of the crash under its run: only the agents know.
 #[test]
-fn crashes_that_no_entry_heard_of_are_told_by_the_agents() {
+fn agents_report_crashes_that_no_entry_has_seen() {
     let mut session = session(8, true);
     session.crashing.insert("bad".to_owned());
     session.submit(0, "bad", 1, 900);
@@ -348,7 +348,7 @@
     kept_ids = { true },
     other_ids = { false },
 )]
-fn a_crash_that_the_log_did_not_take_counts_for_the_next_owner(keeps_ids: bool) {
+fn a_crash_that_the_log_refused_counts_for_the_next_owner(keeps_ids: bool) {
     let (mut session, job) = crashing_stored(keeps_ids);
     let id = BAD_ID;
     run_until_crashes(&mut session, id, 1);
@@ -366,7 +366,7 @@
 
 /// All processes are killed after each crash, so that only the log tells of it.
 #[test]
-fn crashes_that_only_the_log_tells_of_count() {
+fn crashes_recorded_only_in_the_log_count() {
     let (mut session, job) = crashing_stored(true);
     let id = BAD_ID;
     for crashed in 1..=2 {
@@ -381,7 +381,7 @@
 
 /// The agent dies with its minion each time, so that nobody sees how the run ended.
 #[test]
-fn a_crash_that_took_its_agent_along_counts_beside_one_that_was_seen() {
+fn a_crash_together_with_its_agent_counts_beside_an_observed_one() {
     let (mut session, job) = crashing_stored(true);
     let id = BAD_ID;
     run_until_crashes(&mut session, id, 1);
--- a/crates/dispatch/tests/driver/mod.rs
+++ b/crates/dispatch/tests/driver/mod.rs
@@ -30,7 +30,7 @@
 
 const MINION: &str = "minion-1";
 /// Steps of a test within which a listing is asked for.
-const MAX_PASSES: usize = 100;
+const MAX_STEPS: usize = 100;
 const LINK: LinkId = LinkId(1);
 pub const CAPACITY: Resources = Resources {
     cpu_milli: 4_000,
@@ -49,7 +49,7 @@
     pub agent: Agent,
     now_ms: u64,
     /// Ends that the minion has listed.
-    ends: u64,
+    last_end_number: u64,
 }
 
 impl Driver {
@@ -63,7 +63,7 @@
         let mut driver = Self {
             agent: Agent::new(identity),
             now_ms: 1_000,
-            ends: 0,
+            last_end_number: 0,
         };
         let entry = SocketAddr::from((Ipv4Addr::LOCALHOST, 7_720));
         driver.agent.link_up(driver.now_ms, LINK, entry);
@@ -71,7 +71,7 @@
         driver.agent.minion_reported(driver.now_ms, report);
         driver.answer_listings(&ListResult::NoAnswer);
         for _ in 0..10 {
-            driver.answer_listings(&listed());
+            driver.answer_listings(&empty_listing());
         }
         assert_eq!(driver.agent.greeted_links(), 1);
         driver
@@ -108,7 +108,7 @@
 
     /// Answers the next listings that are asked for.
     pub fn answer_with(&mut self, result: &ListResult) {
-        for _ in 0..MAX_PASSES {
+        for _ in 0..MAX_STEPS {
             if self.answer_listings(result) {
                 return;
             }
@@ -120,7 +120,7 @@
     /// there were none.
     pub fn answer_listings(&mut self, result: &ListResult) -> bool {
         let mut is_listed = false;
-        for action in self.pass(50) {
+        for action in self.advance(50) {
             if let AgentAction::List {
                 call, incarnation, ..
             } = action
@@ -133,7 +133,7 @@
         is_listed
     }
 
-    pub fn pass(&mut self, for_ms: u64) -> Vec<AgentAction> {
+    pub fn advance(&mut self, for_ms: u64) -> Vec<AgentAction> {
         self.now_ms += for_ms;
         self.agent.frame(self.now_ms, LINK, self.frame(Vec::new()));
         self.agent.tick(self.now_ms);
@@ -143,7 +143,7 @@
     pub fn order(&mut self, order: Order) -> Vec<AgentAction> {
         let frame = self.frame(vec![order]);
         self.agent.frame(self.now_ms, LINK, frame);
-        self.pass(1)
+        self.advance(1)
     }
 
     fn frame(&self, orders: Vec<Order>) -> EntryFrame {
@@ -183,16 +183,16 @@
     }
 
     /// The minion starts the only task of a job, and lists how it ended.
-    pub fn run_to(&mut self, job: &str, end: RunEnd) {
+    pub fn run_task(&mut self, job: &str, end: RunEnd) {
         self.agent.start_answered(
             self.now_ms,
             &incarnation_at(1_000),
             &key(job),
             StartResult::Started,
         );
-        self.ends += 1;
+        self.last_end_number += 1;
         let ended = EndedRun {
-            number: self.ends,
+            number: self.last_end_number,
             key: Some(key(job)),
             end,
         };
@@ -205,7 +205,7 @@
     }
 
     /// The minion starts the only tasks of these jobs.
-    pub fn starts(&mut self, jobs: &[&str]) {
+    pub fn start_tasks(&mut self, jobs: &[&str]) {
         for (order, job) in (1..).zip(jobs) {
             self.start_of(order, job);
             self.agent.start_answered(
@@ -219,13 +219,13 @@
 
     /// Asks for a listing, which the minion makes after some time with these runs
     /// a tenth done, and which arrives this much later; returns what the agent does.
-    pub fn list_running(&mut self, jobs: &[&str], wait_ms: u64, late_ms: u64) -> Vec<AgentAction> {
-        let is_hold = |action: &AgentAction| matches!(action, AgentAction::List { .. });
+    pub fn list_running(&mut self, jobs: &[&str], wait_ms: u64, delay_ms: u64) -> Vec<AgentAction> {
+        let is_listing = |action: &AgentAction| matches!(action, AgentAction::List { .. });
         let mut asked = Vec::new();
-        while !asked.iter().any(is_hold) {
-            asked = self.pass(10);
+        while !asked.iter().any(is_listing) {
+            asked = self.advance(10);
         }
-        self.pass(wait_ms);
+        self.advance(wait_ms);
         let running = jobs.iter().map(|job| ActiveRun {
             key: Some(key(job)),
             percent: 10,
@@ -235,7 +235,7 @@
             running: running.collect(),
             ..Listing::default()
         };
-        self.pass(late_ms);
+        self.advance(delay_ms);
         for action in asked {
             if let AgentAction::List {
                 call, incarnation, ..
@@ -245,15 +245,15 @@
                 self.agent.listed(self.now_ms, &incarnation, call, result);
             }
         }
-        self.pass(1)
+        self.advance(1)
     }
 
     /// How the runs ended that the entry is told of from now on, until the minion is
     /// given up: nobody takes connections at its address.
     pub fn ends_of_refused_minion(&mut self) -> Vec<(OrderId, RunEnd)> {
         let mut ends = Vec::new();
-        for _ in 0..MAX_PASSES {
-            let actions = self.pass(20);
+        for _ in 0..MAX_STEPS {
+            let actions = self.advance(20);
             for action in actions {
                 match action {
                     AgentAction::List {
@@ -277,14 +277,14 @@
 
     /// Whether the entry was last told that starts are admitted.
     pub fn is_accepting_starts(&mut self) -> bool {
-        let told = self
-            .pass(100)
+        let frames = self
+            .advance(100)
             .into_iter()
             .filter_map(|action| match action {
                 AgentAction::Send(_, frame) => Some(frame.is_accepting_starts),
                 _ => None,
             });
-        told.last().expect("a frame")
+        frames.last().expect("a frame")
     }
 }
 
@@ -320,7 +320,7 @@
     Incarnation::new(MINION.into(), Some(started_unix_ms))
 }
 
-pub fn listed() -> ListResult {
+pub fn empty_listing() -> ListResult {
     ListResult::Listed(Listing {
         clock_ms: 600,
         ..Listing::default()
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -53,12 +53,12 @@
 fn a_zone_gets_nothing_from_the_first_word_on_and_its_room_counts_as_gone() {
     let mut session = Session::new(ENTRIES, AGENTS);
     load(&mut session, 400);
-    assert!(session.starts_in("hella", 0) > 0);
+    assert!(session.starts_in_zone("hella", 0) > 0);
     // The others have not heard of it yet.
     session.send_evacuations(0, &evacuations(7, &["hella"]));
     let told_ms = session.now_ms;
     let callers = load(&mut session, 1_000);
-    assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
+    assert_eq!(session.starts_in_zone("hella", told_ms + HEARD_MS), 0);
     session.run(500);
     let done = count(&session, &callers, JobOutcome::Completed);
     assert_eq!(done, callers.len());
@@ -130,8 +130,8 @@
     session.send_evacuations_to_all(&evacuations(8, &[]));
     session.send_evacuations(2, &evacuations(3, &["selfoss"]));
     load(&mut session, 500);
-    assert_eq!(session.starts_in("hella", told_ms), 0);
-    assert!(session.starts_in("selfoss", told_ms) > 0);
+    assert_eq!(session.starts_in_zone("hella", told_ms), 0);
+    assert!(session.starts_in_zone("selfoss", told_ms) > 0);
 }
 
 #[test]
@@ -156,7 +156,7 @@
         assert!(is_refused(state.outcome), "{state:?}");
         assert!(state.answered_ms <= Some(state.sent_ms + HEARD_MS));
     }
-    assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
+    assert_eq!(session.starts_in_zone("hella", told_ms + HEARD_MS), 0);
     session.send_evacuations_to_all(&evacuations(8, &["hella", "thorlak"]));
     session.run(2_000);
     let callers = load(&mut session, 300);
@@ -208,8 +208,8 @@
         session.run(HEARD_MS);
         let told_ms = session.now_ms;
         session.run(60);
-        copies += session.start_calls_in("selfoss", told_ms);
-        copies += session.start_calls_in("hella", told_ms);
+        copies += session.start_calls_in_zone("selfoss", told_ms);
+        copies += session.start_calls_in_zone("hella", told_ms);
         assert!(begun > 0);
     }
     assert_eq!(copies, 0);
@@ -226,7 +226,7 @@
         session.send_evacuations_to_all(&evacuations(2 * number + 8, &[]));
         session.run(60);
     }
-    assert_eq!(session.notes.get("start-refused-evacuated"), None);
+    assert_eq!(session.event_counts.get("start-refused-evacuated"), None);
 }
 
 #[test]
@@ -238,7 +238,7 @@
     session.kill_agent(4, 500);
     let callers = load(&mut session, 2_500);
     session.run(500);
-    assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
+    assert_eq!(session.starts_in_zone("hella", told_ms + HEARD_MS), 0);
     let done = count(&session, &callers, JobOutcome::Completed);
     assert!(done * 10 > callers.len() * 9, "{done} of {}", callers.len());
 }
@@ -255,8 +255,8 @@
         session.run(20);
     }
     session.run(3_000);
-    assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
-    assert!(session.starts_in("selfoss", told_ms) > 0);
+    assert_eq!(session.starts_in_zone("hella", told_ms + HEARD_MS), 0);
+    assert!(session.starts_in_zone("selfoss", told_ms) > 0);
 }
 
 /// Plays a series of evacuations that reach entries late, in any order and more
--- a/crates/dispatch/tests/grey.rs
+++ b/crates/dispatch/tests/grey.rs
@@ -36,7 +36,7 @@
 }
 
 fn assert_comes_back(mut session: Session) {
-    session.minions[0].behavior = Behavior::Sound;
+    session.minions[0].behavior = Behavior::Healthy;
     session.run(3_000);
     let before = session.starts_on(FIRST_MINION);
     for number in 0..10 {
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_minion_that_stands_still_is_closed_for_all_entries() {
-    let (session, jobs) = serve_beside(Behavior::Hanging);
+    let (session, jobs) = serve_beside(Behavior::Stalled);
     let starts = session.starts_on(FIRST_MINION);
     assert!(starts <= 16, "{starts} starts on the hanging minion");
     let took_ms = |job: &usize| {
@@ -88,10 +88,10 @@
     let mut driver = Driver::new();
     assert!(driver.is_accepting_starts());
     driver.start_of(1, "a");
-    driver.run_to("a", RunEnd::Failed);
+    driver.run_task("a", RunEnd::Failed);
     assert!(driver.is_accepting_starts());
     driver.start_of(2, "b");
-    driver.run_to("b", RunEnd::Failed);
+    driver.run_task("b", RunEnd::Failed);
     assert!(!driver.is_accepting_starts());
     assert_eq!(driver.start_of(3, "c"), 0);
 }
@@ -108,7 +108,7 @@
 #[test]
 fn runs_without_progress_are_stopped() {
     let mut driver = Driver::new();
-    driver.starts(&["a", "b"]);
+    driver.start_tasks(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
     assert_eq!(stops(&driver.list_running(&["a", "b"], 100, 0)), 2);
     assert!(!driver.is_accepting_starts());
@@ -117,7 +117,7 @@
 #[test]
 fn an_old_listing_does_not_show_that_runs_stand_still() {
     let mut driver = Driver::new();
-    driver.starts(&["a", "b"]);
+    driver.start_tasks(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
     // As when the agent's host stood still.
     assert_eq!(stops(&driver.list_running(&["a", "b"], 5, 100)), 0);
@@ -127,7 +127,7 @@
 #[test]
 fn a_pardon_says_nothing_of_a_minion_that_stands_still() {
     let mut driver = Driver::new();
-    driver.starts(&["a", "b"]);
+    driver.start_tasks(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
     driver.list_running(&["a", "b"], 100, 0);
     driver.order(Order::DiscountFailures("c".into()));
@@ -139,7 +139,7 @@
     let mut driver = Driver::new();
     for (order, job) in [(1, "a"), (2, "b")] {
         driver.start_of(order, job);
-        driver.run_to(job, RunEnd::Failed);
+        driver.run_task(job, RunEnd::Failed);
     }
     driver.order(Order::DiscountFailures("a".into()));
     assert!(driver.is_accepting_starts());
@@ -150,7 +150,7 @@
     let mut driver = Driver::new();
     for (order, job) in [(1, "a"), (2, "b")] {
         driver.start_of(order, job);
-        driver.run_to(job, RunEnd::Failed);
+        driver.run_task(job, RunEnd::Failed);
     }
     for _ in 0..2 {
         assert!(!driver.is_accepting_starts());
@@ -158,6 +158,6 @@
     while !driver.is_accepting_starts() {}
     assert!(driver.start_of(3, "c") > 0, "one start shows how it is");
     assert_eq!(driver.start_of(4, "d"), 0, "and no more before its end");
-    driver.run_to("c", RunEnd::Done);
+    driver.run_task("c", RunEnd::Done);
     assert!(driver.start_of(5, "e") > 0);
 }
--- a/crates/dispatch/tests/interleavings.rs
+++ b/crates/dispatch/tests/interleavings.rs
@@ -37,37 +37,37 @@
 
 /// Whether minions start again under their ids.
 #[derive(Clone, Copy, PartialEq)]
-enum Rebirths {
-    None,
+enum Restarts {
+    NewIds,
     /// A call that has no answer may be carried out by the next life.
-    Some,
+    SameIds,
     /// Calls end with the life that they were sent to.
-    WithoutLateCalls,
+    SameIdsWithoutDelayedCalls,
 }
 
 /// Has minions keep their ids, if they do.
-fn prepare(session: &mut Session, rebirths: Rebirths) {
-    session.drops_calls_of_ended_incarnations = rebirths == Rebirths::WithoutLateCalls;
-    if rebirths != Rebirths::None {
+fn prepare(session: &mut Session, restarts: Restarts) {
+    session.drops_calls_of_ended_incarnations = restarts == Restarts::SameIdsWithoutDelayedCalls;
+    if restarts != Restarts::NewIds {
         session.report_start_times();
     }
 }
 
 /// Starts a minion again under its id now and then. The draws are apart, so that
 /// seeds play as they did without.
-fn rebear(session: &mut Session, rng: &mut ChaCha8Rng, rebirths: Rebirths) {
-    if rebirths != Rebirths::None && rng.random_range(0..12) == 0 {
+fn restart_some_minion(session: &mut Session, rng: &mut ChaCha8Rng, restarts: Restarts) {
+    if restarts != Restarts::NewIds && rng.random_range(0..12) == 0 {
         let agent = rng.random_range(0..AGENTS);
         session.restart_with_same_id(agent, rng.random_range(0..2_500));
     }
 }
 
 /// Plays a seed with tasks that work for less than `longest_ms`.
-fn play(seed: u64, longest_ms: u64, rebirths: Rebirths) -> Session {
+fn play(seed: u64, max_work_ms: u64, restarts: Restarts) -> Session {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut births = ChaCha8Rng::seed_from_u64(!seed);
+    let mut restart_rng = ChaCha8Rng::seed_from_u64(!seed);
     let mut session = Session::new(ENTRIES, AGENTS);
-    prepare(&mut session, rebirths);
+    prepare(&mut session, restarts);
     for minion in &mut session.minions {
         minion.clock_rate = rng.random_range(0.98..1.02);
     }
@@ -75,13 +75,13 @@
     for _ in 0..120 {
         for _ in 0..rng.random_range(0..3) {
             let tasks = rng.random_range(1..12);
-            let work_ms = rng.random_range(20..longest_ms);
+            let work_ms = rng.random_range(20..max_work_ms);
             let entry = rng.random_range(0..ENTRIES);
             session.submit(entry, &format!("job-{jobs}"), tasks, work_ms);
             jobs += 1;
         }
-        disturb(&mut session, &mut rng);
-        rebear(&mut session, &mut births, rebirths);
+        inject_fault(&mut session, &mut rng);
+        restart_some_minion(&mut session, &mut restart_rng, restarts);
         session.run(rng.random_range(10..120));
     }
     session.heal();
@@ -90,7 +90,7 @@
     session
 }
 
-fn disturb(session: &mut Session, rng: &mut ChaCha8Rng) {
+fn inject_fault(session: &mut Session, rng: &mut ChaCha8Rng) {
     let entry = rng.random_range(0..ENTRIES);
     let agent = rng.random_range(0..AGENTS);
     match rng.random_range(0..40) {
@@ -102,21 +102,21 @@
         8..=10 => session.heal(),
         11 => session.crash_minion(agent),
         12 => {
-            let share = rng.random_range(0.0..0.6);
-            let mut fates = ChaCha8Rng::seed_from_u64(rng.random());
-            session.call_delay = Box::new(move |_, hit| {
-                let is_late = hit == agent && fates.random::<f64>() < share;
-                is_late.then(|| fates.random_range(500..9_000))
+            let fraction = rng.random_range(0.0..0.6);
+            let mut fault_rng = ChaCha8Rng::seed_from_u64(rng.random());
+            session.call_delay = Box::new(move |_, called| {
+                let is_delayed = called == agent && fault_rng.random::<f64>() < fraction;
+                is_delayed.then(|| fault_rng.random_range(500..9_000))
             });
         }
         13 | 14 => session.call_delay = Box::new(|_, _| None),
         15 => session.minions[agent].behavior = Behavior::Failing,
-        16 => session.minions[agent].behavior = Behavior::Hanging,
+        16 => session.minions[agent].behavior = Behavior::Stalled,
         17 => session.minions[agent].behavior = Behavior::Slow(5.0),
-        18..=21 => session.minions[agent].behavior = Behavior::Sound,
+        18..=21 => session.minions[agent].behavior = Behavior::Healthy,
         22 | 23 if !session.callers.is_empty() => {
             let position = rng.random_range(0..session.callers.len());
-            session.break_caller(position);
+            session.disconnect_caller(position);
         }
         24 => session.deliver_delayed_report(agent),
         _ => {}
@@ -124,13 +124,13 @@
 }
 
 /// Plays a seed with stored jobs and a job log that fails.
-fn play_stored(seed: u64, rebirths: Rebirths) -> Session {
+fn play_stored(seed: u64, restarts: Restarts) -> Session {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     // Apart, so that seeds that once failed play as they did then.
-    let mut repeats = ChaCha8Rng::seed_from_u64(!seed);
-    let mut births = ChaCha8Rng::seed_from_u64(seed.swap_bytes());
+    let mut resend_rng = ChaCha8Rng::seed_from_u64(!seed);
+    let mut restart_rng = ChaCha8Rng::seed_from_u64(seed.swap_bytes());
     let mut session = Session::new(STORED_ENTRIES, AGENTS);
-    prepare(&mut session, rebirths);
+    prepare(&mut session, restarts);
     for minion in &mut session.minions {
         minion.clock_rate = rng.random_range(0.98..1.02);
     }
@@ -145,39 +145,41 @@
             let position = rng.random_range(0..session.stored.len());
             session.cancel_stored(position);
         }
-        if repeats.random_range(0..6) == 0 && !session.stored.is_empty() {
-            let position = repeats.random_range(0..session.stored.len());
+        if resend_rng.random_range(0..6) == 0 && !session.stored.is_empty() {
+            let position = resend_rng.random_range(0..session.stored.len());
             session.stored[position].sends_again = true;
         }
-        disturb(&mut session, &mut rng);
-        disturb_log(&mut session, &mut rng);
-        rebear(&mut session, &mut births, rebirths);
+        inject_fault(&mut session, &mut rng);
+        inject_log_fault(&mut session, &mut rng);
+        restart_some_minion(&mut session, &mut restart_rng, restarts);
         session.run(rng.random_range(10..150));
     }
     session.heal();
     session.call_delay = Box::new(|_, _| None);
     session.log_outcome = Box::new(|_, _| LogCallOutcome::Served);
     for minion in &mut session.minions {
-        minion.behavior = Behavior::Sound;
+        minion.behavior = Behavior::Healthy;
     }
     session.run(30_000);
     session.check_stored();
     session
 }
 
-fn disturb_log(session: &mut Session, rng: &mut ChaCha8Rng) {
-    let hit = rng.random_range(0..STORED_ENTRIES + 1);
+fn inject_log_fault(session: &mut Session, rng: &mut ChaCha8Rng) {
+    let affected = rng.random_range(0..STORED_ENTRIES + 1);
     match rng.random_range(0..30) {
         0 => session.log.rebalance(),
         1..=4 => session.log_outcome = Box::new(|_, _| LogCallOutcome::Served),
-        5 => session.log_outcome = failing(hit, LogCallOutcome::Refused),
-        6 => session.log_outcome = failing(hit, LogCallOutcome::Dropped),
+        5 => session.log_outcome = failing(affected, LogCallOutcome::Refused),
+        6 => session.log_outcome = failing(affected, LogCallOutcome::Dropped),
         7 | 8 => {
-            let share = rng.random_range(0.0..0.6);
-            let mut fates = ChaCha8Rng::seed_from_u64(rng.random());
-            session.log_outcome = Box::new(move |_, _| match fates.random::<f64>() {
-                draw if draw < share / 2.0 => LogCallOutcome::AnswerLost,
-                draw if draw < share => LogCallOutcome::Delayed(fates.random_range(100..4_000)),
+            let fraction = rng.random_range(0.0..0.6);
+            let mut fault_rng = ChaCha8Rng::seed_from_u64(rng.random());
+            session.log_outcome = Box::new(move |_, _| match fault_rng.random::<f64>() {
+                draw if draw < fraction / 2.0 => LogCallOutcome::AnswerLost,
+                draw if draw < fraction => {
+                    LogCallOutcome::Delayed(fault_rng.random_range(100..4_000))
+                }
                 _ => LogCallOutcome::Served,
             });
         }
@@ -186,10 +188,13 @@
 }
 
 /// The log fails for one entry, or for all when there is none of that number.
-fn failing(hit: usize, fate: LogCallOutcome) -> Box<dyn FnMut(u64, usize) -> LogCallOutcome> {
+fn failing(
+    affected: usize,
+    outcome: LogCallOutcome,
+) -> Box<dyn FnMut(u64, usize) -> LogCallOutcome> {
     Box::new(move |_, entry| {
-        if entry == hit || hit == STORED_ENTRIES {
-            fate
+        if entry == affected || affected == STORED_ENTRIES {
+            outcome
         } else {
             LogCallOutcome::Served
         }
@@ -197,13 +202,13 @@
 }
 
 #[parameterized(
-    new_ids = { Rebirths::None },
-    same_ids = { Rebirths::Some },
-    calls_end_with_their_life = { Rebirths::WithoutLateCalls },
+    new_ids = { Restarts::NewIds },
+    same_ids = { Restarts::SameIds },
+    calls_end_with_their_incarnation = { Restarts::SameIdsWithoutDelayedCalls },
 )]
-fn no_interleaving_loses_a_stored_job_or_does_it_twice(rebirths: Rebirths) {
+fn no_interleaving_loses_a_stored_job_or_does_it_twice(restarts: Restarts) {
     for seed in seeds(SEEDS, STORED_REGRESSIONS) {
-        let session = play_stored(seed, rebirths);
+        let session = play_stored(seed, restarts);
         let violations = &session.violations;
         assert!(violations.is_empty(), "seed {seed}: {violations:?}");
         let ended = session.stored.iter().filter(|job| job.end.is_some());
@@ -214,48 +219,51 @@
 /// Tasks that are over before a caller sends its job again, and such that an
 /// entry or agent that failed may have left at work by then.
 #[parameterized(
-    short = { 900, Rebirths::None },
-    long = { 3_000, Rebirths::None },
-    short_same_ids = { 900, Rebirths::Some },
-    long_same_ids = { 3_000, Rebirths::Some },
+    short = { 900, Restarts::NewIds },
+    long = { 3_000, Restarts::NewIds },
+    short_same_ids = { 900, Restarts::SameIds },
+    long_same_ids = { 3_000, Restarts::SameIds },
 )]
-fn no_interleaving_breaks_a_promise(longest_ms: u64, rebirths: Rebirths) {
+fn no_interleaving_breaks_an_invariant(max_work_ms: u64, restarts: Restarts) {
     for seed in seeds(SEEDS, REGRESSIONS) {
-        let session = play(seed, longest_ms, rebirths);
+        let session = play(seed, max_work_ms, restarts);
         let violations = &session.violations;
         assert!(violations.is_empty(), "seed {seed}: {violations:?}");
-        let open = session
+        let unanswered = session
             .callers
             .iter()
             .filter(|caller| caller.outcome.is_none());
-        let open: Vec<&str> = open.map(|caller| caller.id.as_str()).collect();
-        assert!(open.is_empty(), "seed {seed}: without an answer: {open:?}");
+        let unanswered: Vec<&str> = unanswered.map(|caller| caller.id.as_str()).collect();
+        assert!(
+            unanswered.is_empty(),
+            "seed {seed}: without an answer: {unanswered:?}"
+        );
     }
 }
 
 /// A call lies for seconds while its minion begins another life under its id, or two. The
 /// agent shows the first of them an epoch at most, and stands still after that.
 #[parameterized(
-    two_lives_later = { 34_102, 3_000 },
+    two_incarnations_later = { 34_102, 3_000 },
     in_a_short_job = { 35_029, 900 },
 )]
-fn a_start_that_outlives_its_life_runs_nothing_twice(seed: u64, longest_ms: u64) {
-    let session = play(seed, longest_ms, Rebirths::Some);
+fn a_start_that_outlives_its_incarnation_runs_nothing_twice(seed: u64, max_work_ms: u64) {
+    let session = play(seed, max_work_ms, Restarts::SameIds);
     let duplicates = &session.violations.duplicates;
     assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
 #[test]
 fn stored_jobs_end_after_changes_of_owner_and_lost_hosts() {
-    let session = play_stored(35_034, Rebirths::None);
+    let session = play_stored(35_034, Restarts::NewIds);
     let lost = &session.violations.lost;
     assert!(lost.is_empty(), "{lost:?}");
 }
 
 /// The trial of a minion that had failed was kept for an entry without work.
 #[test]
-fn a_stored_job_is_tried_on_the_only_minion_that_is_left_to_it() {
-    let session = play_stored(50_196, Rebirths::None);
+fn a_stored_job_gets_a_half_open_trial_on_the_only_minion_left() {
+    let session = play_stored(50_196, Restarts::NewIds);
     let lost = &session.violations.lost;
     assert!(lost.is_empty(), "{lost:?}");
 }
@@ -267,10 +275,10 @@
     of_the_same_run = { 35_012 },
     started_after_its_end = { 50_075 },
     counted_unseen = { 50_241 },
-    lease_of_a_late_start = { 50_624 },
+    lease_of_a_delayed_start = { 50_624 },
 )]
-fn an_end_that_counts_stays_the_only_one_in_the_next_life(seed: u64) {
-    let session = play_stored(seed, Rebirths::Some);
+fn an_end_that_counts_stays_the_only_one_in_the_next_incarnation(seed: u64) {
+    let session = play_stored(seed, Restarts::SameIds);
     let duplicates = &session.violations.duplicates;
     assert!(duplicates.is_empty(), "{duplicates:?}");
 }
@@ -283,7 +291,7 @@
     after_another_run_was_done = { 50_416 },
 )]
 fn a_late_start_of_a_stored_task_is_never_a_second_run(seed: u64) {
-    let session = play_stored(seed, Rebirths::Some);
+    let session = play_stored(seed, Restarts::SameIds);
     let duplicates = &session.violations.duplicates;
     assert!(duplicates.is_empty(), "{duplicates:?}");
 }
@@ -293,8 +301,8 @@
     of_a_long_task = { 50_758, 3_000 },
     of_a_short_task = { 50_175, 900 },
 )]
-fn a_late_start_of_a_waited_task_is_never_a_second_run(seed: u64, longest_ms: u64) {
-    let session = play(seed, longest_ms, Rebirths::Some);
+fn a_late_start_of_a_waited_task_is_never_a_second_run(seed: u64, max_work_ms: u64) {
+    let session = play(seed, max_work_ms, Restarts::SameIds);
     let duplicates = &session.violations.duplicates;
     assert!(duplicates.is_empty(), "{duplicates:?}");
 }
@@ -302,11 +310,11 @@
 /// What goes wrong in a seed; empty if nothing does.
 fn failures(session: &Session) -> Vec<String> {
     let violations = &session.violations;
-    let open = session
+    let unanswered = session
         .callers
         .iter()
         .filter(|caller| caller.outcome.is_none());
-    let mut failures: Vec<String> = open
+    let mut failures: Vec<String> = unanswered
         .map(|caller| format!("{} has no answer", caller.id))
         .collect();
     if !violations.is_empty() {
@@ -317,13 +325,13 @@
 
 /// Prints every seed that fails, and the rate.
 #[parameterized(
-    stored_new_ids = { |seed| play_stored(seed, Rebirths::None) },
-    stored_same_ids = { |seed| play_stored(seed, Rebirths::Some) },
-    stored_calls_end_with_their_life = { |seed| play_stored(seed, Rebirths::WithoutLateCalls) },
-    short = { |seed| play(seed, 900, Rebirths::None) },
-    long = { |seed| play(seed, 3_000, Rebirths::None) },
-    short_same_ids = { |seed| play(seed, 900, Rebirths::Some) },
-    long_same_ids = { |seed| play(seed, 3_000, Rebirths::Some) },
+    stored_new_ids = { |seed| play_stored(seed, Restarts::NewIds) },
+    stored_same_ids = { |seed| play_stored(seed, Restarts::SameIds) },
+    stored_calls_end_with_their_incarnation = { |seed| play_stored(seed, Restarts::SameIdsWithoutDelayedCalls) },
+    short = { |seed| play(seed, 900, Restarts::NewIds) },
+    long = { |seed| play(seed, 3_000, Restarts::NewIds) },
+    short_same_ids = { |seed| play(seed, 900, Restarts::SameIds) },
+    long_same_ids = { |seed| play(seed, 3_000, Restarts::SameIds) },
 )]
 #[ignore = "takes minutes: by hand, with GANNETVANE_SEEDS and --nocapture"]
 fn rate_of_failing_seeds(play: fn(u64) -> Session) {
--- a/crates/dispatch/tests/late_binding.rs
+++ b/crates/dispatch/tests/late_binding.rs
@@ -90,7 +90,7 @@
     session.run(50);
     let waiting = session.submit(1, "waiting", PLACES, 300);
     session.run(20);
-    session.break_caller(left);
+    session.disconnect_caller(left);
     session.forget_caller(left);
     session.run_until_answered(first, 1_000);
     let ended_ms = session.now_ms;
--- a/crates/dispatch/tests/long_tasks.rs
+++ b/crates/dispatch/tests/long_tasks.rs
@@ -36,7 +36,7 @@
     let mut session = Session::new(1, 3);
     let job = session.submit_declared(0, "hanging", 3, DECLARED_MS, DECLARED_MS);
     for minion in &mut session.minions {
-        minion.behavior = Behavior::Hanging;
+        minion.behavior = Behavior::Stalled;
     }
     session.run(1_700);
     assert_eq!(session.outcome(job), Some(JobOutcome::TooLate));
--- a/crates/dispatch/tests/replay/main.rs
+++ b/crates/dispatch/tests/replay/main.rs
@@ -85,7 +85,7 @@
     let mut refused_ms: Vec<u64> = Vec::new();
     let (mut wasted, mut worked) = (0.0, 0.0);
     for (job, fate) in fates.iter().enumerate() {
-        let work = session.worked(&session.callers[job].id);
+        let work = session.work_of(&session.callers[job].id);
         worked += work;
         wasted += if *fate == Fate::InTime { 0.0 } else { work };
         if *fate == Fate::Refused {
@@ -123,10 +123,10 @@
 fn change_moods(session: &mut Session, pattern: &Pattern, passed_ms: u64) {
     for grey in &pattern.grey {
         let mood = match grey.mood {
-            _ if passed_ms == grey.until_ms => Behavior::Sound,
+            _ if passed_ms == grey.until_ms => Behavior::Healthy,
             _ if passed_ms != grey.from_ms => continue,
             GreyMood::Failing => Behavior::Failing,
-            GreyMood::Hanging => Behavior::Hanging,
+            GreyMood::Hanging => Behavior::Stalled,
         };
         for minion in grey.minions() {
             session.minions[minion].behavior = mood;
@@ -174,7 +174,7 @@
         if !is_loaded {
             return;
         }
-        self.refused_with_room += session.refused_with_room();
+        self.refused_with_room += session.refused_despite_free_resources();
         let (idle_milli, all_milli) = session.idle_milli();
         self.idle_milli += idle_milli;
         self.all_milli += all_milli;
--- a/crates/dispatch/tests/same_id_restarts.rs
+++ b/crates/dispatch/tests/same_id_restarts.rs
@@ -158,7 +158,7 @@
 fn highest_epoch(driver: &mut Driver, answer: &ListResult) -> u64 {
     let mut highest = 0;
     for _ in 0..20 {
-        for action in driver.pass(50) {
+        for action in driver.advance(50) {
             if let AgentAction::List {
                 call,
                 incarnation,
@@ -178,7 +178,7 @@
 #[test]
 fn the_next_life_is_shown_a_higher_epoch_though_the_time_of_day_was_set_back() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     let own = highest_epoch(&mut driver, &listing(Some(1_000), 5_000));
     driver.answer_with(&listing(Some(500), 100));
     assert_eq!(driver.agent.incarnation(), None);
@@ -190,7 +190,7 @@
 #[test]
 fn a_refusal_for_a_higher_epoch_raises_it_ever_faster() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     let mut highest = 0;
     let mut step = 0;
     for _ in 0..10 {
@@ -205,7 +205,7 @@
 #[test]
 fn a_clock_that_ran_back_tells_of_another_life() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     driver.answer_with(&listing(Some(1_000), 5_000));
     assert!(driver.agent.incarnation().is_some());
     driver.answer_with(&listing(Some(1_000), 900));
@@ -221,7 +221,7 @@
 #[test]
 fn a_late_report_of_a_life_that_ended_is_not_adopted() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     driver.answer_with(&listing(Some(2_000), 900));
     driver.report_incarnation(&incarnation_at(1_000));
     assert_eq!(driver.agent.incarnation(), None);
@@ -254,14 +254,14 @@
     let mut driver = Driver::new();
     driver.agent.minion_left("minion-1");
     assert!(!driver.is_accepting_starts(), "it may be gone");
-    driver.answer_listings(&driver::listed());
+    driver.answer_listings(&driver::empty_listing());
     assert!(driver.is_accepting_starts(), "it answered");
 }
 
 #[test]
 fn a_listing_of_another_life_ends_the_one_that_is_served() {
     let mut driver = Driver::new();
-    driver.starts(&["a"]);
+    driver.start_tasks(&["a"]);
     driver.answer_with(&listing(Some(2_000), 900));
     assert_eq!(driver.agent.incarnation(), None);
     assert_eq!(driver.agent.active_runs(), 0);
--- a/crates/dispatch/tests/session/crashes.rs
+++ b/crates/dispatch/tests/session/crashes.rs
@@ -14,7 +14,7 @@
 use super::Side;
 
 /// Time after which a minion that crashed is back, in milliseconds.
-const CRASH_DOWN_MS: u64 = 2_000;
+const RESTART_DELAY_MS: u64 = 2_000;
 
 /// Crashes that are about to come, and what minions have not read.
 #[derive(Debug, Default)]
@@ -22,9 +22,9 @@
     /// Lives that end at a time, with their agents.
     due: Vec<(u64, usize, Incarnation)>,
     /// Minions that read nothing any more, and when they crash.
-    stalled: Vec<(usize, u64)>,
+    unresponsive: Vec<(usize, u64)>,
     /// Starts that such a minion was sent.
-    unread: Vec<(usize, Incarnation, RunKey)>,
+    unread_starts: Vec<(usize, Incarnation, RunKey)>,
 }
 
 impl Session {
@@ -51,14 +51,14 @@
     fn replace_minion(&mut self, agent: usize, id: &str) {
         self.last_reports.insert(agent, self.report(agent));
         let next = self.new_minion(agent, id);
-        let past = std::mem::replace(&mut self.minions[agent], next);
-        self.break_holds(agent, &past);
-        self.ended_minions.push(past);
+        let ended = std::mem::replace(&mut self.minions[agent], next);
+        self.break_listings(agent, &ended);
+        self.ended_minions.push(ended);
     }
 
     /// The listings that wait at a minion end with its life: what it had to tell is on
     /// its way already, and the connections of the others break.
-    fn break_holds(&mut self, agent: usize, past: &FakeMinion) {
+    fn break_listings(&mut self, agent: usize, ended: &FakeMinion) {
         let pending_listings = std::mem::take(&mut self.pending_listings);
         let (broken, rest) = pending_listings
             .into_iter()
@@ -66,8 +66,8 @@
         self.pending_listings = rest;
         let broken: Vec<PendingListing> = broken;
         for pending in broken {
-            let result = match past.has_ends() && !self.is_unresponsive(agent) {
-                true => ListResult::Listed(past.list(self.now_ms, pending.epoch)),
+            let result = match ended.has_ends() && !self.is_unresponsive(agent) {
+                true => ListResult::Listed(ended.list(self.now_ms, pending.epoch)),
                 false => ListResult::Broken,
             };
             let event = Event::Listed(pending.incarnation, pending.call, result);
@@ -100,18 +100,18 @@
 
     /// Whether the minion stands still, with all that it runs.
     pub(super) fn is_unresponsive(&self, agent: usize) -> bool {
-        let mut stalled = self.due_crashes.stalled.iter();
-        stalled.any(|(other, _)| *other == agent)
+        let mut unresponsive = self.pending_crashes.unresponsive.iter();
+        unresponsive.any(|(other, _)| *other == agent)
     }
 
     /// The minion reads no more calls for this time, and then crashes.
-    pub fn hang_and_crash(&mut self, agent: usize, for_ms: u64) {
+    pub fn stop_responding_and_crash(&mut self, agent: usize, for_ms: u64) {
         let at_ms = self.now_ms + for_ms;
-        self.due_crashes.stalled.push((agent, at_ms));
+        self.pending_crashes.unresponsive.push((agent, at_ms));
     }
 
     /// Keeps a call that a stalled minion does not read; false if it reads it.
-    pub(super) fn leave_unread(&mut self, agent: usize, action: &AgentAction) -> bool {
+    pub(super) fn queue_if_unresponsive(&mut self, agent: usize, action: &AgentAction) -> bool {
         if !self.is_unresponsive(agent) {
             return false;
         }
@@ -119,8 +119,8 @@
             AgentAction::Start {
                 incarnation, key, ..
             } => {
-                let unread = (agent, incarnation.clone(), key.clone());
-                self.due_crashes.unread.push(unread);
+                let unread_start = (agent, incarnation.clone(), key.clone());
+                self.pending_crashes.unread_starts.push(unread_start);
             }
             AgentAction::List {
                 call,
@@ -142,7 +142,7 @@
 
     /// A task that crashes each minion was started: in the start, or some time later.
     /// Returns whether the start is answered.
-    pub(super) fn crash_by(
+    pub(super) fn crash_by_task(
         &mut self,
         agent: usize,
         incarnation: &Incarnation,
@@ -152,35 +152,41 @@
         if let Some(after_ms) = self.crash_after_ms {
             let incarnation = self.minions[agent].incarnation();
             let due = (self.now_ms + after_ms, agent, incarnation);
-            self.due_crashes.due.push(due);
+            self.pending_crashes.due.push(due);
             return true;
         }
         let broken = Event::Started(incarnation.clone(), key.clone(), StartResult::Broken);
         self.post(Side::Agent(agent), broken);
-        self.restart_with_same_id(agent, CRASH_DOWN_MS);
+        self.restart_with_same_id(agent, RESTART_DELAY_MS);
         false
     }
 
     /// Ends the lives that are due.
-    pub(super) fn crash_due(&mut self) {
+    pub(super) fn crash_due_minions(&mut self) {
         let now_ms = self.now_ms;
         let is_due = |(at_ms, ..): &mut (u64, usize, Incarnation)| *at_ms <= now_ms;
-        let due: Vec<_> = self.due_crashes.due.extract_if(.., is_due).collect();
+        let due: Vec<_> = self.pending_crashes.due.extract_if(.., is_due).collect();
         for (_, agent, incarnation) in due {
             if self.minions[agent].incarnation() == incarnation {
-                self.restart_with_same_id(agent, CRASH_DOWN_MS);
+                self.restart_with_same_id(agent, RESTART_DELAY_MS);
             }
         }
         let is_over = |(_, at_ms): &&(usize, u64)| *at_ms <= now_ms;
-        let stalled = self.due_crashes.stalled.iter();
-        let stalled: Vec<_> = stalled.filter(is_over).copied().collect();
-        for (agent, at_ms) in stalled {
-            let is_its = |(other, ..): &mut (usize, Incarnation, RunKey)| *other == agent;
-            let unread: Vec<_> = self.due_crashes.unread.extract_if(.., is_its).collect();
+        let unresponsive = self.pending_crashes.unresponsive.iter();
+        let unresponsive: Vec<_> = unresponsive.filter(is_over).copied().collect();
+        for (agent, at_ms) in unresponsive {
+            let is_for_agent = |(other, ..): &mut (usize, Incarnation, RunKey)| *other == agent;
+            let unread_starts: Vec<_> = self
+                .pending_crashes
+                .unread_starts
+                .extract_if(.., is_for_agent)
+                .collect();
             self.crash_minion_for(agent, 600);
             let over = (agent, at_ms);
-            self.due_crashes.stalled.retain(|other| *other != over);
-            for (_, incarnation, key) in unread {
+            self.pending_crashes
+                .unresponsive
+                .retain(|other| *other != over);
+            for (_, incarnation, key) in unread_starts {
                 let broken = Event::Started(incarnation, key, StartResult::Broken);
                 self.post(Side::Agent(agent), broken);
             }
--- a/crates/dispatch/tests/session/evacuation.rs
+++ b/crates/dispatch/tests/session/evacuation.rs
@@ -22,27 +22,27 @@
 
 impl Session {
     /// An entry learns which zones are being emptied, from wherever.
-    pub fn send_evacuations(&mut self, entry: usize, told: &Evacuations) {
+    pub fn send_evacuations(&mut self, entry: usize, evacuations: &Evacuations) {
         let process = &mut self.entries[entry];
-        process.core.dispatcher.evacuate(self.now_ms, told);
+        process.core.dispatcher.evacuate(self.now_ms, evacuations);
         process.due_ms = self.now_ms;
     }
 
-    pub fn send_evacuations_to_all(&mut self, told: &Evacuations) {
-        self.evacuated = told.zones.iter().map(ToString::to_string).collect();
+    pub fn send_evacuations_to_all(&mut self, evacuations: &Evacuations) {
+        self.evacuated = evacuations.zones.iter().map(ToString::to_string).collect();
         for entry in 0..self.entries.len() {
-            self.send_evacuations(entry, told);
+            self.send_evacuations(entry, evacuations);
         }
     }
 
     /// Calls to start a task in a zone after a moment.
-    pub fn start_calls_in(&self, name: &str, after_ms: u64) -> usize {
+    pub fn start_calls_in_zone(&self, name: &str, after_ms: u64) -> usize {
         let is_there = |call: &&ObservedStart| zone(call.agent) == name && call.at_ms > after_ms;
         self.start_calls.iter().filter(is_there).count()
     }
 
     /// Tasks begun in a zone after a moment.
-    pub fn starts_in(&self, name: &str, after_ms: u64) -> usize {
+    pub fn starts_in_zone(&self, name: &str, after_ms: u64) -> usize {
         let is_there = |start: &&ObservedStart| zone(start.agent) == name && start.at_ms > after_ms;
         self.answered_starts.iter().filter(is_there).count()
     }
--- a/crates/dispatch/tests/session/failures.rs
+++ b/crates/dispatch/tests/session/failures.rs
@@ -7,7 +7,7 @@
 use super::Session;
 
 /// Minions that must have crashed under a task before its job may be given up.
-const CRASHES_OF_A_FAILED_TASK: u32 = 2;
+const MIN_CRASHES_TO_FAIL: u32 = 2;
 
 impl Session {
     /// Notes a job that was told as failed, unless a task of it failed as often as its
@@ -16,9 +16,7 @@
         let crashes = self.crashes_under(id);
         let failures = self.failures_of(id);
         let attempts = self.queues[0].max_attempts;
-        let has_crashed = crashes
-            .values()
-            .any(|times| *times >= CRASHES_OF_A_FAILED_TASK);
+        let has_crashed = crashes.values().any(|times| *times >= MIN_CRASHES_TO_FAIL);
         let has_failed = failures.values().any(|times| *times >= attempts);
         if !has_crashed && !has_failed {
             let what = format!("{} ms: {id}: {crashes:?} {failures:?}", self.now_ms);
--- a/crates/dispatch/tests/session/log.rs
+++ b/crates/dispatch/tests/session/log.rs
@@ -52,7 +52,7 @@
 pub struct FakeLog {
     partitions: BTreeMap<Partition, FakePartition>,
     group: Group,
-    late: Vec<(u64, Append)>,
+    delayed: Vec<(u64, Append)>,
     /// Calls of each kind.
     pub joins: usize,
     pub appends: usize,
@@ -62,12 +62,12 @@
     pub fn join(&mut self, now_ms: u64, member: &str, generation: u64) -> Assignment {
         self.joins += 1;
         let ttl_ms = MEMBER_TTL_MS;
-        let (generation, parts) = self
+        let (generation, partitions) = self
             .group
             .join(now_ms, member, generation, ttl_ms, PARTITIONS);
         Assignment {
             generation,
-            partitions: parts.into_iter().map(Partition).collect(),
+            partitions: partitions.into_iter().map(Partition).collect(),
         }
     }
 
@@ -109,8 +109,8 @@
             Some(next) if append.number != next => return AppendResult::UnexpectedNumber(next),
             _ => {}
         }
-        let is_elsewhere = |end: u64| end != partition.end;
-        if append.expected_end.is_some_and(is_elsewhere) {
+        let is_unexpected = |end: u64| end != partition.end;
+        if append.expected_end.is_some_and(is_unexpected) {
             return AppendResult::UnexpectedEnd;
         }
         partition.end += append.records.len() as u64;
@@ -128,8 +128,8 @@
     }
 
     /// An append is carried out later, if it is not fenced by then.
-    pub fn append_late(&mut self, at_ms: u64, append: Append) {
-        self.late.push((at_ms, append));
+    pub fn append_delayed(&mut self, at_ms: u64, append: Append) {
+        self.delayed.push((at_ms, append));
     }
 
     pub fn newest(&self, partition: Partition) -> Vec<LogRecord> {
@@ -144,9 +144,9 @@
 
     /// Carries out what was late.
     pub fn tick(&mut self, now_ms: u64) {
-        let late = std::mem::take(&mut self.late);
-        let (due, rest): (Vec<_>, Vec<_>) = late.into_iter().partition(|(at, _)| *at <= now_ms);
-        self.late = rest;
+        let delayed = std::mem::take(&mut self.delayed);
+        let (due, rest): (Vec<_>, Vec<_>) = delayed.into_iter().partition(|(at, _)| *at <= now_ms);
+        self.delayed = rest;
         for (_, append) in due {
             self.append(&append);
         }
--- a/crates/dispatch/tests/session/minion.rs
+++ b/crates/dispatch/tests/session/minion.rs
@@ -31,11 +31,11 @@
 pub enum Behavior {
     /// Works at its speed.
     #[default]
-    Sound,
+    Healthy,
     /// Fails all that it starts at once.
     Failing,
     /// Runs make no progress.
-    Hanging,
+    Stalled,
     /// Works this many times slower.
     Slow(f64),
 }
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 struct Work {
     needs: Resources,
-    left_ms: f64,
+    remaining_ms: f64,
     total_ms: f64,
     stop_at_ms: Option<u64>,
 }
@@ -60,19 +60,19 @@
     pub clock_rate: f64,
     pub overcommits: usize,
     /// Work for each job, in thousandths of a core by milliseconds.
-    pub worked: BTreeMap<String, f64>,
+    pub work_by_job: BTreeMap<String, f64>,
     pub done: Vec<RunKey>,
     /// Runs of stored tasks that were started, and when.
-    pub started: Vec<(RunKey, u64)>,
+    pub stored_starts: Vec<(RunKey, u64)>,
     /// Runs whose start was carried out late.
-    pub started_late: Vec<RunKey>,
+    pub delayed_starts: Vec<RunKey>,
     /// Done runs of stored tasks whose end counts, and when they ended.
     pub counted_ends: Vec<(RunKey, u64)>,
     /// Times that a run of each task failed here.
     pub failures: BTreeMap<TaskId, u32>,
     /// Ends without an acknowledgement, and whether the lease lapsed since.
-    uncounted_ends: BTreeMap<u64, (RunKey, u64, bool)>,
-    born_ms: u64,
+    unacknowledged_ends: BTreeMap<u64, (RunKey, u64, bool)>,
+    started_ms: u64,
     /// Whether it tells when its life began.
     pub reports_start_time: bool,
     /// The birth that it tells, if that is not its own.
@@ -81,15 +81,15 @@
     pub is_host_down: bool,
     /// The room that it had before the present one, and until when a start may go
     /// by that.
-    former: Option<(Resources, u64)>,
+    former_capacity: Option<(Resources, u64)>,
     /// When it takes calls: its host starts it some time after its last life.
     pub up_at_ms: u64,
     epoch: u64,
     lease_until_ms: u64,
-    works: BTreeMap<RunKey, Work>,
-    highest: BTreeMap<TaskId, u32>,
+    active_runs: BTreeMap<RunKey, Work>,
+    highest_runs: BTreeMap<TaskId, u32>,
     ended: Vec<EndedRun>,
-    ends: u64,
+    last_end_number: u64,
     last_tick_ms: u64,
 }
 
@@ -99,49 +99,49 @@
             instance: instance.to_owned(),
             capacity,
             speed: 1.0,
-            behavior: Behavior::Sound,
+            behavior: Behavior::Healthy,
             clock_rate: 1.0,
             overcommits: 0,
-            worked: BTreeMap::new(),
+            work_by_job: BTreeMap::new(),
             done: Vec::new(),
-            started: Vec::new(),
-            started_late: Vec::new(),
+            stored_starts: Vec::new(),
+            delayed_starts: Vec::new(),
             counted_ends: Vec::new(),
             failures: BTreeMap::new(),
-            uncounted_ends: BTreeMap::new(),
-            born_ms: now_ms,
+            unacknowledged_ends: BTreeMap::new(),
+            started_ms: now_ms,
             reports_start_time: false,
             reported_start_unix_ms: None,
             is_host_down: false,
-            former: None,
+            former_capacity: None,
             up_at_ms: now_ms,
             epoch: 0,
             lease_until_ms: 0,
-            works: BTreeMap::new(),
-            highest: BTreeMap::new(),
+            active_runs: BTreeMap::new(),
+            highest_runs: BTreeMap::new(),
             ended: Vec::new(),
-            ends: 0,
+            last_end_number: 0,
             last_tick_ms: now_ms,
         }
     }
 
     /// Its id, and its birth if it tells that.
     pub fn incarnation(&self) -> Incarnation {
-        let own_ms = FIRST_START_UNIX_MS + self.born_ms;
-        let told_ms = self.reported_start_unix_ms.unwrap_or(own_ms);
-        let started_unix_ms = self.reports_start_time.then_some(told_ms);
+        let own_ms = FIRST_START_UNIX_MS + self.started_ms;
+        let reported_ms = self.reported_start_unix_ms.unwrap_or(own_ms);
+        let started_unix_ms = self.reports_start_time.then_some(reported_ms);
         Incarnation::new(self.instance.as_str().into(), started_unix_ms)
     }
 
     /// It has other room from now on.
     pub fn resize(&mut self, now_ms: u64, capacity: Resources) {
-        let former = std::mem::replace(&mut self.capacity, capacity);
-        self.former = Some((former, now_ms + RESIZE_GRACE_MS));
+        let former_capacity = std::mem::replace(&mut self.capacity, capacity);
+        self.former_capacity = Some((former_capacity, now_ms + RESIZE_GRACE_MS));
     }
 
     /// Number of a report; each life counts anew.
     pub fn sequence(&self, now_ms: u64) -> u64 {
-        now_ms - self.born_ms
+        now_ms - self.started_ms
     }
 
     /// The highest epoch that it has seen.
@@ -156,17 +156,17 @@
     }
 
     pub fn clock_ms(&self, now_ms: u64) -> u64 {
-        1_000 + ((now_ms - self.born_ms) as f64 * self.clock_rate) as u64
+        1_000 + ((now_ms - self.started_ms) as f64 * self.clock_rate) as u64
     }
 
     pub fn running(&self) -> impl Iterator<Item = &RunKey> {
-        self.works.keys()
+        self.active_runs.keys()
     }
 
     /// Room that no run takes.
     pub fn free(&self) -> Resources {
-        let works = self.works.values();
-        works.fold(self.capacity, |free, work| free.minus(&work.needs))
+        let active_runs = self.active_runs.values();
+        active_runs.fold(self.capacity, |free, work| free.minus(&work.needs))
     }
 
     /// Starts a run; `needs` and `work_ms` stand for what the text would say.
@@ -184,11 +184,11 @@
             return StartResult::Fenced;
         }
         self.epoch = epoch;
-        if self.works.contains_key(key) {
+        if self.active_runs.contains_key(key) {
             return StartResult::Started;
         }
         if self
-            .highest
+            .highest_runs
             .get(&key.task)
             .is_some_and(|run| key.run <= *run)
         {
@@ -202,23 +202,26 @@
             self.end(key.clone(), RunEnd::Failed);
             return StartResult::Started;
         }
-        let taken = self.works.values();
+        let taken = self.active_runs.values();
         let taken = taken.fold(needs, |sum, work| sum.plus(&work.needs));
-        let former = self.former.filter(|(_, until_ms)| now_ms < *until_ms);
-        let counted = former.map_or(self.capacity, |(room, _)| room.max(&self.capacity));
+        let former_capacity = self
+            .former_capacity
+            .filter(|(_, until_ms)| now_ms < *until_ms);
+        let counted =
+            former_capacity.map_or(self.capacity, |(capacity, _)| capacity.max(&self.capacity));
         if !counted.can_fit(&taken) {
             self.overcommits += 1;
         }
         if key.run >= FIRST_STORED_RUN {
-            self.started.push((key.clone(), now_ms));
+            self.stored_starts.push((key.clone(), now_ms));
         }
         let work = Work {
             needs,
-            left_ms: work_ms,
+            remaining_ms: work_ms,
             total_ms: work_ms,
             stop_at_ms: None,
         };
-        self.works.insert(key.clone(), work);
+        self.active_runs.insert(key.clone(), work);
         StartResult::Started
     }
 
@@ -228,11 +231,11 @@
             return false;
         }
         self.epoch = epoch;
-        let highest = self.highest.entry(key.task.clone()).or_insert(0);
-        if !self.works.contains_key(key) {
-            *highest = (*highest).max(key.run);
+        let highest_run = self.highest_runs.entry(key.task.clone()).or_insert(0);
+        if !self.active_runs.contains_key(key) {
+            *highest_run = (*highest_run).max(key.run);
         }
-        if let Some(work) = self.works.get_mut(key) {
+        if let Some(work) = self.active_runs.get_mut(key) {
             work.stop_at_ms.get_or_insert(now_ms + STOP_MS);
         }
         true
@@ -256,9 +259,11 @@
         }
         self.ended
             .retain(|ended| ended.number > acknowledged_through);
-        let uncounted_ends = self.uncounted_ends.split_off(&(acknowledged_through + 1));
+        let unacknowledged_ends = self
+            .unacknowledged_ends
+            .split_off(&(acknowledged_through + 1));
         for (_, (key, ended_ms, is_lapsed)) in
-            std::mem::replace(&mut self.uncounted_ends, uncounted_ends)
+            std::mem::replace(&mut self.unacknowledged_ends, unacknowledged_ends)
         {
             if !is_lapsed {
                 self.counted_ends.push((key, ended_ms));
@@ -274,9 +279,9 @@
                 ..Listing::default()
             };
         }
-        let running = self.works.iter().map(|(key, work)| ActiveRun {
+        let running = self.active_runs.iter().map(|(key, work)| ActiveRun {
             key: Some(key.clone()),
-            percent: (100.0 * (1.0 - work.left_ms / work.total_ms)) as u8,
+            percent: (100.0 * (1.0 - work.remaining_ms / work.total_ms)) as u8,
         });
         Listing {
             started_unix_ms: self.incarnation().started_unix_ms(),
@@ -295,52 +300,56 @@
         let passed_ms = (now_ms - self.last_tick_ms) as f64;
         self.last_tick_ms = now_ms;
         let speed = match self.behavior {
-            Behavior::Hanging => 0.0,
+            Behavior::Stalled => 0.0,
             Behavior::Slow(factor) => self.speed / factor,
             _ => self.speed,
         };
         let is_lapsed = self.clock_ms(now_ms) > self.lease_until_ms;
         if is_lapsed {
-            for (_, _, was_lapsed) in self.uncounted_ends.values_mut() {
+            for (_, _, was_lapsed) in self.unacknowledged_ends.values_mut() {
                 *was_lapsed = true;
             }
         }
         let mut ended = Vec::new();
-        for (key, work) in &mut self.works {
-            work.left_ms -= passed_ms * speed;
+        for (key, work) in &mut self.active_runs {
+            work.remaining_ms -= passed_ms * speed;
             if passed_ms > 0.0 {
-                let worked = self.worked.entry(key.task.job.to_string()).or_default();
-                *worked += passed_ms * f64::from(work.needs.cpu_milli);
+                let job_work = self
+                    .work_by_job
+                    .entry(key.task.job.to_string())
+                    .or_default();
+                *job_work += passed_ms * f64::from(work.needs.cpu_milli);
             }
             if work.stop_at_ms.is_some_and(|at_ms| now_ms >= at_ms) {
                 ended.push((key.clone(), RunEnd::Stopped));
             } else if is_lapsed {
                 ended.push((key.clone(), RunEnd::Lost));
-            } else if work.left_ms <= 0.0 {
+            } else if work.remaining_ms <= 0.0 {
                 ended.push((key.clone(), RunEnd::Done));
             }
         }
         for (key, end) in ended {
-            self.works.remove(&key);
+            self.active_runs.remove(&key);
             self.end(key, end);
         }
     }
 
     fn end(&mut self, key: RunKey, end: RunEnd) {
-        let highest = self.highest.entry(key.task.clone()).or_insert(0);
-        *highest = (*highest).max(key.run);
+        let highest_run = self.highest_runs.entry(key.task.clone()).or_insert(0);
+        *highest_run = (*highest_run).max(key.run);
         match end {
             RunEnd::Done => self.done.push(key.clone()),
             RunEnd::Failed => *self.failures.entry(key.task.clone()).or_insert(0) += 1,
             _ => {}
         }
-        self.ends += 1;
+        self.last_end_number += 1;
         if end == RunEnd::Done && key.run >= FIRST_STORED_RUN {
-            let uncounted_ends = (key.clone(), self.last_tick_ms, false);
-            self.uncounted_ends.insert(self.ends, uncounted_ends);
+            let unacknowledged_end = (key.clone(), self.last_tick_ms, false);
+            self.unacknowledged_ends
+                .insert(self.last_end_number, unacknowledged_end);
         }
         self.ended.push(EndedRun {
-            number: self.ends,
+            number: self.last_end_number,
             key: Some(key),
             end,
         });
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -77,31 +77,31 @@
 /// One-way delay between processes, in milliseconds.
 const DELAY_MS: u64 = 1;
 /// Time after which an order without an answer is given up by its sender.
-const ORDER_TIMEOUT_MS: u64 = 50;
+const CALL_TIMEOUT_MS: u64 = 50;
 /// Pause between two reports of a minion.
 const REPORT_INTERVAL_MS: u64 = 1_500;
 /// Pause before a report that found no agent is sent again.
 const REPORT_RETRY_MS: u64 = 100;
 /// Pause after which a caller whose connection broke sends its job again.
-const RESEND_MS: u64 = 1_300;
+const RESEND_DELAY_MS: u64 = 1_300;
 /// Time after which a lost stop is carried out.
-const LOST_STOP_MS: u64 = 9_000;
+const STOP_DELAY_MS: u64 = 9_000;
 /// Time after which a call is carried out that never is.
-const NEVER_MS: u64 = 1_000_000;
+const ENDLESS_DELAY_MS: u64 = 1_000_000;
 /// Pause of an agent between attempts to connect.
-const DIAL_MS: u64 = 25;
+const DIAL_INTERVAL_MS: u64 = 25;
 
 /// Time that a listing is on its way which was made when its call came.
-const HELD_BACK_MS: u64 = 20;
+const MAX_LISTING_DELAY_MS: u64 = 20;
 /// Longest time that a listing waits for an end, in milliseconds.
 const MAX_LIST_WAIT_MS: u64 = 2_000;
 
 /// Pause between two looks for refused jobs that ran; what ran is remembered.
-const REFUSED_CHECK_MS: u64 = 200;
+const REFUSED_CHECK_INTERVAL_MS: u64 = 200;
 
 /// Callers, the latest ones, among which those without an answer are looked
 /// for.
-const OPEN_CALLERS: usize = 2_000;
+const RECENT_CALLERS: usize = 2_000;
 
 pub const TASK_RESOURCES: Resources = Resources {
     cpu_milli: 1_600,
@@ -168,7 +168,7 @@
     due_ms: u64,
     suspended_until_ms: u64,
     down_until_ms: u64,
-    runs: u64,
+    start_number: u64,
 }
 
 impl<C> Process<C> {
@@ -176,7 +176,7 @@
         now_ms >= self.down_until_ms
     }
 
-    fn runs_now(&self, now_ms: u64) -> bool {
+    fn is_running(&self, now_ms: u64) -> bool {
         self.is_up(now_ms) && now_ms >= self.suspended_until_ms
     }
 }
@@ -251,7 +251,7 @@
     links: BTreeMap<LinkId, Link>,
     next_link: u64,
     next_caller: u64,
-    wires: Vec<(u64, u64, Side, Event)>,
+    in_flight: Vec<(u64, u64, Side, Event)>,
     sequence: u64,
     cuts: BTreeSet<(usize, usize)>,
     delayed_calls: Vec<DelayedCall>,
@@ -276,15 +276,15 @@
     pub stored: Vec<StoredView>,
     /// Lifetimes of minions that ended.
     ended_minions: Vec<FakeMinion>,
-    kinds: Vec<MinionKind>,
+    minion_kinds: Vec<MinionKind>,
     /// The entries that each agent keeps a link to, as in the product.
-    chosen: Vec<Vec<usize>>,
+    link_targets: Vec<Vec<usize>>,
     queues: Vec<Arc<Queue>>,
     policy: fn() -> BoxedPolicy,
     /// Jobs that are not all of one kind.
     shapes: BTreeMap<String, JobShape>,
     /// Tasks that were started, for each job.
-    started: BTreeMap<String, BTreeSet<u32>>,
+    started_tasks: BTreeMap<String, BTreeSet<u32>>,
     /// Whether minions are as prompt as real ones: a listing waits for an end,
     /// and a report that found no agent is sent again soon. Otherwise a listing
     /// is made when it is asked for, ends are told up to 20 ms late, and a
@@ -301,14 +301,14 @@
     pub crashes: BTreeMap<String, usize>,
     /// How long after an answered start they do; in the start itself if not set.
     pub crash_after_ms: Option<u64>,
-    due_crashes: PendingCrashes,
+    pending_crashes: PendingCrashes,
     /// The last crash that an entry told another one.
     sent_crashes: BTreeMap<(usize, usize), u64>,
     /// The run of each agent and the lifetime of its minion that were last
     /// brought together by a report.
     reported: BTreeMap<usize, (u64, String)>,
     /// Callers that were refused since they were last looked at.
-    just_refused: Vec<usize>,
+    newly_refused: Vec<usize>,
     /// Zones that all entries know to be emptied.
     evacuated: BTreeSet<String>,
     /// All starts that were answered in time.
@@ -316,7 +316,7 @@
     /// All calls to start a task, answered or not.
     pub start_calls: Vec<ObservedStart>,
     /// What agents noted, by event.
-    pub notes: BTreeMap<&'static str, usize>,
+    pub event_counts: BTreeMap<&'static str, usize>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -337,11 +337,11 @@
     /// A session of one agent for each minion; `policy` makes that of an entry.
     pub fn with_minions(
         entries: usize,
-        kinds: Vec<MinionKind>,
+        minion_kinds: Vec<MinionKind>,
         queues: Vec<Arc<Queue>>,
         policy: fn() -> BoxedPolicy,
     ) -> Self {
-        let agents = kinds.len();
+        let agents = minion_kinds.len();
         let mut session = Self {
             now_ms: 0,
             entries: Vec::new(),
@@ -350,7 +350,7 @@
             links: BTreeMap::new(),
             next_link: 1,
             next_caller: 1,
-            wires: Vec::new(),
+            in_flight: Vec::new(),
             sequence: 0,
             cuts: BTreeSet::new(),
             delayed_calls: Vec::new(),
@@ -367,12 +367,14 @@
             log_outcome: Box::new(|_, _| LogCallOutcome::Served),
             stored: Vec::new(),
             ended_minions: Vec::new(),
-            chosen: (0..agents).map(|agent| chosen(agent, entries)).collect(),
-            kinds,
+            link_targets: (0..agents)
+                .map(|agent| link_targets(agent, entries))
+                .collect(),
+            minion_kinds,
             queues,
             policy,
             shapes: BTreeMap::new(),
-            started: BTreeMap::new(),
+            started_tasks: BTreeMap::new(),
             has_prompt_minions: false,
             pending_listings: Vec::new(),
             has_start_times: false,
@@ -380,14 +382,14 @@
             crashing: BTreeSet::new(),
             crashes: BTreeMap::new(),
             crash_after_ms: None,
-            due_crashes: PendingCrashes::default(),
+            pending_crashes: PendingCrashes::default(),
             sent_crashes: BTreeMap::new(),
             reported: BTreeMap::new(),
-            just_refused: Vec::new(),
+            newly_refused: Vec::new(),
             evacuated: BTreeSet::new(),
             answered_starts: Vec::new(),
             start_calls: Vec::new(),
-            notes: BTreeMap::new(),
+            event_counts: BTreeMap::new(),
         };
         for entry in 0..entries {
             let process = session.new_entry(entry, 1);
@@ -403,11 +405,11 @@
         session
     }
 
-    fn new_entry(&self, entry: usize, runs: u64) -> Process<EntryCore> {
+    fn new_entry(&self, entry: usize, start_number: u64) -> Process<EntryCore> {
         let settings = DispatcherSettings {
             zone: zone(entry).into(),
             remote_factor: 1.5,
-            seed: entry as u64 * 1_000 + runs,
+            seed: entry as u64 * 1_000 + start_number,
         };
         let mut dispatcher = Dispatcher::with_policy(settings, (self.policy)(), self.now_ms);
         dispatcher.configure(RoutingTable {
@@ -427,21 +429,21 @@
             due_ms: self.now_ms,
             suspended_until_ms: 0,
             down_until_ms: 0,
-            runs,
+            start_number,
         }
     }
 
     fn new_minion(&self, agent: usize, instance: &str) -> FakeMinion {
-        let kind = self.kinds[agent];
+        let kind = self.minion_kinds[agent];
         let mut minion = FakeMinion::new(self.now_ms, instance, kind.capacity);
         minion.speed = kind.speed;
         minion.reports_start_time = self.has_start_times;
         minion
     }
 
-    fn new_agent(&self, agent: usize, runs: u64) -> Process<Agent> {
+    fn new_agent(&self, agent: usize, start_number: u64) -> Process<Agent> {
         let identity = AgentIdentity {
-            node: NodeId(agent as u64 * 1_000 + runs),
+            node: NodeId(agent as u64 * 1_000 + start_number),
             host: host(agent).into(),
             zone: zone(agent).into(),
         };
@@ -451,7 +453,7 @@
             due_ms: self.now_ms,
             suspended_until_ms: 0,
             down_until_ms: 0,
-            runs,
+            start_number,
         }
     }
 
@@ -504,7 +506,7 @@
         state.entry = entry;
         state.resend_at_ms = None;
         if !self.entries[entry].is_up(now_ms) {
-            state.resend_at_ms = Some(now_ms + RESEND_MS);
+            state.resend_at_ms = Some(now_ms + RESEND_DELAY_MS);
             return;
         }
         let caller = CallerId(self.next_caller);
@@ -534,18 +536,18 @@
     }
 
     /// A caller closes its connection and sends the job again to another entry.
-    pub fn break_caller(&mut self, position: usize) {
+    pub fn disconnect_caller(&mut self, position: usize) {
         let state = &mut self.callers[position];
         if let Some(caller) = state.caller.take() {
-            state.resend_at_ms = Some(self.now_ms + RESEND_MS);
+            state.resend_at_ms = Some(self.now_ms + RESEND_DELAY_MS);
             let entry = state.entry;
             self.post(Side::Entry(entry), Event::CallerLeft(caller));
         }
     }
 
     /// The same, and the job comes again at once.
-    pub fn break_caller_and_resend(&mut self, position: usize) {
-        self.break_caller(position);
+    pub fn disconnect_caller_and_resend(&mut self, position: usize) {
+        self.disconnect_caller(position);
         self.callers[position].resend_at_ms = Some(self.now_ms + 2 * DELAY_MS);
     }
 
@@ -566,22 +568,22 @@
 
     /// Kills an entry; its callers' connections break.
     pub fn kill_entry(&mut self, entry: usize, for_ms: u64) {
-        let runs = self.entries[entry].runs + 1;
-        self.entries[entry] = self.new_entry(entry, runs);
+        let start_number = self.entries[entry].start_number + 1;
+        self.entries[entry] = self.new_entry(entry, start_number);
         self.entries[entry].down_until_ms = self.now_ms + for_ms;
         self.sent_crashes
             .retain(|(from, to), _| *from != entry && *to != entry);
         self.break_links(|link| link.entry == entry, Side::Entry(entry));
         for state in &mut self.callers {
             if state.entry == entry && state.outcome.is_none() && state.caller.take().is_some() {
-                state.resend_at_ms = Some(self.now_ms + RESEND_MS);
+                state.resend_at_ms = Some(self.now_ms + RESEND_DELAY_MS);
             }
         }
     }
 
     pub fn kill_agent(&mut self, agent: usize, for_ms: u64) {
-        let runs = self.agents[agent].runs + 1;
-        self.agents[agent] = self.new_agent(agent, runs);
+        let start_number = self.agents[agent].start_number + 1;
+        self.agents[agent] = self.new_agent(agent, start_number);
         self.agents[agent].down_until_ms = self.now_ms + for_ms;
         self.break_links(|link| link.agent == agent, Side::Agent(agent));
     }
@@ -681,7 +683,7 @@
 
     fn post_at(&mut self, at_ms: u64, to: Side, event: Event) {
         self.sequence += 1;
-        self.wires.push((at_ms, self.sequence, to, event));
+        self.in_flight.push((at_ms, self.sequence, to, event));
     }
 
     /// Advances the clock, a millisecond at a time.
@@ -703,11 +705,11 @@
     }
 
     fn step(&mut self) {
-        self.crash_due();
+        self.crash_due_minions();
         self.report_minions();
         self.dial();
         self.deliver();
-        self.carry_out_late();
+        self.carry_out_delayed_calls();
         self.resend();
         self.log.tick(self.now_ms);
         self.run_stored_callers();
@@ -721,7 +723,7 @@
         for entry in 0..self.entries.len() {
             self.run_entry(entry);
         }
-        self.check();
+        self.check_invariants();
     }
 
     fn report(&self, agent: usize) -> MinionReport {
@@ -741,9 +743,12 @@
     /// Whether the present run of an agent has a report of the present lifetime
     /// of its minion.
     fn is_reported(&self, agent: usize) -> bool {
-        let (runs, instance) = (self.agents[agent].runs, &self.minions[agent].instance);
+        let (start_number, instance) = (
+            self.agents[agent].start_number,
+            &self.minions[agent].instance,
+        );
         let reported = self.reported.get(&agent);
-        reported.is_some_and(|(known, reported)| *known == runs && reported == instance)
+        reported.is_some_and(|(known, reported)| *known == start_number && reported == instance)
     }
 
     fn report_minions(&mut self) {
@@ -756,9 +761,9 @@
                 && self.agents[agent].is_up(self.now_ms)
                 && self.now_ms >= self.minions[agent].up_at_ms
             {
-                let runs = self.agents[agent].runs;
+                let start_number = self.agents[agent].start_number;
                 self.reported
-                    .insert(agent, (runs, self.minions[agent].instance.clone()));
+                    .insert(agent, (start_number, self.minions[agent].instance.clone()));
                 let report = self.report(agent);
                 self.post(Side::Agent(agent), Event::Reported(report));
             }
@@ -772,7 +777,7 @@
             .map(|link| (link.agent, link.entry))
             .collect();
         for agent in 0..self.agents.len() {
-            for entry in self.chosen[agent].clone() {
+            for entry in self.link_targets[agent].clone() {
                 if !linked.contains(&(agent, entry)) {
                     self.dial_entry(agent, entry);
                 }
@@ -782,10 +787,10 @@
 
     fn dial_entry(&mut self, agent: usize, entry: usize) {
         let dialed_ms = self.dialed_ms.get(&(agent, entry)).copied().unwrap_or(0);
-        let is_possible = self.agents[agent].runs_now(self.now_ms)
+        let is_possible = self.agents[agent].is_running(self.now_ms)
             && self.entries[entry].is_up(self.now_ms)
             && !self.cuts.contains(&(entry, agent));
-        if is_possible && self.now_ms >= dialed_ms + DIAL_MS {
+        if is_possible && self.now_ms >= dialed_ms + DIAL_INTERVAL_MS {
             self.dialed_ms.insert((agent, entry), self.now_ms);
             self.dials += 1;
             let id = LinkId(self.next_link);
@@ -809,11 +814,11 @@
 
     /// Moves what arrived to the inboxes; what is cut off is held up.
     fn deliver(&mut self) {
-        let wires = std::mem::take(&mut self.wires);
-        let (mut due, rest): (Vec<_>, Vec<_>) = wires
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (mut due, rest): (Vec<_>, Vec<_>) = in_flight
             .into_iter()
             .partition(|(at_ms, _, to, event)| *at_ms <= self.now_ms && !self.is_cut(*to, event));
-        self.wires = rest;
+        self.in_flight = rest;
         due.sort_by_key(|(_, sequence, ..)| *sequence);
         for (_, _, to, event) in due {
             if let Event::LinkDown(link) = &event {
@@ -846,7 +851,7 @@
     fn run_agent(&mut self, agent: usize) {
         let now_ms = self.now_ms;
         let process = &mut self.agents[agent];
-        if !process.runs_now(now_ms) || (process.inbox.is_empty() && now_ms < process.due_ms) {
+        if !process.is_running(now_ms) || (process.inbox.is_empty() && now_ms < process.due_ms) {
             return;
         }
         for event in std::mem::take(&mut process.inbox) {
@@ -885,11 +890,12 @@
         }
         match action {
             AgentAction::Start { .. } | AgentAction::Stop { .. } | AgentAction::List { .. } => {
-                let is_lost_stop = self.delays_stops && matches!(action, AgentAction::Stop { .. });
+                let is_delayed_stop =
+                    self.delays_stops && matches!(action, AgentAction::Stop { .. });
                 match (self.call_delay)(self.now_ms, agent) {
-                    None if is_lost_stop => self.answer_nothing(agent, &action, LOST_STOP_MS),
+                    None if is_delayed_stop => self.delay_call(agent, &action, STOP_DELAY_MS),
                     None => self.carry_out(agent, &action, true),
-                    Some(late_ms) => self.answer_nothing(agent, &action, late_ms),
+                    Some(delay_ms) => self.delay_call(agent, &action, delay_ms),
                 }
             }
             AgentAction::Greet(link, hello) => {
@@ -905,8 +911,8 @@
                 }
             }
             AgentAction::Event(event) => {
-                self.print(&format!("agent {agent} {event:?}"));
-                *self.notes.entry(event.event).or_default() += 1;
+                self.trace(&format!("agent {agent} {event:?}"));
+                *self.event_counts.entry(event.event).or_default() += 1;
             }
             AgentAction::Entries(_) => {}
         }
@@ -918,13 +924,13 @@
         }
     }
 
-    fn answer_nothing(&mut self, agent: usize, action: &AgentAction, late_ms: u64) {
+    fn delay_call(&mut self, agent: usize, action: &AgentAction, delay_ms: u64) {
         self.delayed_calls.push(DelayedCall {
-            at_ms: self.now_ms + late_ms,
+            at_ms: self.now_ms + delay_ms,
             agent,
             action: action.clone(),
         });
-        let at_ms = self.now_ms + ORDER_TIMEOUT_MS;
+        let at_ms = self.now_ms + CALL_TIMEOUT_MS;
         let answer = match action {
             AgentAction::Start {
                 incarnation, key, ..
@@ -956,7 +962,7 @@
         self.post(Side::Agent(agent), answer);
     }
 
-    fn carry_out_late(&mut self) {
+    fn carry_out_delayed_calls(&mut self) {
         let delayed_calls = std::mem::take(&mut self.delayed_calls);
         let (due, rest): (Vec<_>, Vec<_>) = delayed_calls
             .into_iter()
@@ -964,7 +970,8 @@
         self.delayed_calls = rest;
         for call in due {
             let incarnation = self.minions[call.agent].incarnation();
-            if self.drops_calls_of_ended_incarnations && target(&call.action) != Some(&incarnation)
+            if self.drops_calls_of_ended_incarnations
+                && target_incarnation(&call.action) != Some(&incarnation)
             {
                 continue;
             }
@@ -983,17 +990,17 @@
         };
         if now_ms < minion.up_at_ms {
             if is_answered && minion.is_host_down {
-                self.answer_nothing(agent, action, NEVER_MS);
+                self.delay_call(agent, action, ENDLESS_DELAY_MS);
             } else if is_answered {
                 self.refuse_connection(agent, action);
             }
             return;
         }
-        if is_answered && self.leave_unread(agent, action) {
+        if is_answered && self.queue_if_unresponsive(agent, action) {
             return;
         }
         let minion = &mut self.minions[agent];
-        let is_same = **incarnation.id() == *minion.instance;
+        let is_current = **incarnation.id() == *minion.instance;
         let answer = match action {
             AgentAction::Start {
                 key,
@@ -1003,7 +1010,7 @@
                 ..
             } => {
                 let mut was_started = false;
-                let result = if is_same {
+                let result = if is_current {
                     let work_ms = spec.trim_start_matches("work_ms=").parse().unwrap_or(100.0);
                     let shape = self.shapes.get(&*key.task.job);
                     let needs = shape.map_or(TASK_RESOURCES, |shape| shape.needs);
@@ -1014,16 +1021,16 @@
                 } else {
                     StartResult::OtherInstance
                 };
-                self.print(&format!(
+                self.trace(&format!(
                     "minion {agent} start answered={is_answered} {key:?} {result:?}"
                 ));
                 let minion = &mut self.minions[agent];
                 if !is_answered {
-                    minion.started_late.push(key.clone());
+                    minion.delayed_starts.push(key.clone());
                 }
                 let is_crash = self.crashing.contains(&*key.task.job) && key.task.index == 0;
                 let is_new = result == StartResult::Started && !was_started;
-                if is_crash && is_new && !self.crash_by(agent, incarnation, key) {
+                if is_crash && is_new && !self.crash_by_task(agent, incarnation, key) {
                     return;
                 }
                 if result == StartResult::Started {
@@ -1033,14 +1040,14 @@
                             agent,
                         });
                     }
-                    let started = self.started.entry(key.task.job.to_string());
+                    let started = self.started_tasks.entry(key.task.job.to_string());
                     started.or_default().insert(key.task.index);
                     *self.starts.entry(incarnation.id().to_string()).or_default() += 1;
                 }
                 Event::Started(incarnation.clone(), key.clone(), result)
             }
             AgentAction::Stop { key, epoch, .. } => {
-                let is_done = is_same && minion.stop(now_ms, key, *epoch);
+                let is_done = is_current && minion.stop(now_ms, key, *epoch);
                 Event::Stopped(incarnation.clone(), key.clone(), is_done)
             }
             AgentAction::List {
@@ -1051,7 +1058,7 @@
                 wait_ms,
                 ..
             } => {
-                if !is_same {
+                if !is_current {
                     let result = ListResult::OtherInstance;
                     let event = Event::Listed(incarnation.clone(), *call, result);
                     if is_answered {
@@ -1059,10 +1066,10 @@
                     }
                     return;
                 }
-                let noted = minion.counted_ends.len();
+                let counted = minion.counted_ends.len();
                 minion.extend(now_ms, *epoch, *acknowledged_through, *deadline_ms);
-                for (key, _) in &self.minions[agent].counted_ends[noted..] {
-                    self.print(&format!(
+                for (key, _) in &self.minions[agent].counted_ends[counted..] {
+                    self.trace(&format!(
                         "minion {agent} end counts answered={is_answered} {key:?}"
                     ));
                 }
@@ -1072,7 +1079,7 @@
                     // late as one that waits a little.
                     let pause_ms = match self.has_prompt_minions {
                         true => (*wait_ms).min(MAX_LIST_WAIT_MS),
-                        false => (*wait_ms).min(HELD_BACK_MS),
+                        false => (*wait_ms).min(MAX_LISTING_DELAY_MS),
                     };
                     if *epoch > 0 && *epoch < minion.epoch() {
                         let result = ListResult::Fenced;
@@ -1108,19 +1115,19 @@
                 continue;
             }
             let minion = &mut self.minions[pending.agent];
-            let is_same =
+            let is_current =
                 **pending.incarnation.id() == *minion.instance && now_ms >= minion.up_at_ms;
-            let is_news = pending.listing.is_none() && minion.has_ends();
-            if now_ms < pending.until_ms && is_same && !is_news {
+            let has_ends = pending.listing.is_none() && minion.has_ends();
+            if now_ms < pending.until_ms && is_current && !has_ends {
                 self.pending_listings.push(pending);
                 continue;
             }
             let result = match pending.listing {
                 Some(listing) => ListResult::Listed(listing),
-                None if is_same && pending.epoch > 0 && pending.epoch < minion.epoch() => {
+                None if is_current && pending.epoch > 0 && pending.epoch < minion.epoch() => {
                     ListResult::Fenced
                 }
-                None if is_same => ListResult::Listed(minion.list(now_ms, pending.epoch)),
+                None if is_current => ListResult::Listed(minion.list(now_ms, pending.epoch)),
                 None => ListResult::OtherInstance,
             };
             let event = Event::Listed(pending.incarnation, pending.call, result);
@@ -1131,7 +1138,7 @@
     fn run_entry(&mut self, entry: usize) {
         let now_ms = self.now_ms;
         let process = &mut self.entries[entry];
-        if !process.runs_now(now_ms) || (process.inbox.is_empty() && now_ms < process.due_ms) {
+        if !process.is_running(now_ms) || (process.inbox.is_empty() && now_ms < process.due_ms) {
             return;
         }
         let EntryCore { dispatcher, ledger } = &mut process.core;
@@ -1172,10 +1179,10 @@
     fn gossip_crashes(&mut self, entry: usize) {
         let now_ms = self.now_ms;
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
-            let book = self.entries[entry].core.dispatcher.crashes();
-            let told = self.sent_crashes.entry((entry, other)).or_default();
-            let crashes = book.since(now_ms, *told);
-            *told = book.last();
+            let known = self.entries[entry].core.dispatcher.crashes();
+            let last_sent = self.sent_crashes.entry((entry, other)).or_default();
+            let crashes = known.since(now_ms, *last_sent);
+            *last_sent = known.last();
             if !crashes.is_empty() {
                 self.post(Side::Entry(other), Event::Crashes(crashes));
             }
@@ -1198,13 +1205,13 @@
                 }
             }
             DispatcherAction::Answer(caller, outcome) => {
-                let is_its =
+                let is_caller =
                     |state: &CallerState| state.entry == entry && state.caller == Some(caller);
-                if let Some(position) = self.callers.iter().rposition(is_its) {
+                if let Some(position) = self.callers.iter().rposition(is_caller) {
                     let state = &mut self.callers[position];
                     if matches!(outcome, JobOutcome::Refused { .. }) {
                         state.refused += 1;
-                        self.just_refused.push(position);
+                        self.newly_refused.push(position);
                     }
                     state.outcome = Some(outcome);
                     state.answered_ms = Some(self.now_ms);
@@ -1214,12 +1221,12 @@
                     }
                 }
             }
-            DispatcherAction::Event(event) => self.print(&format!("{event:?}")),
+            DispatcherAction::Event(event) => self.trace(&format!("{event:?}")),
         }
     }
 
     /// Shows what the processes log, when `GANNETVANE_TRACE` is set.
-    fn print(&self, line: &str) {
+    fn trace(&self, line: &str) {
         if std::env::var_os("GANNETVANE_TRACE").is_some() {
             println!("{:6} {line}", self.now_ms);
         }
@@ -1231,7 +1238,7 @@
     }
 
     /// Free room of the minions that may get tasks.
-    fn free_rooms(&self) -> Vec<Resources> {
+    fn free_resources(&self) -> Vec<Resources> {
         let agents = (0..self.agents.len()).filter(|agent| self.is_usable(*agent));
         agents.map(|agent| self.minions[agent].free()).collect()
     }
@@ -1239,50 +1246,56 @@
     /// Thousandths of a core that stand idle while tasks wait that would fit,
     /// and all that there are; both 0 while nothing waits.
     pub fn idle_milli(&self) -> (f64, f64) {
-        let mut rooms = self.free_rooms();
+        let mut free = self.free_resources();
         let (mut idle_milli, mut is_waiting) = (0.0, false);
-        let open = self.callers.iter().rev().take(OPEN_CALLERS);
-        for state in open.filter(|state| state.outcome.is_none() && state.caller.is_some()) {
+        let unanswered = self.callers.iter().rev().take(RECENT_CALLERS);
+        for state in unanswered.filter(|state| state.outcome.is_none() && state.caller.is_some()) {
             let Some(shape) = self.shapes.get(&state.id) else {
                 continue;
             };
-            let started = self.started.get(&state.id).map_or(0, BTreeSet::len);
+            let started = self.started_tasks.get(&state.id).map_or(0, BTreeSet::len);
             let waiting = shape.work_ms.len().saturating_sub(started);
             is_waiting |= waiting > 0;
-            let packed = pack(&mut rooms, shape.needs, waiting);
-            idle_milli += packed as f64 * f64::from(shape.needs.cpu_milli);
+            let placed = place_tasks(&mut free, shape.needs, waiting);
+            idle_milli += placed as f64 * f64::from(shape.needs.cpu_milli);
         }
         if !is_waiting {
             return (0.0, 0.0);
         }
         let usable = (0..self.agents.len()).filter(|agent| self.is_usable(*agent));
-        let rooms = usable.map(|agent| f64::from(self.minions[agent].capacity.cpu_milli));
-        (idle_milli, rooms.sum())
+        let capacities_milli =
+            usable.map(|agent| f64::from(self.minions[agent].capacity.cpu_milli));
+        (idle_milli, capacities_milli.sum())
     }
 
     /// Callers that were refused since the last call although there was room
     /// for all tasks of their jobs at that moment.
-    pub fn refused_with_room(&mut self) -> usize {
-        let refused = std::mem::take(&mut self.just_refused);
-        let had_room = |position: &usize| {
+    pub fn refused_despite_free_resources(&mut self) -> usize {
+        let refused = std::mem::take(&mut self.newly_refused);
+        let had_free_resources = |position: &usize| {
             let shape = self.shapes.get(&self.callers[*position].id);
             shape.is_some_and(|shape| {
                 let tasks = shape.work_ms.len();
-                pack(&mut self.free_rooms(), shape.needs, tasks) == tasks
+                place_tasks(&mut self.free_resources(), shape.needs, tasks) == tasks
             })
         };
-        refused.iter().filter(|position| had_room(position)).count()
+        refused
+            .iter()
+            .filter(|position| had_free_resources(position))
+            .count()
     }
 
     /// Work that minions did for a job, in thousandths of a core by
     /// milliseconds.
-    pub fn worked(&self, id: &str) -> f64 {
+    pub fn work_of(&self, id: &str) -> f64 {
         let minions = self.minions.iter().chain(&self.ended_minions);
-        minions.filter_map(|minion| minion.worked.get(id)).sum()
+        minions
+            .filter_map(|minion| minion.work_by_job.get(id))
+            .sum()
     }
 
     /// Looks for what must never be.
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let mut seen: BTreeSet<TaskId> = BTreeSet::new();
         for minion in &self.minions {
             for key in minion.running() {
@@ -1293,12 +1306,12 @@
             }
         }
         self.violations.overcommits = self.minions.iter().map(|minion| minion.overcommits).sum();
-        if !self.now_ms.is_multiple_of(REFUSED_CHECK_MS) {
+        if !self.now_ms.is_multiple_of(REFUSED_CHECK_INTERVAL_MS) {
             return;
         }
         for state in &self.callers {
             let is_refused = state.refused > 0 && state.refused == state.attempts;
-            if is_refused && self.started.contains_key(&state.id) {
+            if is_refused && self.started_tasks.contains_key(&state.id) {
                 self.violations.refused_and_ran.push(state.id.clone());
             }
         }
@@ -1306,7 +1319,7 @@
 }
 
 /// The life that a call to a minion was meant for.
-fn target(action: &AgentAction) -> Option<&Incarnation> {
+fn target_incarnation(action: &AgentAction) -> Option<&Incarnation> {
     match action {
         AgentAction::Start { incarnation, .. }
         | AgentAction::Stop { incarnation, .. }
@@ -1316,15 +1329,15 @@
 }
 
 /// Tasks, of this many, that find room; it is taken from `rooms`.
-fn pack(rooms: &mut [Resources], needs: Resources, tasks: usize) -> usize {
-    let mut packed = 0;
-    for room in rooms {
-        while packed < tasks && room.can_fit(&needs) {
-            *room = room.minus(&needs);
-            packed += 1;
+fn place_tasks(free: &mut [Resources], needs: Resources, tasks: usize) -> usize {
+    let mut placed = 0;
+    for resources in free {
+        while placed < tasks && resources.can_fit(&needs) {
+            *resources = resources.minus(&needs);
+            placed += 1;
         }
     }
-    packed
+    placed
 }
 
 /// The policy of the product.
@@ -1357,14 +1370,14 @@
 }
 
 /// The entries that an agent links to once it knows all of them.
-fn chosen(agent: usize, entries: usize) -> Vec<usize> {
+fn link_targets(agent: usize, entries: usize) -> Vec<usize> {
     let known: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
     let mut directory = directory.with_max_targets(host(agent).into(), MAX_LINKED_ENTRIES);
     directory.learn(0, &known);
     let targets = directory.targets(0);
-    let chosen = (0..entries).filter(|entry| targets.contains(&known[*entry]));
-    chosen.collect()
+    let link_targets = (0..entries).filter(|entry| targets.contains(&known[*entry]));
+    link_targets.collect()
 }
 
 /// The zones of a session; processes are spread over them in turn.
--- a/crates/dispatch/tests/session/stored.rs
+++ b/crates/dispatch/tests/session/stored.rs
@@ -29,16 +29,16 @@
 use super::table;
 
 /// Time that a call to the log takes, in milliseconds.
-const LOG_MS: u64 = 4;
+const LOG_CALL_MS: u64 = 4;
 /// Time after which a call without an answer is given up, in milliseconds.
 const LOG_TIMEOUT_MS: u64 = 500;
 /// Time after which a caller asks again.
-const ASK_TIMEOUT_MS: u64 = 700;
+const CALLER_TIMEOUT_MS: u64 = 700;
 /// Time in which an owner that does not know yet of the next one may go on, by
 /// the platform's rules.
-const CANCEL_MS: u64 = 3_000;
+const FORMER_OWNER_MS: u64 = 3_000;
 /// Pause of a caller between two questions.
-const ASK_PAUSE_MS: u64 = 60;
+const CALLER_PAUSE_MS: u64 = 60;
 
 /// A stored job as its caller sees it.
 #[derive(Clone, Debug)]
@@ -58,8 +58,8 @@
     pub sends_again: bool,
     pub end: Option<StoredEnd>,
     pub ended_ms: Option<u64>,
-    next_ms: u64,
-    waits_for: Option<StoredCaller>,
+    next_call_ms: u64,
+    pending_call: Option<StoredCaller>,
 }
 
 impl Session {
@@ -78,8 +78,8 @@
             sends_again: false,
             end: None,
             ended_ms: None,
-            next_ms: self.now_ms,
-            waits_for: None,
+            next_call_ms: self.now_ms,
+            pending_call: None,
         });
         for entry in 0..self.entries.len() {
             self.entries[entry].core.ledger.activate(self.now_ms);
@@ -111,21 +111,21 @@
     }
 
     fn member(&self, entry: usize) -> String {
-        format!("entry-{entry}/{}", self.entries[entry].runs)
+        format!("entry-{entry}/{}", self.entries[entry].start_number)
     }
 
     pub(super) fn run_stored_callers(&mut self) {
         for position in 0..self.stored.len() {
-            if self.now_ms >= self.stored[position].next_ms {
-                self.ask(position);
+            if self.now_ms >= self.stored[position].next_call_ms {
+                self.call_owner(position);
             }
         }
     }
 
-    fn ask(&mut self, position: usize) {
+    fn call_owner(&mut self, position: usize) {
         let state = &self.stored[position];
-        let is_over = state.end.is_some() || state.refusals > 0 && !state.is_accepted;
-        if is_over && !(state.wants_cancel && state.is_accepted && !state.is_cancelled) {
+        let has_final_answer = state.end.is_some() || state.refusals > 0 && !state.is_accepted;
+        if has_final_answer && !(state.wants_cancel && state.is_accepted && !state.is_cancelled) {
             return;
         }
         let id: Arc<str> = state.id.as_str().into();
@@ -146,7 +146,7 @@
         } else {
             StoredCall::State(id.clone())
         };
-        self.stored[position].next_ms = self.now_ms + ASK_PAUSE_MS;
+        self.stored[position].next_call_ms = self.now_ms + CALLER_PAUSE_MS;
         let Some(owner) = self.owner_of(&id) else {
             return;
         };
@@ -157,22 +157,22 @@
         let caller = StoredCaller(self.next_caller);
         let state = &mut self.stored[position];
         state.is_outcome_unknown |= matches!(call, StoredCall::Submit(_));
-        state.waits_for = Some(caller);
-        state.next_ms = self.now_ms + ASK_TIMEOUT_MS;
+        state.pending_call = Some(caller);
+        state.next_call_ms = self.now_ms + CALLER_TIMEOUT_MS;
         self.post(Side::Entry(owner), Event::Stored(caller, call));
     }
 
-    fn answered(&mut self, caller: StoredCaller, answer: StoredAnswer) {
+    fn stored_answered(&mut self, caller: StoredCaller, answer: StoredAnswer) {
         let now_ms = self.now_ms;
         let waiting = self
             .stored
             .iter_mut()
-            .find(|state| state.waits_for == Some(caller));
+            .find(|state| state.pending_call == Some(caller));
         let Some(state) = waiting else {
             return;
         };
-        state.waits_for = None;
-        state.next_ms = now_ms + ASK_PAUSE_MS;
+        state.pending_call = None;
+        state.next_call_ms = now_ms + CALLER_PAUSE_MS;
         match answer {
             StoredAnswer::Accepted => {
                 state.is_accepted = true;
@@ -238,8 +238,8 @@
                 let records = is_served.then(|| self.log.newest(partition));
                 self.answer_log(entry, outcome, Event::Loaded(partition, load, records));
             }
-            LedgerAction::Answer(caller, answer) => self.answered(caller, answer),
-            LedgerAction::Event(event) => self.print(&format!("entry {entry} {event:?}")),
+            LedgerAction::Answer(caller, answer) => self.stored_answered(caller, answer),
+            LedgerAction::Event(event) => self.trace(&format!("entry {entry} {event:?}")),
         }
     }
 
@@ -253,8 +253,9 @@
                 self.log.append(append);
                 AppendResult::NoAnswer
             }
-            LogCallOutcome::Delayed(late_ms) => {
-                self.log.append_late(self.now_ms + late_ms, append.clone());
+            LogCallOutcome::Delayed(delay_ms) => {
+                self.log
+                    .append_delayed(self.now_ms + delay_ms, append.clone());
                 AppendResult::NoAnswer
             }
         };
@@ -264,7 +265,7 @@
 
     fn answer_log(&mut self, entry: usize, outcome: LogCallOutcome, event: Event) {
         let delay_ms = match outcome {
-            LogCallOutcome::Served | LogCallOutcome::Refused => LOG_MS + DELAY_MS,
+            LogCallOutcome::Served | LogCallOutcome::Refused => LOG_CALL_MS + DELAY_MS,
             _ => LOG_TIMEOUT_MS,
         };
         self.post_at(self.now_ms + delay_ms, Side::Entry(entry), event);
@@ -288,7 +289,7 @@
             }
         }
         for minion in self.ended_minions.iter().chain(&self.minions) {
-            for (key, started_ms) in &minion.started {
+            for (key, started_ms) in &minion.stored_starts {
                 let end = counted.get(&key.task);
                 if let Some((done, ended_ms)) = end.filter(|(_, ended_ms)| started_ms > ended_ms) {
                     let what = format!("{key:?} at {started_ms} after {done:?} at {ended_ms}");
@@ -307,12 +308,16 @@
                 self.violations.lost.push(what);
             }
             let starts = minions.clone().flat_map(|minion| {
-                let in_time = |(key, _): &&(RunKey, u64)| !minion.started_late.contains(key);
-                minion.started.iter().filter(in_time)
+                let in_time = |(key, _): &&(RunKey, u64)| !minion.delayed_starts.contains(key);
+                minion.stored_starts.iter().filter(in_time)
             });
             let mut of_job = starts.filter(|(key, _)| *key.task.job == *state.id);
-            let is_late = |at_ms: u64| state.cancelled_ms.is_some_and(|ms| at_ms > ms + CANCEL_MS);
-            if let Some((key, at_ms)) = of_job.find(|(_, at_ms)| is_late(*at_ms)) {
+            let is_after_cancel = |at_ms: u64| {
+                state
+                    .cancelled_ms
+                    .is_some_and(|ms| at_ms > ms + FORMER_OWNER_MS)
+            };
+            if let Some((key, at_ms)) = of_job.find(|(_, at_ms)| is_after_cancel(*at_ms)) {
                 let what = format!("{key:?} at {at_ms}, cancelled at {:?}", state.cancelled_ms);
                 self.violations.duplicates.push(what);
             }
--- a/crates/dispatch/tests/stored.rs
+++ b/crates/dispatch/tests/stored.rs
@@ -16,10 +16,10 @@
 /// until the log gives it away, 2.7 s for the last owner's runs, and the work.
 const TAKEOVER_MS: u64 = 7_000;
 /// Time after which all ends are settled and all callers know.
-const CALM_MS: u64 = 9_000;
+const RECOVERY_MS: u64 = 9_000;
 
 fn check(session: &mut Session) {
-    session.run(CALM_MS);
+    session.run(RECOVERY_MS);
     session.check_stored();
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn ends_that_are_recorded_with_the_release_of_a_partition_are_settled() {
+fn ends_that_are_recorded_with_the_release_of_a_partition_get_a_disposition() {
     let mut session = Session::new(2, 3);
     // The first entry owns everything, until the second takes its part while
     // all kinds of runs end.
@@ -55,7 +55,7 @@
     as_the_last_end_is_recorded = { 318 },
     after_the_end = { 400 },
 )]
-fn the_next_owner_ends_the_job_of_one_that_was_killed(kill_after_ms: u64) {
+fn the_next_owner_completes_the_job_of_a_killed_owner(kill_after_ms: u64) {
     let mut session = Session::new(3, 3);
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_end_that_no_owner_recorded_is_taken_over_and_not_done_again() {
+fn the_next_owner_takes_over_an_unrecorded_end_without_a_second_run() {
     let mut session = Session::new(2, 2);
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
@@ -99,14 +99,14 @@
     short = { 600 },
     longer_than_its_lease = { 6_000 },
 )]
-fn an_owner_that_the_log_turns_away_or_that_stood_still_is_followed(for_ms: u64) {
-    for is_frozen in [false, true] {
+fn other_entries_take_over_from_an_owner_that_is_refused_or_suspended(for_ms: u64) {
+    for is_suspended in [false, true] {
         let mut session = Session::new(3, 3);
         let jobs: Vec<usize> = (0..8)
             .map(|n| session.store(&format!("00000000000002{n:02x}"), 3, 900))
             .collect();
         session.run(700);
-        if is_frozen {
+        if is_suspended {
             session.suspend_entry(0, for_ms);
         } else {
             session.log_outcome = Box::new(|_, entry| match entry {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn all_partitions_are_dealt_anew_while_jobs_run() {
+fn all_partitions_are_reassigned_while_jobs_run() {
     let mut session = Session::new(3, 3);
     let jobs: Vec<usize> = (0..9)
         .map(|n| session.store(&format!("00000000000003{n:02x}"), 2, 700))
@@ -164,11 +164,11 @@
 
 #[parameterized(
     lost_answers = { LogCallOutcome::AnswerLost },
-    late_appends = { LogCallOutcome::Delayed(1_200) },
+    delayed_appends = { LogCallOutcome::Delayed(1_200) },
     refusals = { LogCallOutcome::Refused },
-    silence = { LogCallOutcome::Dropped },
+    dropped_calls = { LogCallOutcome::Dropped },
 )]
-fn jobs_outlive_a_log_that_fails(outcome: LogCallOutcome) {
+fn jobs_end_after_a_failure_of_the_log(outcome: LogCallOutcome) {
     let mut session = Session::new(2, 3);
     let early: Vec<usize> = (0..6)
         .map(|n| session.store(&format!("00000000000005{n:02x}"), 2, 500))
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn an_agent_that_starts_anew_acknowledges_no_end_that_is_not_recorded() {
+fn a_restarted_agent_acknowledges_no_unrecorded_end() {
     let mut session = Session::new(2, 2);
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn ends_that_the_minion_does_not_list_are_not_taken_for_lost() {
+fn ends_that_the_minion_does_not_list_are_not_treated_as_lost() {
     let mut session = Session::new(1, 1);
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
