--- a/crates/dispatch/tests/at_most_once.rs
+++ b/crates/dispatch/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! No task runs twice at the same time, and every "not run" is true, while
-//! processes die, freeze and lose each other.
+//! Checks that no task runs twice at the same time and that every answer "not run" is
+//! true, while processes are killed, suspended and cut off from each other.
 
 mod session;
 
@@ -37,7 +37,7 @@
 #[test]
 fn a_killed_entry_leaves_nothing_running_when_the_job_is_resent() {
     let mut session = Session::new(2, 3);
-    // They would still be at work when the job comes again.
+    // These tasks would still run when the job is resent.
     let job = session.submit(0, "a", 8, 1_900);
     session.run(200);
     session.kill_entry(0, 3_000);
@@ -133,7 +133,7 @@
 #[test]
 fn an_unanswered_start_is_forbidden_before_its_task_starts_elsewhere() {
     let mut session = Session::new(1, 3);
-    // Every order to the first minion is carried out seconds later.
+    // Every call to the first minion is unanswered and carried out seconds later.
     session.call_delay =
         Box::new(|now_ms, agent| (agent == 0 && (1_800..2_600).contains(&now_ms)).then_some(2_500));
     let job = session.submit(0, "a", 18, 500);
@@ -163,7 +163,7 @@
     let mut session = Session::new(2, 1);
     session.submit(0, "a", 4, 1_800);
     session.run(100);
-    // Listings are answered, stops are not.
+    // Listing calls are answered, stops are not.
     session.delays_stops = true;
     session.kill_entry(0, 10_000);
     session.run(1_250);
@@ -278,7 +278,7 @@
     let mut session = Session::new(1, 1);
     session.crash_minion(0);
     let crashed_ms = session.now_ms;
-    // The first calls to the new lifetime are lost.
+    // The first calls to the new incarnation are unanswered.
     session.call_delay = Box::new(move |now_ms, _| (now_ms < crashed_ms + 1_700).then_some(5_000));
     session.run(2_600);
     session.call_delay = Box::new(|_, _| None);
@@ -301,9 +301,9 @@
     assert_clean(&session);
 }
 
-/// Share of 60 jobs of 8 tasks that are answered within their objective of
-/// 1.6 times 60 ms and 60 ms more, while this share of the calls to minions is
-/// carried out seconds later and gets no answer.
+/// Returns the fraction of 60 jobs of 8 tasks that complete within their objective of
+/// 1.6 times 60 ms plus 60 ms, while the fraction `loss` of the calls to minions is
+/// unanswered and carried out seconds later.
 fn fraction_in_time(loss: f64) -> f64 {
     const JOBS: usize = 60;
     let mut session = Session::new(1, 4);
--- a/crates/dispatch/tests/crash_evidence.rs
+++ b/crates/dispatch/tests/crash_evidence.rs
@@ -1,5 +1,5 @@
-//! What an agent must know of a run before the crash of its minion speaks against the
-//! task.
+//! Checks which observations of a run make the crash of its minion evidence against the
+//! task, and how strong that evidence is.
 
 mod driver;
 
@@ -18,7 +18,7 @@
 use driver::key;
 use driver::starts_in;
 
-/// How the only run ended with its minion, as the entry was told.
+/// Returns the end that the agent reports for the only run when its minion is gone.
 fn end(driver: &mut Driver) -> RunEnd {
     let ends = driver.ends_of_refused_minion();
     assert_eq!(ends.len(), 1, "{ends:?}");
@@ -26,7 +26,7 @@
     ends[0].1
 }
 
-/// What the end tells of the task.
+/// Returns the crash evidence that the end carries against the task.
 fn evidence(end: RunEnd) -> Option<CrashEvidence> {
     match end {
         RunEnd::Crashed(evidence) => Some(evidence),
--- a/crates/dispatch/tests/crashing.rs
+++ b/crates/dispatch/tests/crashing.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash each minion that starts them, and crashes of other causes.
+//! Tasks that crash every minion that starts them, and crashes with other causes.
 
 mod session;
 
@@ -10,15 +10,17 @@
 use session::Session;
 use yare::parameterized;
 
-/// Minions that may crash under one task of a job whose caller waits.
+/// Largest number of minions that may crash under one task of a job whose caller waits.
 const MAX_CRASHES: usize = 2;
-/// The same over all entries that a job is at one after the other.
+/// Largest number of minions that may crash under one task, over all entries that its
+/// job is submitted to one after the other.
 const MAX_CRASHES_OVER_ENTRIES: usize = 3;
-/// Starts of a task that are too many if each of them crashes its minion: three more
-/// than the crashes that give it up at the latest.
+/// Smallest number of starts that is excessive for a task that crashes each minion:
+/// three more than the number of crashes after which the task is given up at the latest.
 const MIN_EXCESSIVE_STARTS: usize = 6;
 
-/// A session whose minions keep their ids, or not.
+/// Creates a session; with `keeps_ids` its minions report their start times, as minions
+/// do that restart with the same id.
 fn session(agents: usize, keeps_ids: bool) -> Session {
     let mut session = Session::new(3, agents);
     if keeps_ids {
@@ -51,8 +53,8 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// Good tasks beside a crashing one lose their minion with it, and are not taken
-/// for crashing themselves.
+/// Guards against failing good jobs: their tasks lose their minion because of a crashing
+/// task beside them, and must not be treated as its cause.
 #[test]
 fn tasks_beside_a_crashing_one_are_done_elsewhere() {
     let mut session = session(8, false);
@@ -71,7 +73,7 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// A rack of minions crashes at once, twice within seconds, with much at work.
+/// Four of twelve minions crash at once, twice within seconds, while many tasks run.
 #[test]
 fn a_rack_that_crashes_fails_no_job() {
     let mut session = session(12, false);
@@ -92,8 +94,8 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// What good jobs come to, as the share that is complete in time, with this part
-/// of all jobs crashing a minion.
+/// Returns the fraction of good jobs that complete within their objective, while one in
+/// `bad_divisor` of all jobs crashes minions, or none if that is 0.
 fn good_fraction_in_time(bad_divisor: usize) -> f64 {
     let mut session = session(24, false);
     let (mut good, mut jobs) = (Vec::new(), 0);
@@ -116,7 +118,7 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
     let max_crashes = session.crashes.values().max().copied().unwrap_or(0);
     assert!(max_crashes <= MAX_CRASHES, "{max_crashes}");
-    // The objective of these jobs, in milliseconds.
+    // The objective of these jobs is 380 ms.
     let in_time = |job: &&usize| {
         let caller = &session.callers[**job];
         let took_ms = caller.answered_ms.map(|ms| ms - caller.sent_ms);
@@ -147,8 +149,9 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// Four of eleven minions crash at once, again and again, beneath short and long jobs.
-/// Some of them are idle, so that their agents learn of it from the next starts.
+/// Four of eleven minions crash at once, again and again, while short and long jobs run.
+/// Some of these minions are idle, so that their agents detect the crash by the next
+/// starts.
 #[parameterized(
     kept_ids = { true },
     other_ids = { false },
@@ -171,7 +174,7 @@
                 }
             }
         }
-        // Orders come in quick succession while agents find their minions gone.
+        // Orders follow each other quickly while agents detect that their minions are gone.
         let pause_ms = if (50..80).contains(&(round % 100)) {
             1
         } else {
@@ -183,14 +186,15 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// Loses this many of a hundred calls; they are carried out later.
+/// Leaves this percentage of the calls unanswered; they are carried out 300 ms later.
 fn delay_calls(session: &mut Session, percent: u32) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     session.call_delay = Box::new(move |_, _| (rng.random_range(0..100) < percent).then_some(300));
 }
 
-/// Minions that one of twenty crashing jobs took down at most, each some time after its
-/// start was answered, beneath a stream of quick jobs.
+/// Returns the largest number of minions that one of twenty crashing jobs crashed. Each
+/// crash comes `after_ms` after the start was answered, while quick jobs arrive all the
+/// time.
 fn max_crashes_of_a_job(after_ms: u64, delayed_percent: u32) -> usize {
     let mut session = session(24, true);
     session.has_prompt_minions = true;
@@ -252,8 +256,9 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// Minions that read nothing for a while before they crash, one after the other: what
-/// was sent to them meanwhile has no answer but a broken connection.
+/// Guards against failing jobs without cause: minions read nothing for a while and then
+/// crash, one after the other. A start that is sent meanwhile gets no answer but a broken
+/// connection.
 #[test]
 fn minions_that_are_unresponsive_before_they_crash_fail_no_job_without_cause() {
     let mut session = session(11, false);
@@ -286,10 +291,11 @@
     }
 }
 
-/// A stored job whose task crashes minions.
+/// Id of a stored job whose task crashes minions.
 const BAD_ID: &str = "00000000000000b1";
 
-/// A session in which that job has just been sent, and its position.
+/// Creates a session in which the job `BAD_ID` has just been submitted; returns both the
+/// session and the position of the job.
 fn crashing_stored(keeps_ids: bool) -> (Session, usize) {
     let mut session = session(8, keeps_ids);
     let warm = session.store("0000000000000001", 1, 10);
@@ -304,7 +310,7 @@
     assert!(crashed <= MAX_CRASHES_OVER_ENTRIES, "{crashed}");
 }
 
-/// The owner of a crashing stored job is killed when two minions have crashed.
+/// The owner of a crashing stored job is killed after two minions have crashed.
 #[test]
 fn a_crashing_stored_task_is_given_up_by_its_next_owner() {
     let (mut session, job) = crashing_stored(true);
@@ -317,7 +323,7 @@
     assert_given_up(&session, id);
 }
 
-/// A caller whose connection broke sends a crashing job again at another entry.
+/// A caller whose connection broke sends a crashing job again to another entry.
 #[test]
 fn a_crashing_task_is_given_up_after_its_job_is_resent_to_another_entry() {
     let mut session = session(8, true);
@@ -329,7 +335,8 @@
     assert_given_up(&session, "bad");
 }
 
-/// Each entry is killed before it hears of the crash under its run: only the agents know.
+/// Each entry that has the job is killed before it receives the report of the crash, so
+/// that only the agents have recorded it.
 #[test]
 fn agents_report_crashes_that_no_entry_has_seen() {
     let mut session = session(8, true);
@@ -343,7 +350,8 @@
     assert_given_up(&session, "bad");
 }
 
-/// The log takes nothing from the first crash on, until all have lost their partitions.
+/// The log refuses all calls from the first crash until all entries have lost their
+/// partitions.
 #[parameterized(
     kept_ids = { true },
     other_ids = { false },
@@ -364,7 +372,8 @@
     assert_given_up(&session, id);
 }
 
-/// All processes are killed after each crash, so that only the log tells of it.
+/// All entries and agents are killed after each of two crashes, so that only the log has
+/// recorded them.
 #[test]
 fn crashes_recorded_only_in_the_log_count() {
     let (mut session, job) = crashing_stored(true);
@@ -379,7 +388,7 @@
     assert_given_up(&session, id);
 }
 
-/// The agent dies with its minion each time, so that nobody sees how the run ended.
+/// All agents are killed at the first crash, so that nobody observes how the run ended.
 #[test]
 fn a_crash_together_with_its_agent_counts_beside_an_observed_one() {
     let (mut session, job) = crashing_stored(true);
--- a/crates/dispatch/tests/driver/mod.rs
+++ b/crates/dispatch/tests/driver/mod.rs
@@ -1,4 +1,4 @@
-//! One agent, whose minion and entry the test plays.
+//! Drives a single agent; the test plays its minion and its entry.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -29,7 +29,8 @@
 use gannetvane_wire::NodeId;
 
 const MINION: &str = "minion-1";
-/// Steps of a test within which a listing is asked for.
+/// Number of steps within which an agent must call for a listing, or give its minion
+/// up.
 const MAX_STEPS: usize = 100;
 const LINK: LinkId = LinkId(1);
 pub const CAPACITY: Resources = Resources {
@@ -38,22 +39,24 @@
     accelerators: 0,
 };
 
-/// Four of these fit.
+/// Resources of each task; `CAPACITY` fits four tasks.
 const TASK_RESOURCES: Resources = Resources {
     cpu_milli: 1_000,
     memory_mb: 64,
     accelerators: 0,
 };
 
+/// The agent with the state that the simulated minion and entry need.
 pub struct Driver {
     pub agent: Agent,
     now_ms: u64,
-    /// Ends that the minion has listed.
+    /// Number of the last end that the minion listed.
     last_end_number: u64,
 }
 
 impl Driver {
-    /// An agent that greeted one entry, and that lost one call of late.
+    /// Creates an agent that has greeted one entry, after an unanswered call for a
+    /// listing.
     pub fn new() -> Self {
         let identity = AgentIdentity {
             node: NodeId(1),
@@ -81,7 +84,7 @@
         self.now_ms
     }
 
-    /// A report of this life arrives; returns the calls to it.
+    /// Delivers a report of this incarnation; returns the listing calls to it.
     pub fn report_incarnation(&mut self, incarnation: &Incarnation) -> Vec<AgentAction> {
         let report = report(incarnation.clone(), CAPACITY, 1);
         self.agent.minion_reported(self.now_ms, report);
@@ -95,18 +98,22 @@
         actions
     }
 
-    /// The minion reports other room.
+    /// Delivers a report of this capacity.
     pub fn report_capacity(&mut self, capacity: Resources, sequence: u64) {
         let report = report(incarnation_at(1_000), capacity, sequence);
         self.agent.minion_reported(self.now_ms, report);
     }
 
-    /// A call that asks for a listing ends.
+    /// Answers one listing call.
     pub fn answer_call(&mut self, incarnation: &Incarnation, call: u64, result: ListResult) {
         self.agent.listed(self.now_ms, incarnation, call, result);
     }
 
-    /// Answers the next listings that are asked for.
+    /// Answers the next listing calls.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the agent makes no such call within `MAX_STEPS`.
     pub fn answer_with(&mut self, result: &ListResult) {
         for _ in 0..MAX_STEPS {
             if self.answer_listings(result) {
@@ -116,8 +123,8 @@
         panic!("no listing was asked for");
     }
 
-    /// Passes some time and answers the listings that were asked for; false if
-    /// there were none.
+    /// Advances the clock by 50 ms and answers the listing calls that the agent made;
+    /// returns whether there were any.
     pub fn answer_listings(&mut self, result: &ListResult) -> bool {
         let mut is_listed = false;
         for action in self.advance(50) {
@@ -158,12 +165,14 @@
         self.start_of(1, "a")
     }
 
-    /// Orders the only task of a job; returns the starts that went out.
+    /// Orders the start of a job's only task; returns the number of start calls to the
+    /// minion.
     pub fn start_of(&mut self, order: u64, job: &str) -> usize {
         starts_in(&self.order_start(order, job, false))
     }
 
-    /// Orders the only task of a job under which a minion crashed, or of another one.
+    /// Orders the start of a job's only task, which may be a suspect task; returns the
+    /// agent's actions.
     pub fn order_start(&mut self, order: u64, job: &str, is_suspect: bool) -> Vec<AgentAction> {
         self.order(Order::Start(StartOrder {
             id: OrderId(order),
@@ -182,7 +191,7 @@
             .start_answered(self.now_ms, &incarnation_at(1_000), &key("a"), result);
     }
 
-    /// The minion starts the only task of a job, and lists how it ended.
+    /// Answers the start of a job's only task, and lists this end of it.
     pub fn run_task(&mut self, job: &str, end: RunEnd) {
         self.agent.start_answered(
             self.now_ms,
@@ -204,7 +213,7 @@
         self.answer_with(&listing);
     }
 
-    /// The minion starts the only tasks of these jobs.
+    /// Orders the only tasks of these jobs, and answers that the minion started them.
     pub fn start_tasks(&mut self, jobs: &[&str]) {
         for (order, job) in (1..).zip(jobs) {
             self.start_of(order, job);
@@ -217,8 +226,8 @@
         }
     }
 
-    /// Asks for a listing, which the minion makes after some time with these runs
-    /// a tenth done, and which arrives this much later; returns what the agent does.
+    /// Waits for a listing call, makes the listing `wait_ms` later with these runs at
+    /// 10 percent, and delivers it `delay_ms` after that; returns the agent's actions.
     pub fn list_running(&mut self, jobs: &[&str], wait_ms: u64, delay_ms: u64) -> Vec<AgentAction> {
         let is_listing = |action: &AgentAction| matches!(action, AgentAction::List { .. });
         let mut asked = Vec::new();
@@ -248,8 +257,8 @@
         self.advance(1)
     }
 
-    /// How the runs ended that the entry is told of from now on, until the minion is
-    /// given up: nobody takes connections at its address.
+    /// Refuses all connections to the minion until the agent gives it up; returns the
+    /// orders and ends of the runs that the agent reports to the entry meanwhile.
     pub fn ends_of_refused_minion(&mut self) -> Vec<(OrderId, RunEnd)> {
         let mut ends = Vec::new();
         for _ in 0..MAX_STEPS {
@@ -275,7 +284,7 @@
         ends
     }
 
-    /// Whether the entry was last told that starts are admitted.
+    /// Whether the agent's last frame of the next 100 ms says that it accepts starts.
     pub fn is_accepting_starts(&mut self) -> bool {
         let frames = self
             .advance(100)
@@ -288,13 +297,13 @@
     }
 }
 
-/// Starts among what an agent does.
+/// Returns the number of starts among an agent's actions.
 pub fn starts_in(actions: &[AgentAction]) -> usize {
     let is_start = |action: &&AgentAction| matches!(action, AgentAction::Start { .. });
     actions.iter().filter(is_start).count()
 }
 
-/// The order and the end in a report of an end.
+/// Returns the order and the end from a report of an end.
 fn ended(report: &Report) -> Option<(OrderId, RunEnd)> {
     match report {
         Report::Ended { order, end, .. } => Some((*order, *end)),
@@ -315,7 +324,7 @@
     }
 }
 
-/// The life of the minion that began at this time.
+/// Returns the incarnation of the minion that started at this time.
 pub fn incarnation_at(started_unix_ms: u64) -> Incarnation {
     Incarnation::new(MINION.into(), Some(started_unix_ms))
 }
--- a/crates/dispatch/tests/interleavings.rs
+++ b/crates/dispatch/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! Random interleavings of kills, freezes, cuts, late orders, crashes and
+//! Random interleavings of kills, suspensions, cuts, delayed calls, crashes and
 //! resubmissions. `GANNETVANE_SEEDS=from..to` plays other seeds by hand.
 
 mod session;
@@ -14,38 +14,44 @@
 
 const ENTRIES: usize = 2;
 const AGENTS: usize = 4;
-/// Entries of the plays with stored jobs: two may fail at once.
+/// Number of entries in sessions with stored jobs: two may fail at once.
 const STORED_ENTRIES: usize = 3;
-/// Seeds that every run plays.
+/// Seeds that every test run plays.
 const SEEDS: std::ops::Range<u64> = 0..60;
-/// Seeds that once failed, each with its cause.
+/// Seeds that once failed, each below its cause.
 const REGRESSIONS: &[u64] = &[
-    // Refused as "not run" after the agent of its only run had gone.
+    // A job was refused as "not run" after the agent of its only run had gone.
     3,
 ];
 
-/// The same for stored jobs.
+/// Seeds with stored jobs that once failed, each below its cause.
 const STORED_REGRESSIONS: &[u64] = &[
-    // A lost run whose end the next owner took, although it was started anew.
-    1045, // An end that was offered twice was settled before it was recorded.
-    1083, // An owner said that nothing was left, while runs of the one before were.
-    1486, // A partition went away and came back unseen, with jobs that others took.
-    1508, // A job that another owner was still sending to the log was "unknown".
-    1550, // An end was taken over while the last owner could start its task anew.
+    // The next owner took over the end of a lost run whose task had been started again.
+    1045,
+    // An end that was reported twice got its disposition before an owner had recorded it.
+    1083,
+    // An owner reported that no runs were left, while runs of the previous owner were.
+    1486,
+    // An owner lost a partition and got it back without noticing, while another owner had
+    // accepted jobs.
+    1508,
+    // A job that another owner was still appending to the log was reported as "unknown".
+    1550,
+    // An end was taken over while the previous owner could still start its task again.
     1827,
 ];
 
-/// Whether minions start again under their ids.
+/// Whether minions restart with the same ids, and what becomes of delayed calls.
 #[derive(Clone, Copy, PartialEq)]
 enum Restarts {
     NewIds,
-    /// A call that has no answer may be carried out by the next life.
+    /// An unanswered call may be carried out by the next incarnation.
     SameIds,
-    /// Calls end with the life that they were sent to.
+    /// A call is dropped when the incarnation that it was sent to ends.
     SameIdsWithoutDelayedCalls,
 }
 
-/// Has minions keep their ids, if they do.
+/// Makes minions report their start times, if they restart with the same ids.
 fn prepare(session: &mut Session, restarts: Restarts) {
     session.drops_calls_of_ended_incarnations = restarts == Restarts::SameIdsWithoutDelayedCalls;
     if restarts != Restarts::NewIds {
@@ -53,8 +59,9 @@
     }
 }
 
-/// Starts a minion again under its id now and then. The draws are apart, so that
-/// seeds play as they did without.
+/// Restarts a random minion with the same id in one of twelve calls. `rng` is separate
+/// from the session's main generator, so that a seed injects the same other faults with
+/// and without restarts.
 fn restart_some_minion(session: &mut Session, rng: &mut ChaCha8Rng, restarts: Restarts) {
     if restarts != Restarts::NewIds && rng.random_range(0..12) == 0 {
         let agent = rng.random_range(0..AGENTS);
@@ -62,7 +69,7 @@
     }
 }
 
-/// Plays a seed with tasks that work for less than `longest_ms`.
+/// Plays a seed with tasks that run for less than `max_work_ms`.
 fn play(seed: u64, max_work_ms: u64, restarts: Restarts) -> Session {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut restart_rng = ChaCha8Rng::seed_from_u64(!seed);
@@ -90,6 +97,7 @@
     session
 }
 
+/// Injects a random fault, ends one, or does nothing.
 fn inject_fault(session: &mut Session, rng: &mut ChaCha8Rng) {
     let entry = rng.random_range(0..ENTRIES);
     let agent = rng.random_range(0..AGENTS);
@@ -123,10 +131,10 @@
     }
 }
 
-/// Plays a seed with stored jobs and a job log that fails.
+/// Plays a seed with stored jobs and faults of the job log.
 fn play_stored(seed: u64, restarts: Restarts) -> Session {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    // Apart, so that seeds that once failed play as they did then.
+    // A separate generator, so that seeds that once failed play as they did then.
     let mut resend_rng = ChaCha8Rng::seed_from_u64(!seed);
     let mut restart_rng = ChaCha8Rng::seed_from_u64(seed.swap_bytes());
     let mut session = Session::new(STORED_ENTRIES, AGENTS);
@@ -165,6 +173,8 @@
     session
 }
 
+/// Makes the job log fail at random, reassigns its partitions, ends its failures, or does
+/// nothing.
 fn inject_log_fault(session: &mut Session, rng: &mut ChaCha8Rng) {
     let affected = rng.random_range(0..STORED_ENTRIES + 1);
     match rng.random_range(0..30) {
@@ -187,7 +197,8 @@
     }
 }
 
-/// The log fails for one entry, or for all when there is none of that number.
+/// Gives this outcome to the log calls of the affected entry, or of all entries if
+/// `affected` is `STORED_ENTRIES`.
 fn failing(
     affected: usize,
     outcome: LogCallOutcome,
@@ -216,8 +227,8 @@
     }
 }
 
-/// Tasks that are over before a caller sends its job again, and such that an
-/// entry or agent that failed may have left at work by then.
+/// Short tasks end before a caller sends its job again; long ones may still run by then
+/// although their entry or agent has failed.
 #[parameterized(
     short = { 900, Restarts::NewIds },
     long = { 3_000, Restarts::NewIds },
@@ -241,8 +252,9 @@
     }
 }
 
-/// A call lies for seconds while its minion begins another life under its id, or two. The
-/// agent shows the first of them an epoch at most, and stands still after that.
+/// Guards against a second run by a start call that is delayed for seconds, while its
+/// minion restarts once or twice with the same id. The agent sends the first new
+/// incarnation at most its epoch and is suspended after that.
 #[parameterized(
     two_incarnations_later = { 34_102, 3_000 },
     in_a_short_job = { 35_029, 900 },
@@ -260,7 +272,8 @@
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// The trial of a minion that had failed was kept for an entry without work.
+/// Guards against a stored job that never ends: the half-open trial of a minion that had
+/// failed was reserved for an entry without work.
 #[test]
 fn a_stored_job_gets_a_half_open_trial_on_the_only_minion_left() {
     let session = play_stored(50_196, Restarts::NewIds);
@@ -268,8 +281,9 @@
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// An end was acknowledged while a start of the task, or of another one on its minion,
-/// could still be carried out by the next life.
+/// Guards against two ends of a task that count: an end was acknowledged while the next
+/// incarnation could still carry out a delayed start of the same task or of another one
+/// on its minion.
 #[parameterized(
     of_another_run = { 18 },
     of_the_same_run = { 35_012 },
@@ -283,8 +297,9 @@
     assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
-/// The next life of a minion carries a start out while its agent stands still, and the
-/// task is at work elsewhere or was done by another run.
+/// Guards against a second run of a stored task: the next incarnation of a minion carries
+/// out a delayed start while its agent is suspended, and the task runs elsewhere or was
+/// done by another run.
 #[parameterized(
     after_a_lost_link = { 50_256 },
     after_a_change_of_owner = { 50_605 },
@@ -296,7 +311,9 @@
     assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
-/// The same for jobs whose callers wait.
+/// Guards against a second run of a task whose caller waits: the next incarnation of a
+/// minion carries out a delayed start while its agent is suspended, and the task runs
+/// elsewhere or was done by another run.
 #[parameterized(
     of_a_long_task = { 50_758, 3_000 },
     of_a_short_task = { 50_175, 900 },
@@ -307,7 +324,7 @@
     assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
-/// What goes wrong in a seed; empty if nothing does.
+/// Returns the failures of a session: unanswered callers and violations.
 fn failures(session: &Session) -> Vec<String> {
     let violations = &session.violations;
     let unanswered = session
@@ -323,7 +340,7 @@
     failures
 }
 
-/// Prints every seed that fails, and the rate.
+/// Prints every seed that fails, and the number of failed seeds.
 #[parameterized(
     stored_new_ids = { |seed| play_stored(seed, Restarts::NewIds) },
     stored_same_ids = { |seed| play_stored(seed, Restarts::SameIds) },
--- a/crates/dispatch/tests/session/crashes.rs
+++ b/crates/dispatch/tests/session/crashes.rs
@@ -1,4 +1,4 @@
-//! Minions that crash and start again, by themselves or by a task.
+//! Crashes and restarts of minions, with and without a task as the cause.
 
 use gannetvane_dispatch::AgentAction;
 use gannetvane_dispatch::Incarnation;
@@ -13,41 +13,44 @@
 use super::Session;
 use super::Side;
 
-/// Time after which a minion that crashed is back, in milliseconds.
+/// Time after which a minion that crashed under a task takes calls again, in
+/// milliseconds.
 const RESTART_DELAY_MS: u64 = 2_000;
 
-/// Crashes that are about to come, and what minions have not read.
+/// Crashes that are due later, and starts that unresponsive minions have not read.
 #[derive(Debug, Default)]
 pub(super) struct PendingCrashes {
-    /// Lives that end at a time, with their agents.
+    /// Time of the crash, agent and incarnation of each minion that will crash.
     due: Vec<(u64, usize, Incarnation)>,
-    /// Minions that read nothing any more, and when they crash.
+    /// Agents of the minions that read no calls, and the time of their crash.
     unresponsive: Vec<(usize, u64)>,
-    /// Starts that such a minion was sent.
+    /// Agent, incarnation and run of each start that was sent to an unresponsive
+    /// minion.
     unread_starts: Vec<(usize, Incarnation, RunKey)>,
 }
 
 impl Session {
-    /// The minion crashes and comes back as a new lifetime.
+    /// Crashes a minion and restarts it at once with a new id.
     pub fn crash_minion(&mut self, agent: usize) {
         let id = format!("minion-{agent}-x{}", self.sequence);
         self.replace_minion(agent, &id);
     }
 
-    /// The same, and it is back after this time.
+    /// Crashes a minion and restarts it with a new id after `down_ms`.
     pub fn crash_minion_for(&mut self, agent: usize, down_ms: u64) {
         self.crash_minion(agent);
         self.delay_restart(agent, down_ms);
     }
 
-    /// The minion starts again under its id, and is back after this time.
+    /// Crashes a minion and restarts it with the same id after `down_ms`.
     pub fn restart_with_same_id(&mut self, agent: usize, down_ms: u64) {
         let id = self.minions[agent].instance.clone();
         self.replace_minion(agent, &id);
         self.delay_restart(agent, down_ms);
     }
 
-    /// The life of a minion ends with all that runs there, and the next one begins.
+    /// Ends the incarnation of a minion with all its runs, and starts one with
+    /// this id.
     fn replace_minion(&mut self, agent: usize, id: &str) {
         self.last_reports.insert(agent, self.report(agent));
         let next = self.new_minion(agent, id);
@@ -56,8 +59,9 @@
         self.ended_minions.push(ended);
     }
 
-    /// The listings that wait at a minion end with its life: what it had to tell is on
-    /// its way already, and the connections of the others break.
+    /// Ends the pending listing calls to a minion whose incarnation has ended. If it had
+    /// ends to list, its answer is already on the way; otherwise the connections of the
+    /// calls break.
     fn break_listings(&mut self, agent: usize, ended: &FakeMinion) {
         let pending_listings = std::mem::take(&mut self.pending_listings);
         let (broken, rest) = pending_listings
@@ -75,7 +79,7 @@
         }
     }
 
-    /// A minion takes no calls for this time, and then reports itself.
+    /// Lets a minion take no calls for `down_ms` and report to its agent after that.
     fn delay_restart(&mut self, agent: usize, down_ms: u64) {
         self.minions[agent].up_at_ms = self.now_ms + down_ms;
         let report = self.report(agent);
@@ -83,8 +87,9 @@
         self.post_at(at_ms, Side::Agent(agent), Event::Reported(report));
     }
 
-    /// The same, and it tells no birth, or that of its last life, as after a step
-    /// back of the time of day.
+    /// Crashes a minion and restarts it with the same id after `down_ms`. It reports no
+    /// start time, or that of its previous incarnation, as after a backward step of the
+    /// wall clock.
     pub fn restart_with_hidden_start_time(
         &mut self,
         agent: usize,
@@ -98,19 +103,20 @@
         minion.reported_start_unix_ms = started_unix_ms;
     }
 
-    /// Whether the minion stands still, with all that it runs.
+    /// Whether the minion is unresponsive, so that its runs make no progress either.
     pub(super) fn is_unresponsive(&self, agent: usize) -> bool {
         let mut unresponsive = self.pending_crashes.unresponsive.iter();
         unresponsive.any(|(other, _)| *other == agent)
     }
 
-    /// The minion reads no more calls for this time, and then crashes.
+    /// Makes a minion unresponsive for `for_ms` and crashes it after that.
     pub fn stop_responding_and_crash(&mut self, agent: usize, for_ms: u64) {
         let at_ms = self.now_ms + for_ms;
         self.pending_crashes.unresponsive.push((agent, at_ms));
     }
 
-    /// Keeps a call that a stalled minion does not read; false if it reads it.
+    /// Keeps a call to an unresponsive minion as unread; returns false if the minion
+    /// reads calls.
     pub(super) fn queue_if_unresponsive(&mut self, agent: usize, action: &AgentAction) -> bool {
         if !self.is_unresponsive(agent) {
             return false;
@@ -140,8 +146,8 @@
         true
     }
 
-    /// A task that crashes each minion was started: in the start, or some time later.
-    /// Returns whether the start is answered.
+    /// Crashes the minion that started a crashing task, during the start or
+    /// `crash_after_ms` later. Returns whether the start is answered.
     pub(super) fn crash_by_task(
         &mut self,
         agent: usize,
@@ -161,7 +167,7 @@
         false
     }
 
-    /// Ends the lives that are due.
+    /// Crashes the minions whose crash is due.
     pub(super) fn crash_due_minions(&mut self) {
         let now_ms = self.now_ms;
         let is_due = |(at_ms, ..): &mut (u64, usize, Incarnation)| *at_ms <= now_ms;
--- a/crates/dispatch/tests/session/evacuation.rs
+++ b/crates/dispatch/tests/session/evacuation.rs
@@ -1,18 +1,19 @@
-//! Operators who empty availability zones and take them back.
+//! Evacuations of availability zones, and the starts that are observed there.
 
 use gannetvane_dispatch::Evacuations;
 
 use super::Session;
 use super::zone;
 
-/// A task that a minion began, or was told to start.
+/// A start that a minion answered, or a call to start a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedStart {
     pub at_ms: u64,
     pub agent: usize,
 }
 
-/// The zones that are being emptied as of a record.
+/// Creates the set of zones that are evacuated as of an offset in the operators'
+/// records.
 pub fn evacuations(log_offset: u64, zones: &[&str]) -> Evacuations {
     Evacuations {
         log_offset,
@@ -21,7 +22,7 @@
 }
 
 impl Session {
-    /// An entry learns which zones are being emptied, from wherever.
+    /// Sends one entry the zones that are evacuated; the source doesn't matter.
     pub fn send_evacuations(&mut self, entry: usize, evacuations: &Evacuations) {
         let process = &mut self.entries[entry];
         process.core.dispatcher.evacuate(self.now_ms, evacuations);
@@ -35,13 +36,13 @@
         }
     }
 
-    /// Calls to start a task in a zone after a moment.
+    /// Returns the number of calls to start a task in a zone after this time.
     pub fn start_calls_in_zone(&self, name: &str, after_ms: u64) -> usize {
         let is_there = |call: &&ObservedStart| zone(call.agent) == name && call.at_ms > after_ms;
         self.start_calls.iter().filter(is_there).count()
     }
 
-    /// Tasks begun in a zone after a moment.
+    /// Returns the number of tasks that minions of a zone started after this time.
     pub fn starts_in_zone(&self, name: &str, after_ms: u64) -> usize {
         let is_there = |start: &&ObservedStart| zone(start.agent) == name && start.at_ms > after_ms;
         self.answered_starts.iter().filter(is_there).count()
--- a/crates/dispatch/tests/session/failures.rs
+++ b/crates/dispatch/tests/session/failures.rs
@@ -1,4 +1,5 @@
-//! Jobs that were told as failed, held against what became of their tasks.
+//! Checks that a job reported as failed had a task that failed or crashed minions
+//! often enough.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +7,14 @@
 
 use super::Session;
 
-/// Minions that must have crashed under a task before its job may be given up.
+/// Smallest number of minions that must have crashed under a task before its job may
+/// fail.
 const MIN_CRASHES_TO_FAIL: u32 = 2;
 
 impl Session {
-    /// Notes a job that was told as failed, unless a task of it failed as often as its
-    /// queue allows, or enough minions crashed under one.
+    /// Records a violation for a job that was reported as failed, unless one of its
+    /// tasks failed as often as its queue allows, or enough minions crashed under one
+    /// of its tasks.
     pub(super) fn check_failed(&mut self, id: &str) {
         let crashes = self.crashes_under(id);
         let failures = self.failures_of(id);
@@ -24,7 +27,8 @@
         }
     }
 
-    /// Minions that crashed while a task of the job ran there, by task.
+    /// Returns the number of minions that crashed while running a task of the job, by
+    /// task.
     fn crashes_under(&self, id: &str) -> BTreeMap<TaskId, u32> {
         let mut crashes = BTreeMap::new();
         for minion in &self.ended_minions {
@@ -36,7 +40,7 @@
         crashes
     }
 
-    /// Times that runs of the job failed, by task.
+    /// Returns the number of failed runs of the job, by task.
     fn failures_of(&self, id: &str) -> BTreeMap<TaskId, u32> {
         let mut failures = BTreeMap::new();
         for minion in self.minions.iter().chain(&self.ended_minions) {
--- a/crates/dispatch/tests/session/log.rs
+++ b/crates/dispatch/tests/session/log.rs
@@ -1,5 +1,5 @@
-//! The job log as entries see it: partitions, a group that divides them, and
-//! appends that are numbered and fenced.
+//! Simulated job log: partitions, a group that assigns them to its members, and
+//! appends that are numbered and fenced by epoch.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,27 @@
 use gannetvane_standins::Group;
 use gannetvane_wire::Name;
 
-/// Partitions of the log.
+/// Number of partitions of the log.
 pub const PARTITIONS: u32 = 4;
 
-/// What becomes of a call to the log.
+/// Outcome of a call to the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogCallOutcome {
-    /// Carried out and answered.
+    /// The log carries the call out and answers.
     #[default]
     Served,
-    /// Refused.
+    /// The log refuses the call.
     Refused,
-    /// Carried out, without an answer.
+    /// The log carries the call out without an answer.
     AnswerLost,
-    /// Carried out this many milliseconds later, without an answer.
+    /// The log carries an append out this many milliseconds later, without an
+    /// answer.
     Delayed(u64),
-    /// Neither carried out nor answered.
+    /// The log neither carries the call out nor answers.
     Dropped,
 }
 
-/// An append under way.
+/// Arguments of a call to append records to a partition.
 #[derive(Clone, Debug)]
 pub struct Append {
     pub partition: Partition,
@@ -40,6 +41,7 @@
     pub records: Vec<LogRecord>,
 }
 
+/// Newest record by key, epoch, next append number and end offset of a partition.
 #[derive(Debug, Default)]
 struct FakePartition {
     newest: BTreeMap<Name, Vec<u8>>,
@@ -48,12 +50,13 @@
     end: u64,
 }
 
+/// Job log with the group that shares its partitions.
 #[derive(Debug, Default)]
 pub struct FakeLog {
     partitions: BTreeMap<Partition, FakePartition>,
     group: Group,
     delayed: Vec<(u64, Append)>,
-    /// Calls of each kind.
+    /// Number of calls to join the group.
     pub joins: usize,
     pub appends: usize,
 }
@@ -75,12 +78,12 @@
         self.group.leave(member, PARTITIONS);
     }
 
-    /// All partitions are dealt anew at once.
+    /// Reassigns all partitions at once.
     pub fn rebalance(&mut self) {
         self.group.rebalance(PARTITIONS);
     }
 
-    /// The member that holds a partition.
+    /// Returns the member that owns a partition.
     pub fn owner(&mut self, now_ms: u64, partition: Partition) -> Option<String> {
         let owners = self.group.owners(now_ms, PARTITIONS);
         let owner = owners.into_iter().find(|(part, _)| *part == partition.0);
@@ -98,11 +101,11 @@
             partition.next_number = None;
         }
         if append.records.is_empty() {
-            // It sets the epoch and takes no number.
+            // An append without records sets the epoch and takes no number.
             return AppendResult::Appended(partition.end);
         }
         match partition.next_number {
-            // A repeat gets its first answer.
+            // A repeated append gets the answer of the first one.
             Some(next) if append.number + 1 == next => {
                 return AppendResult::Appended(partition.end);
             }
@@ -127,7 +130,7 @@
         AppendResult::Appended(partition.end)
     }
 
-    /// An append is carried out later, if it is not fenced by then.
+    /// Schedules an append for `at_ms`; a higher epoch may fence it off before that.
     pub fn append_delayed(&mut self, at_ms: u64, append: Append) {
         self.delayed.push((at_ms, append));
     }
@@ -142,7 +145,7 @@
         newest.map(record).collect()
     }
 
-    /// Carries out what was late.
+    /// Carries out the delayed appends that are due.
     pub fn tick(&mut self, now_ms: u64) {
         let delayed = std::mem::take(&mut self.delayed);
         let (due, rest): (Vec<_>, Vec<_>) = delayed.into_iter().partition(|(at, _)| *at <= now_ms);
--- a/crates/dispatch/tests/session/minion.rs
+++ b/crates/dispatch/tests/session/minion.rs
@@ -1,4 +1,5 @@
-//! A minion that keeps leases, forbids stopped runs, and can misbehave.
+//! Simulated minion: it enforces leases, refuses to start runs that were stopped, and
+//! can be slow, stalled or failing.
 
 use std::collections::BTreeMap;
 
@@ -12,34 +13,36 @@
 use gannetvane_dispatch::StartResult;
 use gannetvane_dispatch::TaskId;
 
-/// Most ends of one listing.
+/// Largest number of ends in one listing.
 const MAX_LISTED_ENDS: usize = 500;
-/// First run number of stored tasks.
+/// Smallest run number of a stored task.
 const FIRST_STORED_RUN: u32 = 4_096;
-/// Time after which nothing more may be started that does not fit a room that has
-/// shrunk, in milliseconds: a report on its way, and a start that it crosses.
+/// Time for which starts may still use the former capacity after a change, in
+/// milliseconds: it covers a report on its way to the agent and a start that crosses
+/// the report.
 const RESIZE_GRACE_MS: u64 = 5;
-/// Longest lease that a minion grants, in milliseconds.
+/// Longest lease that the minion grants, in milliseconds.
 pub(super) const MAX_LEASE_MS: u64 = 1_000;
-/// Birth of a minion that begins with the session, in milliseconds since 1970.
+/// Start time of a minion that starts with the session, in milliseconds since 1970.
 const FIRST_START_UNIX_MS: u64 = 1_700_000_000_000;
-/// Time that a stop takes, in milliseconds.
+/// Time between a stop and the end of the run, in milliseconds.
 const STOP_MS: u64 = 40;
 
-/// What a minion does with what it starts.
+/// How the runs of a minion progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Behavior {
-    /// Works at its speed.
+    /// Runs progress at the minion's speed.
     #[default]
     Healthy,
-    /// Fails all that it starts at once.
+    /// Runs fail at once.
     Failing,
     /// Runs make no progress.
     Stalled,
-    /// Works this many times slower.
+    /// Runs progress this many times slower.
     Slow(f64),
 }
 
+/// Resources, work and stop time of an active run.
 #[derive(Clone, Debug)]
 struct Work {
     needs: Resources,
@@ -48,45 +51,53 @@
     stop_at_ms: Option<u64>,
 }
 
-/// One lifetime of a minion.
+/// One incarnation of a minion.
 #[derive(Clone, Debug)]
 pub struct FakeMinion {
     pub instance: String,
     pub capacity: Resources,
-    /// Times that it works faster than an ordinary one.
+    /// Factor by which its runs progress faster than on a minion of speed 1.
     pub speed: f64,
     pub behavior: Behavior,
-    /// Rate of its clock against the true time.
+    /// Rate of its clock relative to the clock of the session.
     pub clock_rate: f64,
+    /// Number of starts that exceeded the capacity.
     pub overcommits: usize,
-    /// Work for each job, in thousandths of a core by milliseconds.
+    /// Work done for each job, in thousandths of a core times milliseconds.
     pub work_by_job: BTreeMap<String, f64>,
+    /// Runs that were done.
     pub done: Vec<RunKey>,
-    /// Runs of stored tasks that were started, and when.
+    /// Runs of stored tasks that were started, with their start times.
     pub stored_starts: Vec<(RunKey, u64)>,
-    /// Runs whose start was carried out late.
+    /// Runs whose start call was delayed.
     pub delayed_starts: Vec<RunKey>,
-    /// Done runs of stored tasks whose end counts, and when they ended.
+    /// Done runs of stored tasks whose end was acknowledged within the lease, with
+    /// the times of their ends.
     pub counted_ends: Vec<(RunKey, u64)>,
-    /// Times that a run of each task failed here.
+    /// Number of failed runs of each task on this minion.
     pub failures: BTreeMap<TaskId, u32>,
-    /// Ends without an acknowledgement, and whether the lease lapsed since.
+    /// Unacknowledged ends of done stored runs by number, each with the run, the
+    /// time of the end, and whether the lease has lapsed since.
     unacknowledged_ends: BTreeMap<u64, (RunKey, u64, bool)>,
     started_ms: u64,
-    /// Whether it tells when its life began.
+    /// Whether the minion reports its start time.
     pub reports_start_time: bool,
-    /// The birth that it tells, if that is not its own.
+    /// Start time that the minion reports instead of its own.
     pub reported_start_unix_ms: Option<u64>,
-    /// Whether calls get no answer until then; otherwise connections are refused.
+    /// Whether calls before `up_at_ms` time out; otherwise their connections are
+    /// refused.
     pub is_host_down: bool,
-    /// The room that it had before the present one, and until when a start may go
-    /// by that.
+    /// Capacity before the last change, and the time until which starts may still
+    /// use it.
     former_capacity: Option<(Resources, u64)>,
-    /// When it takes calls: its host starts it some time after its last life.
+    /// Time from which it takes calls: its host may start it some time after its
+    /// previous incarnation has ended.
     pub up_at_ms: u64,
     epoch: u64,
     lease_until_ms: u64,
     active_runs: BTreeMap<RunKey, Work>,
+    /// Highest run number of each task that ended or was stopped; no run up to it may
+    /// start.
     highest_runs: BTreeMap<TaskId, u32>,
     ended: Vec<EndedRun>,
     last_end_number: u64,
@@ -125,7 +136,7 @@
         }
     }
 
-    /// Its id, and its birth if it tells that.
+    /// Returns the minion's id, with its start time if it reports one.
     pub fn incarnation(&self) -> Incarnation {
         let own_ms = FIRST_START_UNIX_MS + self.started_ms;
         let reported_ms = self.reported_start_unix_ms.unwrap_or(own_ms);
@@ -133,23 +144,25 @@
         Incarnation::new(self.instance.as_str().into(), started_unix_ms)
     }
 
-    /// It has other room from now on.
+    /// Changes the capacity.
     pub fn resize(&mut self, now_ms: u64, capacity: Resources) {
         let former_capacity = std::mem::replace(&mut self.capacity, capacity);
         self.former_capacity = Some((former_capacity, now_ms + RESIZE_GRACE_MS));
     }
 
-    /// Number of a report; each life counts anew.
+    /// Returns the sequence number of a report, which starts from 0 in each
+    /// incarnation.
     pub fn sequence(&self, now_ms: u64) -> u64 {
         now_ms - self.started_ms
     }
 
-    /// The highest epoch that it has seen.
+    /// Returns the highest epoch that it has seen.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// A lease until this time, cut to the longest that it grants.
+    /// Extends the lease until this time on the minion's clock, limited to the longest
+    /// lease that it grants.
     fn lease(&mut self, now_ms: u64, deadline_ms: u64) {
         let longest_ms = self.clock_ms(now_ms) + MAX_LEASE_MS;
         self.lease_until_ms = self.lease_until_ms.max(deadline_ms.min(longest_ms));
@@ -163,13 +176,14 @@
         self.active_runs.keys()
     }
 
-    /// Room that no run takes.
+    /// Returns the free resources.
     pub fn free(&self) -> Resources {
         let active_runs = self.active_runs.values();
         active_runs.fold(self.capacity, |free, work| free.minus(&work.needs))
     }
 
-    /// Starts a run; `needs` and `work_ms` stand for what the text would say.
+    /// Starts a run; `needs` and `work_ms` replace what the task's specification would
+    /// say.
     pub fn start(
         &mut self,
         now_ms: u64,
@@ -241,7 +255,7 @@
         true
     }
 
-    /// Extends the lease and forgets the ends that are acknowledged.
+    /// Extends the lease and drops the ends that are acknowledged.
     pub fn extend(
         &mut self,
         now_ms: u64,
@@ -271,7 +285,7 @@
         }
     }
 
-    /// What runs, and the ends that nobody has acknowledged.
+    /// Returns the active runs and the unacknowledged ends.
     pub fn list(&self, now_ms: u64, epoch: u64) -> Listing {
         if epoch < self.epoch {
             return Listing {
@@ -291,7 +305,7 @@
         }
     }
 
-    /// Whether an end waits to be told.
+    /// Whether there is an unacknowledged end.
     pub fn has_ends(&self) -> bool {
         !self.ended.is_empty()
     }
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -1,6 +1,9 @@
-//! Whole sessions of entries, agents and minions on a clock that the test
-//! advances: frames, orders and their answers travel with a delay and can be
-//! held up, lost or late; processes are killed, frozen and cut off.
+//! Simulates entries, agents, minions, callers and the job log on a clock that
+//! the test advances.
+//!
+//! Frames, calls and their answers arrive after a delay and can be held up,
+//! lost or delayed further. Processes can be killed, suspended and cut off.
+//! Each step checks the invariants and collects their violations.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -74,33 +77,38 @@
 pub use stored::StoredView;
 
 pub const SERVICE: &str = "bretti-desk";
-/// One-way delay between processes, in milliseconds.
+/// One-way network delay between two processes, in milliseconds.
 const DELAY_MS: u64 = 1;
-/// Time after which an order without an answer is given up by its sender.
+/// Time after which an agent's call to its minion times out, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 50;
-/// Pause between two reports of a minion.
+/// Interval between two reports of a minion, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 1_500;
-/// Pause before a report that found no agent is sent again.
+/// Interval between reports of a prompt minion until its agent has one, in
+/// milliseconds.
 const REPORT_RETRY_MS: u64 = 100;
-/// Pause after which a caller whose connection broke sends its job again.
+/// Time after which a caller whose connection broke sends its job again, in
+/// milliseconds.
 const RESEND_DELAY_MS: u64 = 1_300;
-/// Time after which a lost stop is carried out.
+/// Delay after which a delayed stop is carried out, in milliseconds.
 const STOP_DELAY_MS: u64 = 9_000;
-/// Time after which a call is carried out that never is.
+/// Delay of a call that is never carried out, in milliseconds: it is longer than
+/// any session.
 const ENDLESS_DELAY_MS: u64 = 1_000_000;
-/// Pause of an agent between attempts to connect.
+/// Interval between an agent's attempts to connect to an entry, in milliseconds.
 const DIAL_INTERVAL_MS: u64 = 25;
 
-/// Time that a listing is on its way which was made when its call came.
+/// Longest delay of the answer to a listing call by a minion that is not prompt,
+/// in milliseconds.
 const MAX_LISTING_DELAY_MS: u64 = 20;
-/// Longest time that a listing waits for an end, in milliseconds.
+/// Longest time that a listing call waits for an end at a prompt minion, in
+/// milliseconds.
 const MAX_LIST_WAIT_MS: u64 = 2_000;
 
-/// Pause between two looks for refused jobs that ran; what ran is remembered.
+/// Interval between two checks for refused jobs that ran, in milliseconds. A
+/// check misses nothing, because the session records all started tasks.
 const REFUSED_CHECK_INTERVAL_MS: u64 = 200;
 
-/// Callers, the latest ones, among which those without an answer are looked
-/// for.
+/// Number of the latest callers that are searched for those without an answer.
 const RECENT_CALLERS: usize = 2_000;
 
 pub const TASK_RESOURCES: Resources = Resources {
@@ -114,7 +122,7 @@
     accelerators: 0,
 };
 
-/// What can arrive at a process.
+/// Event that arrives at an entry or an agent.
 #[derive(Clone, Debug)]
 enum Event {
     LinkUp(LinkId, SocketAddr),
@@ -135,13 +143,13 @@
     Crashes(Vec<Crash>),
 }
 
-/// An entry: its dispatcher and its part of the job log.
+/// Dispatcher of an entry, and its ledger of the partitions that it owns.
 struct EntryCore {
     dispatcher: Dispatcher,
     ledger: Ledger,
 }
 
-/// A call to a minion that is carried out at a later time.
+/// Unanswered call to a minion, which the minion carries out at `at_ms`.
 #[derive(Clone, Debug)]
 struct DelayedCall {
     at_ms: u64,
@@ -149,10 +157,10 @@
     action: AgentAction,
 }
 
-/// A listing that waits for an end.
+/// Call for a listing that the minion has not answered yet.
 #[derive(Clone, Debug)]
 struct PendingListing {
-    /// The listing, where it was made when the call came.
+    /// The answer, if the minion made it when the call arrived.
     listing: Option<Listing>,
     until_ms: u64,
     agent: usize,
@@ -161,13 +169,14 @@
     epoch: u64,
 }
 
-/// A process with the events that reached its host.
+/// Entry or agent, with the events that have arrived at its host.
 struct Process<C> {
     core: C,
     inbox: VecDeque<Event>,
     due_ms: u64,
     suspended_until_ms: u64,
     down_until_ms: u64,
+    /// Number of its current start, from 1.
     start_number: u64,
 }
 
@@ -181,14 +190,15 @@
     }
 }
 
+/// Connection of an agent to an entry.
 #[derive(Clone, Copy, Debug)]
 struct Link {
     agent: usize,
     entry: usize,
 }
 
-/// What a job asks for, and how long each of its tasks works on a minion of
-/// ordinary speed.
+/// Queue, resources and declared time of a job, and the time that each of its
+/// tasks runs on a minion of speed 1.
 #[derive(Clone, Debug)]
 pub struct JobShape {
     pub queue: Arc<Queue>,
@@ -197,15 +207,15 @@
     pub work_ms: Vec<f64>,
 }
 
-/// A minion of a session.
+/// Capacity and speed of a minion.
 #[derive(Clone, Copy, Debug)]
 pub struct MinionKind {
     pub capacity: Resources,
-    /// Times that it works faster than an ordinary one.
+    /// Factor by which its tasks run faster than on a minion of speed 1.
     pub speed: f64,
 }
 
-/// A job as its caller sees it.
+/// State of a job at its caller.
 #[derive(Clone, Debug)]
 pub struct CallerState {
     pub id: String,
@@ -223,13 +233,20 @@
     refused: usize,
 }
 
-/// What must never happen, and happened.
+/// Violations of the invariants.
 #[derive(Clone, Debug, Default)]
 pub struct Violations {
+    /// Runs of a task that overlap, and starts after an end that counts or after a
+    /// cancel.
     pub duplicates: Vec<String>,
+    /// Number of starts that exceeded the capacity of a minion.
     pub overcommits: usize,
+    /// Ids of jobs that ran although all their submissions were refused.
     pub refused_and_ran: Vec<String>,
+    /// Accepted stored jobs that are unknown, have not ended, or are complete without
+    /// all their tasks being done.
     pub lost: Vec<String>,
+    /// Jobs that failed without enough failed runs or crashes of one of their tasks.
     pub failed_without_cause: Vec<String>,
 }
 
@@ -243,6 +260,7 @@
     }
 }
 
+/// Simulated processes, the network between them, and what is checked about them.
 pub struct Session {
     pub now_ms: u64,
     entries: Vec<Process<EntryCore>>,
@@ -251,71 +269,83 @@
     links: BTreeMap<LinkId, Link>,
     next_link: u64,
     next_caller: u64,
+    /// Events on their way, with their arrival times, sequence numbers and
+    /// receivers.
     in_flight: Vec<(u64, u64, Side, Event)>,
     sequence: u64,
+    /// Pairs of entry and agent whose messages are held up.
     cuts: BTreeSet<(usize, usize)>,
     delayed_calls: Vec<DelayedCall>,
-    /// Decides the fate of each order: `None` in time, or after how long it is
-    /// carried out without an answer.
+    /// Decides about each call of an agent to its minion, by time and agent:
+    /// `None` for a call that is answered in time, or the delay in milliseconds
+    /// after which an unanswered call is carried out.
     pub call_delay: Box<dyn FnMut(u64, usize) -> Option<u64>>,
-    /// Whether stops get no answer and are carried out seconds later, while
+    /// Whether stops are unanswered and carried out `STOP_DELAY_MS` later, while
     /// other calls are answered.
     pub delays_stops: bool,
     pub callers: Vec<CallerState>,
+    /// Number of tasks that were started, by minion id.
     pub starts: BTreeMap<String, usize>,
     pub violations: Violations,
+    /// Time of the last attempt of an agent to connect to an entry, by agent and
+    /// entry.
     dialed_ms: BTreeMap<(usize, usize), u64>,
-    /// Links that were opened; one that is closed is opened anew at once.
+    /// Number of links that agents opened; they open a closed link again at once.
     pub dials: usize,
     draining: BTreeSet<usize>,
-    /// The last report of the lifetime that ended last, for each minion.
+    /// For each agent, the last report of the incarnation of its minion that
+    /// ended last.
     last_reports: BTreeMap<usize, MinionReport>,
     pub log: FakeLog,
-    /// Decides what becomes of each call of an entry to the job log.
+    /// Decides the outcome of each call to the job log, by time and entry.
     pub log_outcome: Box<dyn FnMut(u64, usize) -> LogCallOutcome>,
     pub stored: Vec<StoredView>,
-    /// Lifetimes of minions that ended.
+    /// Incarnations of minions that have ended.
     ended_minions: Vec<FakeMinion>,
     minion_kinds: Vec<MinionKind>,
-    /// The entries that each agent keeps a link to, as in the product.
+    /// The entries that each agent keeps a link to, selected by the code under
+    /// test.
     link_targets: Vec<Vec<usize>>,
     queues: Vec<Arc<Queue>>,
     policy: fn() -> BoxedPolicy,
-    /// Jobs that are not all of one kind.
+    /// Shapes of the jobs that `submit_shape` submitted, by job id.
     shapes: BTreeMap<String, JobShape>,
-    /// Tasks that were started, for each job.
+    /// Indexes of the tasks that minions started, by job id.
     started_tasks: BTreeMap<String, BTreeSet<u32>>,
-    /// Whether minions are as prompt as real ones: a listing waits for an end,
-    /// and a report that found no agent is sent again soon. Otherwise a listing
-    /// is made when it is asked for, ends are told up to 20 ms late, and a
-    /// report comes each 1.5 s.
+    /// Whether minions answer as promptly as real ones: a listing call waits for
+    /// an end, and a report that reached no agent is sent again soon. Otherwise
+    /// the minion makes a listing when the call arrives, its answer is up to
+    /// 20 ms late, and reports are 1.5 s apart.
     pub has_prompt_minions: bool,
     pending_listings: Vec<PendingListing>,
-    /// Whether minions tell their births.
+    /// Whether minions report their start times.
     has_start_times: bool,
-    /// Whether calls that a minion would carry out late end with its life.
+    /// Whether delayed calls are dropped once the incarnation of the minion that
+    /// they were sent to has ended.
     pub drops_calls_of_ended_incarnations: bool,
-    /// Jobs whose first task crashes each minion that starts it.
+    /// Ids of jobs whose first task crashes each minion that starts it.
     pub crashing: BTreeSet<String>,
-    /// Minions that each of them crashed.
+    /// Number of minions that crashed under each of these jobs.
     pub crashes: BTreeMap<String, usize>,
-    /// How long after an answered start they do; in the start itself if not set.
+    /// Time between the answer to a start and the crash, in milliseconds. Without
+    /// it, the minion crashes during the start.
     pub crash_after_ms: Option<u64>,
     pending_crashes: PendingCrashes,
-    /// The last crash that an entry told another one.
+    /// Number of the last crash that an entry sent to another entry.
     sent_crashes: BTreeMap<(usize, usize), u64>,
-    /// The run of each agent and the lifetime of its minion that were last
-    /// brought together by a report.
+    /// For each agent, its start number and the id of its minion at the last
+    /// report.
     reported: BTreeMap<usize, (u64, String)>,
-    /// Callers that were refused since they were last looked at.
+    /// Positions of callers refused since the last call of
+    /// `refused_despite_free_resources`.
     newly_refused: Vec<usize>,
-    /// Zones that all entries know to be emptied.
+    /// Availability zones whose evacuation was sent to all entries.
     evacuated: BTreeSet<String>,
-    /// All starts that were answered in time.
+    /// All starts that a minion carried out and answered in time.
     pub answered_starts: Vec<ObservedStart>,
     /// All calls to start a task, answered or not.
     pub start_calls: Vec<ObservedStart>,
-    /// What agents noted, by event.
+    /// Number of events that agents logged, by event name.
     pub event_counts: BTreeMap<&'static str, usize>,
 }
 
@@ -334,7 +364,8 @@
         Self::with_minions(entries, vec![kind; agents], table(1).queues, fair_share)
     }
 
-    /// A session of one agent for each minion; `policy` makes that of an entry.
+    /// Creates a session with one agent for each minion; `policy` creates the
+    /// overload policy of an entry.
     pub fn with_minions(
         entries: usize,
         minion_kinds: Vec<MinionKind>,
@@ -457,12 +488,13 @@
         }
     }
 
-    /// Submits a job of tasks that work this long.
+    /// Submits a job whose tasks run for `work_ms`; returns its position in
+    /// `callers`.
     pub fn submit(&mut self, entry: usize, id: &str, tasks: u32, work_ms: u64) -> usize {
         self.submit_declared(entry, id, tasks, work_ms, work_ms)
     }
 
-    /// Submits a job whose declared time is not that of its work.
+    /// Submits a job whose declared time differs from the time that its tasks run.
     pub fn submit_declared(
         &mut self,
         entry: usize,
@@ -491,7 +523,7 @@
         position
     }
 
-    /// Submits a job of this shape.
+    /// Submits a job of the given shape; returns its position in `callers`.
     pub fn submit_shape(&mut self, entry: usize, id: &str, shape: JobShape) -> usize {
         let tasks = u32::try_from(shape.work_ms.len()).unwrap_or(u32::MAX);
         let declared_ms = shape.declared_ms;
@@ -535,7 +567,8 @@
         self.callers[position].outcome
     }
 
-    /// A caller closes its connection and sends the job again to another entry.
+    /// Closes a caller's connection; the caller sends its job again to the next
+    /// entry after `RESEND_DELAY_MS`.
     pub fn disconnect_caller(&mut self, position: usize) {
         let state = &mut self.callers[position];
         if let Some(caller) = state.caller.take() {
@@ -545,13 +578,15 @@
         }
     }
 
-    /// The same, and the job comes again at once.
+    /// Closes a caller's connection; the caller sends its job again to the next
+    /// entry at once.
     pub fn disconnect_caller_and_resend(&mut self, position: usize) {
         self.disconnect_caller(position);
         self.callers[position].resend_at_ms = Some(self.now_ms + 2 * DELAY_MS);
     }
 
-    /// A caller neither waits any more nor comes again.
+    /// Makes a caller stop waiting without closing its connection or sending its
+    /// job again.
     pub fn forget_caller(&mut self, position: usize) {
         let state = &mut self.callers[position];
         state.caller = None;
@@ -566,7 +601,8 @@
         self.agents[agent].suspended_until_ms = self.now_ms + for_ms;
     }
 
-    /// Kills an entry; its callers' connections break.
+    /// Kills an entry, which starts again after `for_ms`; its callers' connections
+    /// break.
     pub fn kill_entry(&mut self, entry: usize, for_ms: u64) {
         let start_number = self.entries[entry].start_number + 1;
         self.entries[entry] = self.new_entry(entry, start_number);
@@ -588,14 +624,14 @@
         self.break_links(|link| link.agent == agent, Side::Agent(agent));
     }
 
-    /// The minion has other room from now on, and says so with its next report.
+    /// Changes a minion's capacity; the minion reports it at once.
     pub fn resize_minion(&mut self, agent: usize, capacity: Resources) {
         self.minions[agent].resize(self.now_ms, capacity);
         let report = self.report(agent);
         self.post(Side::Agent(agent), Event::Reported(report));
     }
 
-    /// All minions tell their births from now on.
+    /// Makes all minions report their start times, and waits for these reports.
     pub fn report_start_times(&mut self) {
         self.has_start_times = true;
         for minion in &mut self.minions {
@@ -604,14 +640,14 @@
         self.run(2 * REPORT_INTERVAL_MS);
     }
 
-    /// The last report of the lifetime before the present one arrives only now.
+    /// Delivers the last report of the minion's previous incarnation.
     pub fn deliver_delayed_report(&mut self, agent: usize) {
         if let Some(report) = self.last_reports.get(&agent).cloned() {
             self.post(Side::Agent(agent), Event::Reported(report));
         }
     }
 
-    /// Holds up all that an entry and an agent send each other.
+    /// Holds up everything that an entry and an agent send each other.
     pub fn cut(&mut self, entry: usize, agent: usize) {
         self.cuts.insert((entry, agent));
     }
@@ -620,7 +656,7 @@
         self.cuts.clear();
     }
 
-    /// The minion says from now on that it leaves.
+    /// Makes a minion report from now on that it drains.
     pub fn drain_minion(&mut self, agent: usize) {
         self.draining.insert(agent);
         let report = self.report(agent);
@@ -648,7 +684,7 @@
         &mut self.entries[entry].core.dispatcher
     }
 
-    /// A planned stop of an entry.
+    /// Begins the planned stop of an entry.
     pub fn stop_entry(&mut self, entry: usize) {
         let process = &mut self.entries[entry];
         let EntryCore { dispatcher, ledger } = &mut process.core;
@@ -686,7 +722,7 @@
         self.in_flight.push((at_ms, self.sequence, to, event));
     }
 
-    /// Advances the clock, a millisecond at a time.
+    /// Advances the clock in steps of a millisecond.
     pub fn run(&mut self, for_ms: u64) {
         for _ in 0..for_ms {
             self.now_ms += 1;
@@ -694,7 +730,7 @@
         }
     }
 
-    /// Runs until a caller has its answer, for at most this long.
+    /// Runs until a caller has its answer, for at most `for_ms`.
     pub fn run_until_answered(&mut self, position: usize, for_ms: u64) {
         for _ in 0..for_ms {
             if self.callers[position].outcome.is_some() {
@@ -740,8 +776,8 @@
         }
     }
 
-    /// Whether the present run of an agent has a report of the present lifetime
-    /// of its minion.
+    /// Whether the agent has had a report of its minion's current incarnation since
+    /// its own last start.
     fn is_reported(&self, agent: usize) -> bool {
         let (start_number, instance) = (
             self.agents[agent].start_number,
@@ -812,7 +848,8 @@
         link.is_some_and(|link| self.cuts.contains(&(link.entry, link.agent)))
     }
 
-    /// Moves what arrived to the inboxes; what is cut off is held up.
+    /// Moves events that are due to the inboxes, and holds up those of links that
+    /// are cut.
     fn deliver(&mut self) {
         let in_flight = std::mem::take(&mut self.in_flight);
         let (mut due, rest): (Vec<_>, Vec<_>) = in_flight
@@ -822,7 +859,7 @@
         due.sort_by_key(|(_, sequence, ..)| *sequence);
         for (_, _, to, event) in due {
             if let Event::LinkDown(link) = &event {
-                // Both ends have closed it: the agent may connect anew.
+                // Both ends have closed the link: the agent may connect again.
                 self.links.remove(link);
             }
             match to {
@@ -1075,8 +1112,8 @@
                 }
                 let minion = &self.minions[agent];
                 if is_answered {
-                    // Without waiting, the listing is made now and is told as
-                    // late as one that waits a little.
+                    // A minion that is not prompt makes the listing now and
+                    // answers as late as if it had waited a little.
                     let pause_ms = match self.has_prompt_minions {
                         true => (*wait_ms).min(MAX_LIST_WAIT_MS),
                         false => (*wait_ms).min(MAX_LISTING_DELAY_MS),
@@ -1106,7 +1143,8 @@
         }
     }
 
-    /// Answers the listings that waited for an end, or for long enough.
+    /// Answers the listing calls that have an end to list or have waited long
+    /// enough.
     fn answer_listings(&mut self) {
         let now_ms = self.now_ms;
         for pending in std::mem::take(&mut self.pending_listings) {
@@ -1175,7 +1213,8 @@
         }
     }
 
-    /// Entries tell each other of crashes under tasks.
+    /// Sends crashes that an entry has recorded since the last call to the other
+    /// entries.
     fn gossip_crashes(&mut self, entry: usize) {
         let now_ms = self.now_ms;
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
@@ -1225,26 +1264,27 @@
         }
     }
 
-    /// Shows what the processes log, when `GANNETVANE_TRACE` is set.
+    /// Prints a line with the time, if `GANNETVANE_TRACE` is set.
     fn trace(&self, line: &str) {
         if std::env::var_os("GANNETVANE_TRACE").is_some() {
             println!("{:6} {line}", self.now_ms);
         }
     }
 
-    /// Whether an agent runs, in a zone that is not being emptied.
+    /// Whether an agent is up, in a zone that is not evacuated.
     fn is_usable(&self, agent: usize) -> bool {
         self.agents[agent].is_up(self.now_ms) && !self.evacuated.contains(zone(agent))
     }
 
-    /// Free room of the minions that may get tasks.
+    /// Returns the free resources of each minion that may get tasks.
     fn free_resources(&self) -> Vec<Resources> {
         let agents = (0..self.agents.len()).filter(|agent| self.is_usable(*agent));
         agents.map(|agent| self.minions[agent].free()).collect()
     }
 
-    /// Thousandths of a core that stand idle while tasks wait that would fit,
-    /// and all that there are; both 0 while nothing waits.
+    /// Returns the idle processor capacity that waiting tasks could use, and the
+    /// whole capacity, both in thousandths of a core. Both are 0 if no task
+    /// waits.
     pub fn idle_milli(&self) -> (f64, f64) {
         let mut free = self.free_resources();
         let (mut idle_milli, mut is_waiting) = (0.0, false);
@@ -1268,8 +1308,8 @@
         (idle_milli, capacities_milli.sum())
     }
 
-    /// Callers that were refused since the last call although there was room
-    /// for all tasks of their jobs at that moment.
+    /// Returns the number of callers refused since the last call although all
+    /// tasks of their jobs fit into the resources that are free now.
     pub fn refused_despite_free_resources(&mut self) -> usize {
         let refused = std::mem::take(&mut self.newly_refused);
         let had_free_resources = |position: &usize| {
@@ -1285,7 +1325,7 @@
             .count()
     }
 
-    /// Work that minions did for a job, in thousandths of a core by
+    /// Returns the work that minions did for a job, in thousandths of a core times
     /// milliseconds.
     pub fn work_of(&self, id: &str) -> f64 {
         let minions = self.minions.iter().chain(&self.ended_minions);
@@ -1294,7 +1334,7 @@
             .sum()
     }
 
-    /// Looks for what must never be.
+    /// Checks the invariants and records their violations.
     fn check_invariants(&mut self) {
         let mut seen: BTreeSet<TaskId> = BTreeSet::new();
         for minion in &self.minions {
@@ -1318,7 +1358,7 @@
     }
 }
 
-/// The life that a call to a minion was meant for.
+/// Returns the incarnation of a minion that a call is addressed to.
 fn target_incarnation(action: &AgentAction) -> Option<&Incarnation> {
     match action {
         AgentAction::Start { incarnation, .. }
@@ -1328,7 +1368,8 @@
     }
 }
 
-/// Tasks, of this many, that find room; it is taken from `rooms`.
+/// Subtracts the resources of up to `tasks` tasks from the free resources; returns
+/// how many tasks fit.
 fn place_tasks(free: &mut [Resources], needs: Resources, tasks: usize) -> usize {
     let mut placed = 0;
     for resources in free {
@@ -1340,7 +1381,7 @@
     placed
 }
 
-/// The policy of the product.
+/// Creates the overload policy that the product uses.
 pub fn fair_share() -> BoxedPolicy {
     Box::new(FairShare::default())
 }
@@ -1369,7 +1410,8 @@
     format!("host-{agent}")
 }
 
-/// The entries that an agent links to once it knows all of them.
+/// Returns the entries that an agent connects to once its directory has all of
+/// them.
 fn link_targets(agent: usize, entries: usize) -> Vec<usize> {
     let known: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
@@ -1380,10 +1422,10 @@
     link_targets.collect()
 }
 
-/// The zones of a session; processes are spread over them in turn.
+/// Availability zones of a session; processes are assigned to them in turn.
 pub const ZONES: [&str; 3] = ["selfoss", "hella", "thorlak"];
 
-/// Number of the zone of a process.
+/// Returns the index in `ZONES` of a process's availability zone.
 pub fn zone_number(process: usize) -> usize {
     process % ZONES.len()
 }
--- a/crates/dispatch/tests/session/seeds.rs
+++ b/crates/dispatch/tests/session/seeds.rs
@@ -1,9 +1,9 @@
-//! Which seeds a test plays.
+//! Selection of the seeds that a test plays.
 
 use std::ops::Range;
 
-/// Seeds that once failed, then those that every run plays, or the ones that
-/// `GANNETVANE_SEEDS=from..to` names.
+/// Returns the seeds that once failed, followed by the range that every test run
+/// plays or, if it is set, the range in `GANNETVANE_SEEDS=from..to`.
 pub fn seeds(usual: Range<u64>, regressions: &[u64]) -> Vec<u64> {
     let named = std::env::var("GANNETVANE_SEEDS").ok();
     let named = named.and_then(|range| {
--- a/crates/dispatch/tests/session/stored.rs
+++ b/crates/dispatch/tests/session/stored.rs
@@ -1,5 +1,5 @@
-//! Callers of stored jobs in a session: they submit until they have an answer,
-//! and ask until the job has ended.
+//! Callers of stored jobs: each repeats its submission until it is answered, and
+//! then queries the state of the job until it has ended.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,33 +28,34 @@
 use super::log::PARTITIONS;
 use super::table;
 
-/// Time that a call to the log takes, in milliseconds.
+/// Duration of a call to the log, in milliseconds.
 const LOG_CALL_MS: u64 = 4;
-/// Time after which a call without an answer is given up, in milliseconds.
+/// Time after which a call to the log times out, in milliseconds.
 const LOG_TIMEOUT_MS: u64 = 500;
-/// Time after which a caller asks again.
+/// Time after which a caller's call times out and is repeated, in milliseconds.
 const CALLER_TIMEOUT_MS: u64 = 700;
-/// Time in which an owner that does not know yet of the next one may go on, by
-/// the platform's rules.
+/// Time for which the platform's rules let a former owner of a partition go on while
+/// it has not learned of the next owner, in milliseconds.
 const FORMER_OWNER_MS: u64 = 3_000;
-/// Pause of a caller between two questions.
+/// Time between an answer and the caller's next call, in milliseconds.
 const CALLER_PAUSE_MS: u64 = 60;
 
-/// A stored job as its caller sees it.
+/// State of a stored job at its caller.
 #[derive(Clone, Debug)]
 pub struct StoredView {
     pub id: String,
     pub tasks: u32,
     work_ms: u64,
     pub is_accepted: bool,
-    /// How often it was refused as never to run.
+    /// Number of submissions refused with the statement that the job will not run.
     pub refusals: usize,
     is_outcome_unknown: bool,
     pub wants_cancel: bool,
     pub is_cancelled: bool,
-    /// When a cancel, or the word that there is no such job, was answered.
+    /// Time of the first answer to a cancel, which says that the job is cancelled or
+    /// had already ended.
     cancelled_ms: Option<u64>,
-    /// Whether the caller sends the job once more although it was accepted.
+    /// Whether the caller submits the job again although it was accepted.
     pub sends_again: bool,
     pub end: Option<StoredEnd>,
     pub ended_ms: Option<u64>,
@@ -63,7 +64,8 @@
 }
 
 impl Session {
-    /// Submits a stored job, and asks for it until it has ended.
+    /// Submits a stored job and queries it until it has ended; returns its position in
+    /// `stored`.
     pub fn store(&mut self, id: &str, tasks: u32, work_ms: u64) -> usize {
         self.stored.push(StoredView {
             id: id.to_owned(),
@@ -88,12 +90,12 @@
         self.stored.len() - 1
     }
 
-    /// The caller cancels a job, until that is answered.
+    /// Makes the caller cancel a job, and repeat that until it is answered.
     pub fn cancel_stored(&mut self, position: usize) {
         self.stored[position].wants_cancel = true;
     }
 
-    /// Runs until a stored job has ended, for at most this long.
+    /// Runs until the caller knows that a stored job has ended, for at most `for_ms`.
     pub fn run_until_ended(&mut self, position: usize, for_ms: u64) {
         for _ in 0..for_ms {
             if self.stored[position].end.is_some() {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// The entry that owns a job's partition, as the log tells it.
+    /// Returns the entry that owns a job's partition according to the log.
     pub fn owner_of(&mut self, id: &str) -> Option<usize> {
         let owner = self.log.owner(self.now_ms, Partition::of(id, PARTITIONS))?;
         let is_owner = |entry: &usize| self.member(*entry) == owner;
@@ -275,8 +277,9 @@
         &mut self.entries[entry].core.ledger
     }
 
-    /// What must hold of stored jobs once everything is calm: none is lost, and
-    /// no task started after an end that counts.
+    /// Checks the invariants of stored jobs after recovery: no job is lost, at most one
+    /// end of each task counts, and no task started after an end that counts or too long
+    /// after its job was cancelled.
     pub fn check_stored(&mut self) {
         let mut counted: BTreeMap<TaskId, (RunKey, u64)> = BTreeMap::new();
         for minion in self.ended_minions.iter().chain(&self.minions) {
--- a/crates/dispatch/tests/stored.rs
+++ b/crates/dispatch/tests/stored.rs
@@ -1,4 +1,4 @@
-//! Stored jobs when their owner, their agents or the job log fail.
+//! Stored jobs under failures of their owners, agents, minions and the job log.
 
 mod session;
 
@@ -12,10 +12,12 @@
 use session::Session;
 use yare::parameterized;
 
-/// Time in which the next owner of a partition gets a job to its end: 1.2 s
-/// until the log gives it away, 2.7 s for the last owner's runs, and the work.
+/// Time within which the next owner of a partition ends a job, in milliseconds: 1.2 s
+/// until the log reassigns the partition, 2.7 s until the former owner's runs are gone,
+/// and the time that the tasks run.
 const TAKEOVER_MS: u64 = 7_000;
-/// Time after which all ends are settled and all callers know.
+/// Time after which all ends have a disposition and all callers have their answers, in
+/// milliseconds.
 const RECOVERY_MS: u64 = 9_000;
 
 fn check(session: &mut Session) {
@@ -38,8 +40,8 @@
 #[test]
 fn ends_that_are_recorded_with_the_release_of_a_partition_get_a_disposition() {
     let mut session = Session::new(2, 3);
-    // The first entry owns everything, until the second takes its part while
-    // all kinds of runs end.
+    // The first entry owns all partitions until some are assigned to the second one,
+    // while runs end all the time.
     for n in 0..24 {
         session.store(&format!("00000000000001{n:02x}"), 2, 30 + n * 37);
         session.run(17);
@@ -78,7 +80,7 @@
     let job = session.store("00000000000000b1", 2, 300);
     session.run(100);
     let owner = session.owner_of("00000000000000b1").expect("an owner");
-    // The log takes nothing of the owner any more, and then it dies.
+    // The log drops all calls of the owner, which is killed after that.
     session.log_outcome = Box::new(move |_, entry| {
         if entry == owner {
             LogCallOutcome::Dropped
@@ -217,7 +219,7 @@
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
     session.run(1_500);
-    // Some ends stay unrecorded, and callers of other jobs come all the while.
+    // Some ends stay unrecorded, while callers submit other jobs all the time.
     session.store("00000000000000b1", 4, 100);
     session.run(60);
     session.log_outcome = Box::new(|_, _| LogCallOutcome::Dropped);
@@ -247,7 +249,7 @@
     session.run(1_500);
     let job = session.store("00000000000000b1", 6, 600);
     session.run(150);
-    // No call to the first minion is answered any more, and none carried out.
+    // From now on no call to the first minion is answered or carried out.
     session.call_delay = Box::new(|_, agent| (agent == 0).then_some(u64::MAX / 2));
     session.run_until_ended(job, 3_000);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
@@ -287,7 +289,7 @@
     session.run_until_ended(job, 2_000);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Failed));
     let starts: usize = session.starts.values().sum();
-    // The queue allows three.
+    // The queue allows three attempts.
     assert_eq!(starts, 1 + 3);
     check(&mut session);
 }
