--- a/crates/dispatch/tests/crashing.rs
+++ b/crates/dispatch/tests/crashing.rs
@@ -227,7 +227,7 @@
 }
 
 #[parameterized(
-    calm = { 20, 0 },
+    later = { 20, 0 },
     soon_with_delayed_calls = { 2, 3 },
 )]
 fn a_stored_task_that_crashes_minions_after_its_start_is_given_up(
