--- a/crates/dispatch/tests/at_most_once.rs
+++ b/crates/dispatch/tests/at_most_once.rs
@@ -17,7 +17,7 @@
     let first = violations.duplicates.first();
     assert!(
         violations.is_empty(),
-        "{} times twice, first {first:?}; {} overloads; refused and run: {:?}",
+        "{} duplicate runs, first {first:?}; {} overcommits; refused but ran: {:?}",
         violations.duplicates.len(),
         violations.overcommits,
         violations.refused_and_ran
@@ -337,7 +337,7 @@
 )]
 fn few_jobs_miss_their_objective_because_of_unanswered_calls(loss: f64, min_fraction: f64) {
     let fraction = fraction_in_time(loss);
-    assert!(fraction >= min_fraction, "{fraction} in time");
+    assert!(fraction >= min_fraction, "{fraction} of the jobs in time");
 }
 
 #[test]
--- a/crates/dispatch/tests/crashing.rs
+++ b/crates/dispatch/tests/crashing.rs
@@ -317,7 +317,9 @@
     let id = BAD_ID;
     run_until_crashes(&mut session, id, 2);
     session.run(100);
-    let owner = session.owner_of(id).expect("an owner");
+    let owner = session
+        .owner_of(id)
+        .expect("the job's partition should have an owner");
     session.kill_entry(owner, 30_000);
     session.run_until_ended(job, 60_000);
     assert_given_up(&session, id);
--- a/crates/dispatch/tests/driver/mod.rs
+++ b/crates/dispatch/tests/driver/mod.rs
@@ -120,7 +120,7 @@
                 return;
             }
         }
-        panic!("no listing was asked for");
+        panic!("the agent made no listing call");
     }
 
     /// Advances the clock by 50 ms and answers the listing calls that the agent made;
@@ -293,7 +293,7 @@
                 AgentAction::Send(_, frame) => Some(frame.is_accepting_starts),
                 _ => None,
             });
-        frames.last().expect("a frame")
+        frames.last().expect("the agent should have sent a frame")
     }
 }
 
--- a/crates/dispatch/tests/interleavings.rs
+++ b/crates/dispatch/tests/interleavings.rs
@@ -247,7 +247,7 @@
         let unanswered: Vec<&str> = unanswered.map(|caller| caller.id.as_str()).collect();
         assert!(
             unanswered.is_empty(),
-            "seed {seed}: without an answer: {unanswered:?}"
+            "seed {seed}: unanswered: {unanswered:?}"
         );
     }
 }
--- a/crates/dispatch/tests/session/failures.rs
+++ b/crates/dispatch/tests/session/failures.rs
@@ -22,7 +22,10 @@
         let has_crashed = crashes.values().any(|times| *times >= MIN_CRASHES_TO_FAIL);
         let has_failed = failures.values().any(|times| *times >= attempts);
         if !has_crashed && !has_failed {
-            let what = format!("{} ms: {id}: {crashes:?} {failures:?}", self.now_ms);
+            let what = format!(
+                "{} ms: {id}: crashes {crashes:?}, failed runs {failures:?}",
+                self.now_ms
+            );
             self.violations.failed_without_cause.push(what);
         }
     }
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -1340,7 +1340,7 @@
         for minion in &self.minions {
             for key in minion.running() {
                 if !seen.insert(key.task.clone()) {
-                    let what = format!("{} ms: {:?}", self.now_ms, key);
+                    let what = format!("{} ms: {:?} runs twice", self.now_ms, key);
                     self.violations.duplicates.push(what);
                 }
             }
--- a/crates/dispatch/tests/session/stored.rs
+++ b/crates/dispatch/tests/session/stored.rs
@@ -194,7 +194,7 @@
                 }
             }
             StoredAnswer::Unknown if state.is_accepted => {
-                let what = format!("{now_ms} ms: {} is not known", state.id);
+                let what = format!("{now_ms} ms: {} is unknown to its owner", state.id);
                 self.violations.lost.push(what);
             }
             _ => {}
@@ -285,7 +285,7 @@
         for minion in self.ended_minions.iter().chain(&self.minions) {
             for (key, ended_ms) in &minion.counted_ends {
                 if let Some((other, _)) = counted.get(&key.task) {
-                    let what = format!("{key:?} and {other:?} both count");
+                    let what = format!("the ends of {key:?} and {other:?} both count");
                     self.violations.duplicates.push(what);
                 }
                 counted.insert(key.task.clone(), (key.clone(), *ended_ms));
@@ -295,7 +295,9 @@
             for (key, started_ms) in &minion.stored_starts {
                 let end = counted.get(&key.task);
                 if let Some((done, ended_ms)) = end.filter(|(_, ended_ms)| started_ms > ended_ms) {
-                    let what = format!("{key:?} at {started_ms} after {done:?} at {ended_ms}");
+                    let what = format!(
+                        "{key:?} started at {started_ms} ms after {done:?} ended at {ended_ms} ms"
+                    );
                     self.violations.duplicates.push(what);
                 }
             }
@@ -307,7 +309,7 @@
             let of_job = done.iter().filter(|task| *task.job == *state.id).count();
             let is_whole = of_job == state.tasks as usize;
             if state.end == Some(StoredEnd::Completed) && !is_whole {
-                let what = format!("{}: {of_job} of {} done", state.id, state.tasks);
+                let what = format!("{}: {of_job} of {} tasks done", state.id, state.tasks);
                 self.violations.lost.push(what);
             }
             let starts = minions.clone().flat_map(|minion| {
@@ -321,7 +323,10 @@
                     .is_some_and(|ms| at_ms > ms + FORMER_OWNER_MS)
             };
             if let Some((key, at_ms)) = of_job.find(|(_, at_ms)| is_after_cancel(*at_ms)) {
-                let what = format!("{key:?} at {at_ms}, cancelled at {:?}", state.cancelled_ms);
+                let what = format!(
+                    "{key:?} started at {at_ms} ms, cancelled at {:?}",
+                    state.cancelled_ms
+                );
                 self.violations.duplicates.push(what);
             }
             if state.is_accepted && state.end.is_none() {
--- a/crates/dispatch/tests/stored.rs
+++ b/crates/dispatch/tests/stored.rs
@@ -64,7 +64,9 @@
     session.run(1_500);
     let job = session.store("00000000000000b1", 4, 300);
     session.run(kill_after_ms);
-    let owner = session.owner_of("00000000000000b1").expect("an owner");
+    let owner = session
+        .owner_of("00000000000000b1")
+        .expect("the job's partition should have an owner");
     session.kill_entry(owner, 20_000);
     session.run_until_ended(job, TAKEOVER_MS);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
@@ -79,7 +81,9 @@
     session.run(1_500);
     let job = session.store("00000000000000b1", 2, 300);
     session.run(100);
-    let owner = session.owner_of("00000000000000b1").expect("an owner");
+    let owner = session
+        .owner_of("00000000000000b1")
+        .expect("the job's partition should have an owner");
     // The log drops all calls of the owner, which is killed after that.
     session.log_outcome = Box::new(move |_, entry| {
         if entry == owner {
@@ -93,7 +97,7 @@
     session.run_until_ended(job, TAKEOVER_MS);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
     let starts: usize = session.starts.values().sum();
-    assert_eq!(starts, 1 + 2, "no task of the job was started anew");
+    assert_eq!(starts, 1 + 2, "no task of the job started again");
     check(&mut session);
 }
 
@@ -263,7 +267,9 @@
     session.cancel_stored(job);
     session.run(200);
     assert!(session.stored[job].is_cancelled);
-    let owner = session.owner_of("00000000000000b1").expect("an owner");
+    let owner = session
+        .owner_of("00000000000000b1")
+        .expect("the job's partition should have an owner");
     session.kill_entry(owner, 20_000);
     session.run_until_ended(job, TAKEOVER_MS);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Cancelled));
