--- a/crates/dispatch/tests/crashing.rs
+++ b/crates/dispatch/tests/crashing.rs
@@ -73,7 +73,8 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// Four of twelve minions crash at once, twice within seconds, while many tasks run.
+/// A rack of four of the twelve minions crashes at once, twice within seconds, while many
+/// tasks run.
 #[test]
 fn a_rack_that_crashes_fails_no_job() {
     let mut session = session(12, false);
--- a/crates/dispatch/tests/interleavings.rs
+++ b/crates/dispatch/tests/interleavings.rs
@@ -340,7 +340,7 @@
     failures
 }
 
-/// Prints every seed that fails, and the number of failed seeds.
+/// Prints every seed that fails, and how many of all seeds failed.
 #[parameterized(
     stored_new_ids = { |seed| play_stored(seed, Restarts::NewIds) },
     stored_same_ids = { |seed| play_stored(seed, Restarts::SameIds) },
--- a/crates/dispatch/tests/stored.rs
+++ b/crates/dispatch/tests/stored.rs
@@ -41,7 +41,7 @@
 fn ends_that_are_recorded_with_the_release_of_a_partition_get_a_disposition() {
     let mut session = Session::new(2, 3);
     // The first entry owns all partitions until some are assigned to the second one,
-    // while runs end all the time.
+    // while runs of different lengths end.
     for n in 0..24 {
         session.store(&format!("00000000000001{n:02x}"), 2, 30 + n * 37);
         session.run(17);
