--- a/crates/dispatch/tests/session/minion.rs
+++ b/crates/dispatch/tests/session/minion.rs
@@ -221,9 +221,9 @@
         let former_capacity = self
             .former_capacity
             .filter(|(_, until_ms)| now_ms < *until_ms);
-        let counted =
+        let allowed =
             former_capacity.map_or(self.capacity, |(capacity, _)| capacity.max(&self.capacity));
-        if !counted.can_fit(&taken) {
+        if !allowed.can_fit(&taken) {
             self.overcommits += 1;
         }
         if key.run >= FIRST_STORED_RUN {
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -696,7 +696,7 @@
         self.starts.get(instance).copied().unwrap_or(0)
     }
 
-    fn break_links(&mut self, is_broken: impl Fn(&Link) -> bool, dead: Side) {
+    fn break_links(&mut self, is_broken: impl Fn(&Link) -> bool, killed: Side) {
         let broken: Vec<(LinkId, Link)> = self
             .links
             .iter()
@@ -706,7 +706,7 @@
         for (id, link) in broken {
             self.links.remove(&id);
             for side in [Side::Agent(link.agent), Side::Entry(link.entry)] {
-                if side != dead {
+                if side != killed {
                     self.post(side, Event::LinkDown(id));
                 }
             }
