--- a/crates/dispatch/tests/driver/mod.rs
+++ b/crates/dispatch/tests/driver/mod.rs
@@ -140,6 +140,8 @@
         is_listed
     }
 
+    /// Advances the clock, delivers a frame with a new grant, and returns the agent's
+    /// actions.
     pub fn advance(&mut self, for_ms: u64) -> Vec<AgentAction> {
         self.now_ms += for_ms;
         self.agent.frame(self.now_ms, LINK, self.frame(Vec::new()));
@@ -147,6 +149,7 @@
         self.agent.take_actions()
     }
 
+    /// Delivers an order; returns the agent's actions within the next millisecond.
     pub fn order(&mut self, order: Order) -> Vec<AgentAction> {
         let frame = self.frame(vec![order]);
         self.agent.frame(self.now_ms, LINK, frame);
@@ -161,6 +164,8 @@
         }
     }
 
+    /// Orders the start of job "a"'s only task; returns the number of start calls to the
+    /// minion.
     pub fn start(&mut self) -> usize {
         self.start_of(1, "a")
     }
@@ -186,6 +191,7 @@
         }))
     }
 
+    /// Answers the start call of job "a".
     pub fn answer(&mut self, result: StartResult) {
         self.agent
             .start_answered(self.now_ms, &incarnation_at(1_000), &key("a"), result);
@@ -329,6 +335,7 @@
     Incarnation::new(MINION.into(), Some(started_unix_ms))
 }
 
+/// Returns a listing without runs.
 pub fn empty_listing() -> ListResult {
     ListResult::Listed(Listing {
         clock_ms: 600,
@@ -336,6 +343,7 @@
     })
 }
 
+/// Returns the first run of a job's only task.
 pub fn key(job: &str) -> RunKey {
     RunKey {
         task: TaskId {
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -531,6 +531,8 @@
         self.submit_declared(entry, id, tasks, declared_ms, declared_ms)
     }
 
+    /// Sends a caller's job to an entry, or schedules that for later if the entry is
+    /// down.
     fn send(&mut self, position: usize, entry: usize) {
         let now_ms = self.now_ms;
         let state = &mut self.callers[position];
@@ -593,10 +595,12 @@
         state.resend_at_ms = None;
     }
 
+    /// Suspends an entry; its events wait until it resumes after `for_ms`.
     pub fn suspend_entry(&mut self, entry: usize, for_ms: u64) {
         self.entries[entry].suspended_until_ms = self.now_ms + for_ms;
     }
 
+    /// Suspends an agent; its events wait until it resumes after `for_ms`.
     pub fn suspend_agent(&mut self, agent: usize, for_ms: u64) {
         self.agents[agent].suspended_until_ms = self.now_ms + for_ms;
     }
@@ -617,6 +621,7 @@
         }
     }
 
+    /// Kills an agent, which starts again after `for_ms`; its minion runs on.
     pub fn kill_agent(&mut self, agent: usize, for_ms: u64) {
         let start_number = self.agents[agent].start_number + 1;
         self.agents[agent] = self.new_agent(agent, start_number);
@@ -652,6 +657,7 @@
         self.cuts.insert((entry, agent));
     }
 
+    /// Ends all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
@@ -692,10 +698,12 @@
         process.due_ms = self.now_ms;
     }
 
+    /// Returns the number of tasks that were started on a minion.
     pub fn starts_on(&self, instance: &str) -> usize {
         self.starts.get(instance).copied().unwrap_or(0)
     }
 
+    /// Removes the selected links, and notifies their ends except the killed process.
     fn break_links(&mut self, is_broken: impl Fn(&Link) -> bool, killed: Side) {
         let broken: Vec<(LinkId, Link)> = self
             .links
@@ -961,6 +969,8 @@
         }
     }
 
+    /// Lets a call of an agent time out, and schedules that the minion carries it out
+    /// after `delay_ms`.
     fn delay_call(&mut self, agent: usize, action: &AgentAction, delay_ms: u64) {
         self.delayed_calls.push(DelayedCall {
             at_ms: self.now_ms + delay_ms,
@@ -983,6 +993,7 @@
         self.post_at(at_ms, Side::Agent(agent), answer);
     }
 
+    /// Answers a call of an agent with a refused connection.
     fn refuse_connection(&mut self, agent: usize, action: &AgentAction) {
         let answer = match action {
             AgentAction::Start {
@@ -1016,6 +1027,7 @@
         }
     }
 
+    /// Carries out a call at the minion, and answers the agent if `is_answered`.
     fn carry_out(&mut self, agent: usize, action: &AgentAction, is_answered: bool) {
         let now_ms = self.now_ms;
         let minion = &mut self.minions[agent];
