--- a/crates/dispatch/tests/session/crashes.rs
+++ b/crates/dispatch/tests/session/crashes.rs
@@ -1,4 +1,4 @@
-//! Minions that crash and start again, by themselves or by a task.
+//! Crashes and restarts of minions, with and without a task as the cause.
 
 use gannetvane_dispatch::AgentAction;
 use gannetvane_dispatch::Incarnation;
@@ -13,52 +13,56 @@
 use super::Session;
 use super::Side;
 
-/// Time after which a minion that crashed is back, in milliseconds.
-const CRASH_DOWN_MS: u64 = 2_000;
+/// Time after which a minion that crashed under a task takes calls again, in
+/// milliseconds.
+const RESTART_DELAY_MS: u64 = 2_000;
 
-/// Crashes that are about to come, and what minions have not read.
+/// Crashes that are due later, and starts that unresponsive minions have not read.
 #[derive(Debug, Default)]
 pub(super) struct PendingCrashes {
-    /// Lives that end at a time, with their agents.
+    /// Time of the crash, agent and incarnation of each minion that will crash.
     due: Vec<(u64, usize, Incarnation)>,
-    /// Minions that read nothing any more, and when they crash.
-    stalled: Vec<(usize, u64)>,
-    /// Starts that such a minion was sent.
-    unread: Vec<(usize, Incarnation, RunKey)>,
+    /// Agents of the minions that read no calls, and the time of their crash.
+    unresponsive: Vec<(usize, u64)>,
+    /// Agent, incarnation and run of each start that was sent to an unresponsive
+    /// minion.
+    unread_starts: Vec<(usize, Incarnation, RunKey)>,
 }
 
 impl Session {
-    /// The minion crashes and comes back as a new lifetime.
+    /// Crashes a minion and restarts it at once with a new id.
     pub fn crash_minion(&mut self, agent: usize) {
         let id = format!("minion-{agent}-x{}", self.sequence);
         self.replace_minion(agent, &id);
     }
 
-    /// The same, and it is back after this time.
+    /// Crashes a minion and restarts it with a new id after `down_ms`.
     pub fn crash_minion_for(&mut self, agent: usize, down_ms: u64) {
         self.crash_minion(agent);
         self.delay_restart(agent, down_ms);
     }
 
-    /// The minion starts again under its id, and is back after this time.
+    /// Crashes a minion and restarts it with the same id after `down_ms`.
     pub fn restart_with_same_id(&mut self, agent: usize, down_ms: u64) {
         let id = self.minions[agent].instance.clone();
         self.replace_minion(agent, &id);
         self.delay_restart(agent, down_ms);
     }
 
-    /// The life of a minion ends with all that runs there, and the next one begins.
+    /// Ends the incarnation of a minion with all its runs, and starts one with
+    /// this id.
     fn replace_minion(&mut self, agent: usize, id: &str) {
         self.last_reports.insert(agent, self.report(agent));
         let next = self.new_minion(agent, id);
-        let past = std::mem::replace(&mut self.minions[agent], next);
-        self.break_holds(agent, &past);
-        self.ended_minions.push(past);
+        let ended = std::mem::replace(&mut self.minions[agent], next);
+        self.break_listings(agent, &ended);
+        self.ended_minions.push(ended);
     }
 
-    /// The listings that wait at a minion end with its life: what it had to tell is on
-    /// its way already, and the connections of the others break.
-    fn break_holds(&mut self, agent: usize, past: &FakeMinion) {
+    /// Ends the pending listing calls to a minion whose incarnation has ended. If it had
+    /// ends to list, its answer is already on the way; otherwise the connections of the
+    /// calls break.
+    fn break_listings(&mut self, agent: usize, ended: &FakeMinion) {
         let pending_listings = std::mem::take(&mut self.pending_listings);
         let (broken, rest) = pending_listings
             .into_iter()
@@ -66,8 +70,8 @@
         self.pending_listings = rest;
         let broken: Vec<PendingListing> = broken;
         for pending in broken {
-            let result = match past.has_ends() && !self.is_unresponsive(agent) {
-                true => ListResult::Listed(past.list(self.now_ms, pending.epoch)),
+            let result = match ended.has_ends() && !self.is_unresponsive(agent) {
+                true => ListResult::Listed(ended.list(self.now_ms, pending.epoch)),
                 false => ListResult::Broken,
             };
             let event = Event::Listed(pending.incarnation, pending.call, result);
@@ -75,7 +79,7 @@
         }
     }
 
-    /// A minion takes no calls for this time, and then reports itself.
+    /// Lets a minion take no calls for `down_ms` and report to its agent after that.
     fn delay_restart(&mut self, agent: usize, down_ms: u64) {
         self.minions[agent].up_at_ms = self.now_ms + down_ms;
         let report = self.report(agent);
@@ -83,8 +87,9 @@
         self.post_at(at_ms, Side::Agent(agent), Event::Reported(report));
     }
 
-    /// The same, and it tells no birth, or that of its last life, as after a step
-    /// back of the time of day.
+    /// Crashes a minion and restarts it with the same id after `down_ms`. It reports no
+    /// start time, or that of its previous incarnation, as after a backward step of the
+    /// wall clock.
     pub fn restart_with_hidden_start_time(
         &mut self,
         agent: usize,
@@ -98,20 +103,21 @@
         minion.reported_start_unix_ms = started_unix_ms;
     }
 
-    /// Whether the minion stands still, with all that it runs.
+    /// Whether the minion is unresponsive, so that its runs make no progress either.
     pub(super) fn is_unresponsive(&self, agent: usize) -> bool {
-        let mut stalled = self.due_crashes.stalled.iter();
-        stalled.any(|(other, _)| *other == agent)
+        let mut unresponsive = self.pending_crashes.unresponsive.iter();
+        unresponsive.any(|(other, _)| *other == agent)
     }
 
-    /// The minion reads no more calls for this time, and then crashes.
-    pub fn hang_and_crash(&mut self, agent: usize, for_ms: u64) {
+    /// Makes a minion unresponsive for `for_ms` and crashes it after that.
+    pub fn stop_responding_and_crash(&mut self, agent: usize, for_ms: u64) {
         let at_ms = self.now_ms + for_ms;
-        self.due_crashes.stalled.push((agent, at_ms));
+        self.pending_crashes.unresponsive.push((agent, at_ms));
     }
 
-    /// Keeps a call that a stalled minion does not read; false if it reads it.
-    pub(super) fn leave_unread(&mut self, agent: usize, action: &AgentAction) -> bool {
+    /// Keeps a call to an unresponsive minion as unread; returns false if the minion
+    /// reads calls.
+    pub(super) fn queue_if_unresponsive(&mut self, agent: usize, action: &AgentAction) -> bool {
         if !self.is_unresponsive(agent) {
             return false;
         }
@@ -119,8 +125,8 @@
             AgentAction::Start {
                 incarnation, key, ..
             } => {
-                let unread = (agent, incarnation.clone(), key.clone());
-                self.due_crashes.unread.push(unread);
+                let unread_start = (agent, incarnation.clone(), key.clone());
+                self.pending_crashes.unread_starts.push(unread_start);
             }
             AgentAction::List {
                 call,
@@ -140,9 +146,9 @@
         true
     }
 
-    /// A task that crashes each minion was started: in the start, or some time later.
-    /// Returns whether the start is answered.
-    pub(super) fn crash_by(
+    /// Crashes the minion that started a crashing task, during the start or
+    /// `crash_after_ms` later. Returns whether the start is answered.
+    pub(super) fn crash_by_task(
         &mut self,
         agent: usize,
         incarnation: &Incarnation,
@@ -152,35 +158,41 @@
         if let Some(after_ms) = self.crash_after_ms {
             let incarnation = self.minions[agent].incarnation();
             let due = (self.now_ms + after_ms, agent, incarnation);
-            self.due_crashes.due.push(due);
+            self.pending_crashes.due.push(due);
             return true;
         }
         let broken = Event::Started(incarnation.clone(), key.clone(), StartResult::Broken);
         self.post(Side::Agent(agent), broken);
-        self.restart_with_same_id(agent, CRASH_DOWN_MS);
+        self.restart_with_same_id(agent, RESTART_DELAY_MS);
         false
     }
 
-    /// Ends the lives that are due.
-    pub(super) fn crash_due(&mut self) {
+    /// Crashes the minions whose crash is due.
+    pub(super) fn crash_due_minions(&mut self) {
         let now_ms = self.now_ms;
         let is_due = |(at_ms, ..): &mut (u64, usize, Incarnation)| *at_ms <= now_ms;
-        let due: Vec<_> = self.due_crashes.due.extract_if(.., is_due).collect();
+        let due: Vec<_> = self.pending_crashes.due.extract_if(.., is_due).collect();
         for (_, agent, incarnation) in due {
             if self.minions[agent].incarnation() == incarnation {
-                self.restart_with_same_id(agent, CRASH_DOWN_MS);
+                self.restart_with_same_id(agent, RESTART_DELAY_MS);
             }
         }
         let is_over = |(_, at_ms): &&(usize, u64)| *at_ms <= now_ms;
-        let stalled = self.due_crashes.stalled.iter();
-        let stalled: Vec<_> = stalled.filter(is_over).copied().collect();
-        for (agent, at_ms) in stalled {
-            let is_its = |(other, ..): &mut (usize, Incarnation, RunKey)| *other == agent;
-            let unread: Vec<_> = self.due_crashes.unread.extract_if(.., is_its).collect();
+        let unresponsive = self.pending_crashes.unresponsive.iter();
+        let unresponsive: Vec<_> = unresponsive.filter(is_over).copied().collect();
+        for (agent, at_ms) in unresponsive {
+            let is_for_agent = |(other, ..): &mut (usize, Incarnation, RunKey)| *other == agent;
+            let unread_starts: Vec<_> = self
+                .pending_crashes
+                .unread_starts
+                .extract_if(.., is_for_agent)
+                .collect();
             self.crash_minion_for(agent, 600);
             let over = (agent, at_ms);
-            self.due_crashes.stalled.retain(|other| *other != over);
-            for (_, incarnation, key) in unread {
+            self.pending_crashes
+                .unresponsive
+                .retain(|other| *other != over);
+            for (_, incarnation, key) in unread_starts {
                 let broken = Event::Started(incarnation, key, StartResult::Broken);
                 self.post(Side::Agent(agent), broken);
             }
--- a/crates/dispatch/tests/session/minion.rs
+++ b/crates/dispatch/tests/session/minion.rs
@@ -1,4 +1,5 @@
-//! A minion that keeps leases, forbids stopped runs, and can misbehave.
+//! Simulated minion: it enforces leases, refuses to start runs that were stopped, and
+//! can be slow, stalled or failing.
 
 use std::collections::BTreeMap;
 
@@ -12,84 +13,94 @@
 use gannetvane_dispatch::StartResult;
 use gannetvane_dispatch::TaskId;
 
-/// Most ends of one listing.
+/// Largest number of ends in one listing.
 const MAX_LISTED_ENDS: usize = 500;
-/// First run number of stored tasks.
+/// Smallest run number of a stored task.
 const FIRST_STORED_RUN: u32 = 4_096;
-/// Time after which nothing more may be started that does not fit a room that has
-/// shrunk, in milliseconds: a report on its way, and a start that it crosses.
+/// Time for which starts may still use the former capacity after a change, in
+/// milliseconds: it covers a report on its way to the agent and a start that crosses
+/// the report.
 const RESIZE_GRACE_MS: u64 = 5;
-/// Longest lease that a minion grants, in milliseconds.
+/// Longest lease that the minion grants, in milliseconds.
 pub(super) const MAX_LEASE_MS: u64 = 1_000;
-/// Birth of a minion that begins with the session, in milliseconds since 1970.
+/// Start time of a minion that starts with the session, in milliseconds since 1970.
 const FIRST_START_UNIX_MS: u64 = 1_700_000_000_000;
-/// Time that a stop takes, in milliseconds.
+/// Time between a stop and the end of the run, in milliseconds.
 const STOP_MS: u64 = 40;
 
-/// What a minion does with what it starts.
+/// How the runs of a minion progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Behavior {
-    /// Works at its speed.
+    /// Runs progress at the minion's speed.
     #[default]
-    Sound,
-    /// Fails all that it starts at once.
+    Healthy,
+    /// Runs fail at once.
     Failing,
     /// Runs make no progress.
-    Hanging,
-    /// Works this many times slower.
+    Stalled,
+    /// Runs progress this many times slower.
     Slow(f64),
 }
 
+/// Resources, work and stop time of an active run.
 #[derive(Clone, Debug)]
 struct Work {
     needs: Resources,
-    left_ms: f64,
+    remaining_ms: f64,
     total_ms: f64,
     stop_at_ms: Option<u64>,
 }
 
-/// One lifetime of a minion.
+/// One incarnation of a minion.
 #[derive(Clone, Debug)]
 pub struct FakeMinion {
     pub instance: String,
     pub capacity: Resources,
-    /// Times that it works faster than an ordinary one.
+    /// Factor by which its runs progress faster than on a minion of speed 1.
     pub speed: f64,
     pub behavior: Behavior,
-    /// Rate of its clock against the true time.
+    /// Rate of its clock relative to the clock of the session.
     pub clock_rate: f64,
+    /// Number of starts that exceeded the capacity.
     pub overcommits: usize,
-    /// Work for each job, in thousandths of a core by milliseconds.
-    pub worked: BTreeMap<String, f64>,
+    /// Work done for each job, in thousandths of a core times milliseconds.
+    pub work_by_job: BTreeMap<String, f64>,
+    /// Runs that were done.
     pub done: Vec<RunKey>,
-    /// Runs of stored tasks that were started, and when.
-    pub started: Vec<(RunKey, u64)>,
-    /// Runs whose start was carried out late.
-    pub started_late: Vec<RunKey>,
-    /// Done runs of stored tasks whose end counts, and when they ended.
+    /// Runs of stored tasks that were started, with their start times.
+    pub stored_starts: Vec<(RunKey, u64)>,
+    /// Runs whose start call was delayed.
+    pub delayed_starts: Vec<RunKey>,
+    /// Done runs of stored tasks whose end was acknowledged within the lease, with
+    /// the times of their ends.
     pub counted_ends: Vec<(RunKey, u64)>,
-    /// Times that a run of each task failed here.
+    /// Number of failed runs of each task on this minion.
     pub failures: BTreeMap<TaskId, u32>,
-    /// Ends without an acknowledgement, and whether the lease lapsed since.
-    uncounted_ends: BTreeMap<u64, (RunKey, u64, bool)>,
-    born_ms: u64,
-    /// Whether it tells when its life began.
+    /// Unacknowledged ends of done stored runs by number, each with the run, the
+    /// time of the end, and whether the lease has lapsed since.
+    unacknowledged_ends: BTreeMap<u64, (RunKey, u64, bool)>,
+    started_ms: u64,
+    /// Whether the minion reports its start time.
     pub reports_start_time: bool,
-    /// The birth that it tells, if that is not its own.
+    /// Start time that the minion reports instead of its own.
     pub reported_start_unix_ms: Option<u64>,
-    /// Whether calls get no answer until then; otherwise connections are refused.
+    /// Whether calls before `up_at_ms` time out; otherwise their connections are
+    /// refused.
     pub is_host_down: bool,
-    /// The room that it had before the present one, and until when a start may go
-    /// by that.
-    former: Option<(Resources, u64)>,
-    /// When it takes calls: its host starts it some time after its last life.
+    /// Capacity before the last change, and the time until which starts may still
+    /// use it.
+    former_capacity: Option<(Resources, u64)>,
+    /// Time from which it takes calls: its host may start it some time after its
+    /// previous incarnation has ended.
     pub up_at_ms: u64,
     epoch: u64,
     lease_until_ms: u64,
-    works: BTreeMap<RunKey, Work>,
-    highest: BTreeMap<TaskId, u32>,
+    active_runs: BTreeMap<RunKey, Work>,
+    /// Highest run number of each task that ended or was stopped; no run up to it may
+    /// start.
+    highest_runs: BTreeMap<TaskId, u32>,
     ended: Vec<EndedRun>,
-    ends: u64,
+    last_end_number: u64,
     last_tick_ms: u64,
 }
 
@@ -99,77 +110,80 @@
             instance: instance.to_owned(),
             capacity,
             speed: 1.0,
-            behavior: Behavior::Sound,
+            behavior: Behavior::Healthy,
             clock_rate: 1.0,
             overcommits: 0,
-            worked: BTreeMap::new(),
+            work_by_job: BTreeMap::new(),
             done: Vec::new(),
-            started: Vec::new(),
-            started_late: Vec::new(),
+            stored_starts: Vec::new(),
+            delayed_starts: Vec::new(),
             counted_ends: Vec::new(),
             failures: BTreeMap::new(),
-            uncounted_ends: BTreeMap::new(),
-            born_ms: now_ms,
+            unacknowledged_ends: BTreeMap::new(),
+            started_ms: now_ms,
             reports_start_time: false,
             reported_start_unix_ms: None,
             is_host_down: false,
-            former: None,
+            former_capacity: None,
             up_at_ms: now_ms,
             epoch: 0,
             lease_until_ms: 0,
-            works: BTreeMap::new(),
-            highest: BTreeMap::new(),
+            active_runs: BTreeMap::new(),
+            highest_runs: BTreeMap::new(),
             ended: Vec::new(),
-            ends: 0,
+            last_end_number: 0,
             last_tick_ms: now_ms,
         }
     }
 
-    /// Its id, and its birth if it tells that.
+    /// Returns the minion's id, with its start time if it reports one.
     pub fn incarnation(&self) -> Incarnation {
-        let own_ms = FIRST_START_UNIX_MS + self.born_ms;
-        let told_ms = self.reported_start_unix_ms.unwrap_or(own_ms);
-        let started_unix_ms = self.reports_start_time.then_some(told_ms);
+        let own_ms = FIRST_START_UNIX_MS + self.started_ms;
+        let reported_ms = self.reported_start_unix_ms.unwrap_or(own_ms);
+        let started_unix_ms = self.reports_start_time.then_some(reported_ms);
         Incarnation::new(self.instance.as_str().into(), started_unix_ms)
     }
 
-    /// It has other room from now on.
+    /// Changes the capacity.
     pub fn resize(&mut self, now_ms: u64, capacity: Resources) {
-        let former = std::mem::replace(&mut self.capacity, capacity);
-        self.former = Some((former, now_ms + RESIZE_GRACE_MS));
+        let former_capacity = std::mem::replace(&mut self.capacity, capacity);
+        self.former_capacity = Some((former_capacity, now_ms + RESIZE_GRACE_MS));
     }
 
-    /// Number of a report; each life counts anew.
+    /// Returns the sequence number of a report, which starts from 0 in each
+    /// incarnation.
     pub fn sequence(&self, now_ms: u64) -> u64 {
-        now_ms - self.born_ms
+        now_ms - self.started_ms
     }
 
-    /// The highest epoch that it has seen.
+    /// Returns the highest epoch that it has seen.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// A lease until this time, cut to the longest that it grants.
+    /// Extends the lease until this time on the minion's clock, limited to the longest
+    /// lease that it grants.
     fn lease(&mut self, now_ms: u64, deadline_ms: u64) {
         let longest_ms = self.clock_ms(now_ms) + MAX_LEASE_MS;
         self.lease_until_ms = self.lease_until_ms.max(deadline_ms.min(longest_ms));
     }
 
     pub fn clock_ms(&self, now_ms: u64) -> u64 {
-        1_000 + ((now_ms - self.born_ms) as f64 * self.clock_rate) as u64
+        1_000 + ((now_ms - self.started_ms) as f64 * self.clock_rate) as u64
     }
 
     pub fn running(&self) -> impl Iterator<Item = &RunKey> {
-        self.works.keys()
+        self.active_runs.keys()
     }
 
-    /// Room that no run takes.
+    /// Returns the free resources.
     pub fn free(&self) -> Resources {
-        let works = self.works.values();
-        works.fold(self.capacity, |free, work| free.minus(&work.needs))
+        let active_runs = self.active_runs.values();
+        active_runs.fold(self.capacity, |free, work| free.minus(&work.needs))
     }
 
-    /// Starts a run; `needs` and `work_ms` stand for what the text would say.
+    /// Starts a run; `needs` and `work_ms` replace what the task's specification would
+    /// say.
     pub fn start(
         &mut self,
         now_ms: u64,
@@ -184,11 +198,11 @@
             return StartResult::Fenced;
         }
         self.epoch = epoch;
-        if self.works.contains_key(key) {
+        if self.active_runs.contains_key(key) {
             return StartResult::Started;
         }
         if self
-            .highest
+            .highest_runs
             .get(&key.task)
             .is_some_and(|run| key.run <= *run)
         {
@@ -202,23 +216,26 @@
             self.end(key.clone(), RunEnd::Failed);
             return StartResult::Started;
         }
-        let taken = self.works.values();
+        let taken = self.active_runs.values();
         let taken = taken.fold(needs, |sum, work| sum.plus(&work.needs));
-        let former = self.former.filter(|(_, until_ms)| now_ms < *until_ms);
-        let counted = former.map_or(self.capacity, |(room, _)| room.max(&self.capacity));
-        if !counted.can_fit(&taken) {
+        let former_capacity = self
+            .former_capacity
+            .filter(|(_, until_ms)| now_ms < *until_ms);
+        let allowed =
+            former_capacity.map_or(self.capacity, |(capacity, _)| capacity.max(&self.capacity));
+        if !allowed.can_fit(&taken) {
             self.overcommits += 1;
         }
         if key.run >= FIRST_STORED_RUN {
-            self.started.push((key.clone(), now_ms));
+            self.stored_starts.push((key.clone(), now_ms));
         }
         let work = Work {
             needs,
-            left_ms: work_ms,
+            remaining_ms: work_ms,
             total_ms: work_ms,
             stop_at_ms: None,
         };
-        self.works.insert(key.clone(), work);
+        self.active_runs.insert(key.clone(), work);
         StartResult::Started
     }
 
@@ -228,17 +245,17 @@
             return false;
         }
         self.epoch = epoch;
-        let highest = self.highest.entry(key.task.clone()).or_insert(0);
-        if !self.works.contains_key(key) {
-            *highest = (*highest).max(key.run);
+        let highest_run = self.highest_runs.entry(key.task.clone()).or_insert(0);
+        if !self.active_runs.contains_key(key) {
+            *highest_run = (*highest_run).max(key.run);
         }
-        if let Some(work) = self.works.get_mut(key) {
+        if let Some(work) = self.active_runs.get_mut(key) {
             work.stop_at_ms.get_or_insert(now_ms + STOP_MS);
         }
         true
     }
 
-    /// Extends the lease and forgets the ends that are acknowledged.
+    /// Extends the lease and drops the ends that are acknowledged.
     pub fn extend(
         &mut self,
         now_ms: u64,
@@ -256,9 +273,11 @@
         }
         self.ended
             .retain(|ended| ended.number > acknowledged_through);
-        let uncounted_ends = self.uncounted_ends.split_off(&(acknowledged_through + 1));
+        let unacknowledged_ends = self
+            .unacknowledged_ends
+            .split_off(&(acknowledged_through + 1));
         for (_, (key, ended_ms, is_lapsed)) in
-            std::mem::replace(&mut self.uncounted_ends, uncounted_ends)
+            std::mem::replace(&mut self.unacknowledged_ends, unacknowledged_ends)
         {
             if !is_lapsed {
                 self.counted_ends.push((key, ended_ms));
@@ -266,7 +285,7 @@
         }
     }
 
-    /// What runs, and the ends that nobody has acknowledged.
+    /// Returns the active runs and the unacknowledged ends.
     pub fn list(&self, now_ms: u64, epoch: u64) -> Listing {
         if epoch < self.epoch {
             return Listing {
@@ -274,9 +293,9 @@
                 ..Listing::default()
             };
         }
-        let running = self.works.iter().map(|(key, work)| ActiveRun {
+        let running = self.active_runs.iter().map(|(key, work)| ActiveRun {
             key: Some(key.clone()),
-            percent: (100.0 * (1.0 - work.left_ms / work.total_ms)) as u8,
+            percent: (100.0 * (1.0 - work.remaining_ms / work.total_ms)) as u8,
         });
         Listing {
             started_unix_ms: self.incarnation().started_unix_ms(),
@@ -286,7 +305,7 @@
         }
     }
 
-    /// Whether an end waits to be told.
+    /// Whether there is an unacknowledged end.
     pub fn has_ends(&self) -> bool {
         !self.ended.is_empty()
     }
@@ -295,52 +314,56 @@
         let passed_ms = (now_ms - self.last_tick_ms) as f64;
         self.last_tick_ms = now_ms;
         let speed = match self.behavior {
-            Behavior::Hanging => 0.0,
+            Behavior::Stalled => 0.0,
             Behavior::Slow(factor) => self.speed / factor,
             _ => self.speed,
         };
         let is_lapsed = self.clock_ms(now_ms) > self.lease_until_ms;
         if is_lapsed {
-            for (_, _, was_lapsed) in self.uncounted_ends.values_mut() {
+            for (_, _, was_lapsed) in self.unacknowledged_ends.values_mut() {
                 *was_lapsed = true;
             }
         }
         let mut ended = Vec::new();
-        for (key, work) in &mut self.works {
-            work.left_ms -= passed_ms * speed;
+        for (key, work) in &mut self.active_runs {
+            work.remaining_ms -= passed_ms * speed;
             if passed_ms > 0.0 {
-                let worked = self.worked.entry(key.task.job.to_string()).or_default();
-                *worked += passed_ms * f64::from(work.needs.cpu_milli);
+                let job_work = self
+                    .work_by_job
+                    .entry(key.task.job.to_string())
+                    .or_default();
+                *job_work += passed_ms * f64::from(work.needs.cpu_milli);
             }
             if work.stop_at_ms.is_some_and(|at_ms| now_ms >= at_ms) {
                 ended.push((key.clone(), RunEnd::Stopped));
             } else if is_lapsed {
                 ended.push((key.clone(), RunEnd::Lost));
-            } else if work.left_ms <= 0.0 {
+            } else if work.remaining_ms <= 0.0 {
                 ended.push((key.clone(), RunEnd::Done));
             }
         }
         for (key, end) in ended {
-            self.works.remove(&key);
+            self.active_runs.remove(&key);
             self.end(key, end);
         }
     }
 
     fn end(&mut self, key: RunKey, end: RunEnd) {
-        let highest = self.highest.entry(key.task.clone()).or_insert(0);
-        *highest = (*highest).max(key.run);
+        let highest_run = self.highest_runs.entry(key.task.clone()).or_insert(0);
+        *highest_run = (*highest_run).max(key.run);
         match end {
             RunEnd::Done => self.done.push(key.clone()),
             RunEnd::Failed => *self.failures.entry(key.task.clone()).or_insert(0) += 1,
             _ => {}
         }
-        self.ends += 1;
+        self.last_end_number += 1;
         if end == RunEnd::Done && key.run >= FIRST_STORED_RUN {
-            let uncounted_ends = (key.clone(), self.last_tick_ms, false);
-            self.uncounted_ends.insert(self.ends, uncounted_ends);
+            let unacknowledged_end = (key.clone(), self.last_tick_ms, false);
+            self.unacknowledged_ends
+                .insert(self.last_end_number, unacknowledged_end);
         }
         self.ended.push(EndedRun {
-            number: self.ends,
+            number: self.last_end_number,
             key: Some(key),
             end,
         });
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -1,6 +1,9 @@
-//! Whole sessions of entries, agents and minions on a clock that the test
-//! advances: frames, orders and their answers travel with a delay and can be
-//! held up, lost or late; processes are killed, frozen and cut off.
+//! Simulates entries, agents, minions, callers and the job log on a clock that
+//! the test advances.
+//!
+//! Frames, calls and their answers arrive after a delay and can be held up,
+//! lost or delayed further. Processes can be killed, suspended and cut off.
+//! Each step checks the invariants and collects their violations.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -74,34 +77,39 @@
 pub use stored::StoredView;
 
 pub const SERVICE: &str = "bretti-desk";
-/// One-way delay between processes, in milliseconds.
+/// One-way network delay between two processes, in milliseconds.
 const DELAY_MS: u64 = 1;
-/// Time after which an order without an answer is given up by its sender.
-const ORDER_TIMEOUT_MS: u64 = 50;
-/// Pause between two reports of a minion.
+/// Time after which an agent's call to its minion times out, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 50;
+/// Interval between two reports of a minion, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 1_500;
-/// Pause before a report that found no agent is sent again.
+/// Interval between reports of a prompt minion until its agent has one, in
+/// milliseconds.
 const REPORT_RETRY_MS: u64 = 100;
-/// Pause after which a caller whose connection broke sends its job again.
-const RESEND_MS: u64 = 1_300;
-/// Time after which a lost stop is carried out.
-const LOST_STOP_MS: u64 = 9_000;
-/// Time after which a call is carried out that never is.
-const NEVER_MS: u64 = 1_000_000;
-/// Pause of an agent between attempts to connect.
-const DIAL_MS: u64 = 25;
-
-/// Time that a listing is on its way which was made when its call came.
-const HELD_BACK_MS: u64 = 20;
-/// Longest time that a listing waits for an end, in milliseconds.
+/// Time after which a caller whose connection broke sends its job again, in
+/// milliseconds.
+const RESEND_DELAY_MS: u64 = 1_300;
+/// Delay after which a delayed stop is carried out, in milliseconds.
+const STOP_DELAY_MS: u64 = 9_000;
+/// Delay of a call that is never carried out, in milliseconds: it is longer than
+/// any session.
+const ENDLESS_DELAY_MS: u64 = 1_000_000;
+/// Interval between an agent's attempts to connect to an entry, in milliseconds.
+const DIAL_INTERVAL_MS: u64 = 25;
+
+/// Longest delay of the answer to a listing call by a minion that is not prompt,
+/// in milliseconds.
+const MAX_LISTING_DELAY_MS: u64 = 20;
+/// Longest time that a listing call waits for an end at a prompt minion, in
+/// milliseconds.
 const MAX_LIST_WAIT_MS: u64 = 2_000;
 
-/// Pause between two looks for refused jobs that ran; what ran is remembered.
-const REFUSED_CHECK_MS: u64 = 200;
+/// Interval between two checks for refused jobs that ran, in milliseconds. A
+/// check misses nothing, because the session records all started tasks.
+const REFUSED_CHECK_INTERVAL_MS: u64 = 200;
 
-/// Callers, the latest ones, among which those without an answer are looked
-/// for.
-const OPEN_CALLERS: usize = 2_000;
+/// Number of the latest callers that are searched for those without an answer.
+const RECENT_CALLERS: usize = 2_000;
 
 pub const TASK_RESOURCES: Resources = Resources {
     cpu_milli: 1_600,
@@ -114,7 +122,7 @@
     accelerators: 0,
 };
 
-/// What can arrive at a process.
+/// Event that arrives at an entry or an agent.
 #[derive(Clone, Debug)]
 enum Event {
     LinkUp(LinkId, SocketAddr),
@@ -135,13 +143,13 @@
     Crashes(Vec<Crash>),
 }
 
-/// An entry: its dispatcher and its part of the job log.
+/// Dispatcher of an entry, and its ledger of the partitions that it owns.
 struct EntryCore {
     dispatcher: Dispatcher,
     ledger: Ledger,
 }
 
-/// A call to a minion that is carried out at a later time.
+/// Unanswered call to a minion, which the minion carries out at `at_ms`.
 #[derive(Clone, Debug)]
 struct DelayedCall {
     at_ms: u64,
@@ -149,10 +157,10 @@
     action: AgentAction,
 }
 
-/// A listing that waits for an end.
+/// Call for a listing that the minion has not answered yet.
 #[derive(Clone, Debug)]
 struct PendingListing {
-    /// The listing, where it was made when the call came.
+    /// The answer, if the minion made it when the call arrived.
     listing: Option<Listing>,
     until_ms: u64,
     agent: usize,
@@ -161,14 +169,15 @@
     epoch: u64,
 }
 
-/// A process with the events that reached its host.
+/// Entry or agent, with the events that have arrived at its host.
 struct Process<C> {
     core: C,
     inbox: VecDeque<Event>,
     due_ms: u64,
     suspended_until_ms: u64,
     down_until_ms: u64,
-    runs: u64,
+    /// Number of its current start, from 1.
+    start_number: u64,
 }
 
 impl<C> Process<C> {
@@ -176,19 +185,20 @@
         now_ms >= self.down_until_ms
     }
 
-    fn runs_now(&self, now_ms: u64) -> bool {
+    fn is_running(&self, now_ms: u64) -> bool {
         self.is_up(now_ms) && now_ms >= self.suspended_until_ms
     }
 }
 
+/// Connection of an agent to an entry.
 #[derive(Clone, Copy, Debug)]
 struct Link {
     agent: usize,
     entry: usize,
 }
 
-/// What a job asks for, and how long each of its tasks works on a minion of
-/// ordinary speed.
+/// Queue, resources and declared time of a job, and the time that each of its
+/// tasks runs on a minion of speed 1.
 #[derive(Clone, Debug)]
 pub struct JobShape {
     pub queue: Arc<Queue>,
@@ -197,15 +207,15 @@
     pub work_ms: Vec<f64>,
 }
 
-/// A minion of a session.
+/// Capacity and speed of a minion.
 #[derive(Clone, Copy, Debug)]
 pub struct MinionKind {
     pub capacity: Resources,
-    /// Times that it works faster than an ordinary one.
+    /// Factor by which its tasks run faster than on a minion of speed 1.
     pub speed: f64,
 }
 
-/// A job as its caller sees it.
+/// State of a job at its caller.
 #[derive(Clone, Debug)]
 pub struct CallerState {
     pub id: String,
@@ -223,13 +233,20 @@
     refused: usize,
 }
 
-/// What must never happen, and happened.
+/// Violations of the invariants.
 #[derive(Clone, Debug, Default)]
 pub struct Violations {
+    /// Runs of a task that overlap, and starts after an end that counts or after a
+    /// cancel.
     pub duplicates: Vec<String>,
+    /// Number of starts that exceeded the capacity of a minion.
     pub overcommits: usize,
+    /// Ids of jobs that ran although all their submissions were refused.
     pub refused_and_ran: Vec<String>,
+    /// Accepted stored jobs that are unknown, have not ended, or are complete without
+    /// all their tasks being done.
     pub lost: Vec<String>,
+    /// Jobs that failed without enough failed runs or crashes of one of their tasks.
     pub failed_without_cause: Vec<String>,
 }
 
@@ -243,6 +260,7 @@
     }
 }
 
+/// Simulated processes, the network between them, and what is checked about them.
 pub struct Session {
     pub now_ms: u64,
     entries: Vec<Process<EntryCore>>,
@@ -251,72 +269,84 @@
     links: BTreeMap<LinkId, Link>,
     next_link: u64,
     next_caller: u64,
-    wires: Vec<(u64, u64, Side, Event)>,
+    /// Events on their way, with their arrival times, sequence numbers and
+    /// receivers.
+    in_flight: Vec<(u64, u64, Side, Event)>,
     sequence: u64,
+    /// Pairs of entry and agent whose messages are held up.
     cuts: BTreeSet<(usize, usize)>,
     delayed_calls: Vec<DelayedCall>,
-    /// Decides the fate of each order: `None` in time, or after how long it is
-    /// carried out without an answer.
+    /// Decides about each call of an agent to its minion, by time and agent:
+    /// `None` for a call that is answered in time, or the delay in milliseconds
+    /// after which an unanswered call is carried out.
     pub call_delay: Box<dyn FnMut(u64, usize) -> Option<u64>>,
-    /// Whether stops get no answer and are carried out seconds later, while
+    /// Whether stops are unanswered and carried out `STOP_DELAY_MS` later, while
     /// other calls are answered.
     pub delays_stops: bool,
     pub callers: Vec<CallerState>,
+    /// Number of tasks that were started, by minion id.
     pub starts: BTreeMap<String, usize>,
     pub violations: Violations,
+    /// Time of the last attempt of an agent to connect to an entry, by agent and
+    /// entry.
     dialed_ms: BTreeMap<(usize, usize), u64>,
-    /// Links that were opened; one that is closed is opened anew at once.
+    /// Number of links that agents opened; they open a closed link again at once.
     pub dials: usize,
     draining: BTreeSet<usize>,
-    /// The last report of the lifetime that ended last, for each minion.
+    /// For each agent, the last report of the incarnation of its minion that
+    /// ended last.
     last_reports: BTreeMap<usize, MinionReport>,
     pub log: FakeLog,
-    /// Decides what becomes of each call of an entry to the job log.
+    /// Decides the outcome of each call to the job log, by time and entry.
     pub log_outcome: Box<dyn FnMut(u64, usize) -> LogCallOutcome>,
     pub stored: Vec<StoredView>,
-    /// Lifetimes of minions that ended.
+    /// Incarnations of minions that have ended.
     ended_minions: Vec<FakeMinion>,
-    kinds: Vec<MinionKind>,
-    /// The entries that each agent keeps a link to, as in the product.
-    chosen: Vec<Vec<usize>>,
+    minion_kinds: Vec<MinionKind>,
+    /// The entries that each agent keeps a link to, selected by the code under
+    /// test.
+    link_targets: Vec<Vec<usize>>,
     queues: Vec<Arc<Queue>>,
     policy: fn() -> BoxedPolicy,
-    /// Jobs that are not all of one kind.
+    /// Shapes of the jobs that `submit_shape` submitted, by job id.
     shapes: BTreeMap<String, JobShape>,
-    /// Tasks that were started, for each job.
-    started: BTreeMap<String, BTreeSet<u32>>,
-    /// Whether minions are as prompt as real ones: a listing waits for an end,
-    /// and a report that found no agent is sent again soon. Otherwise a listing
-    /// is made when it is asked for, ends are told up to 20 ms late, and a
-    /// report comes each 1.5 s.
+    /// Indexes of the tasks that minions started, by job id.
+    started_tasks: BTreeMap<String, BTreeSet<u32>>,
+    /// Whether minions answer as promptly as real ones: a listing call waits for
+    /// an end, and a report that reached no agent is sent again soon. Otherwise
+    /// the minion makes a listing when the call arrives, its answer is up to
+    /// 20 ms late, and reports are 1.5 s apart.
     pub has_prompt_minions: bool,
     pending_listings: Vec<PendingListing>,
-    /// Whether minions tell their births.
+    /// Whether minions report their start times.
     has_start_times: bool,
-    /// Whether calls that a minion would carry out late end with its life.
+    /// Whether delayed calls are dropped once the incarnation of the minion that
+    /// they were sent to has ended.
     pub drops_calls_of_ended_incarnations: bool,
-    /// Jobs whose first task crashes each minion that starts it.
+    /// Ids of jobs whose first task crashes each minion that starts it.
     pub crashing: BTreeSet<String>,
-    /// Minions that each of them crashed.
+    /// Number of minions that crashed under each of these jobs.
     pub crashes: BTreeMap<String, usize>,
-    /// How long after an answered start they do; in the start itself if not set.
+    /// Time between the answer to a start and the crash, in milliseconds. Without
+    /// it, the minion crashes during the start.
     pub crash_after_ms: Option<u64>,
-    due_crashes: PendingCrashes,
-    /// The last crash that an entry told another one.
+    pending_crashes: PendingCrashes,
+    /// Number of the last crash that an entry sent to another entry.
     sent_crashes: BTreeMap<(usize, usize), u64>,
-    /// The run of each agent and the lifetime of its minion that were last
-    /// brought together by a report.
+    /// For each agent, its start number and the id of its minion at the last
+    /// report.
     reported: BTreeMap<usize, (u64, String)>,
-    /// Callers that were refused since they were last looked at.
-    just_refused: Vec<usize>,
-    /// Zones that all entries know to be emptied.
+    /// Positions of callers refused since the last call of
+    /// `refused_despite_free_resources`.
+    newly_refused: Vec<usize>,
+    /// Availability zones whose evacuation was sent to all entries.
     evacuated: BTreeSet<String>,
-    /// All starts that were answered in time.
+    /// All starts that a minion carried out and answered in time.
     pub answered_starts: Vec<ObservedStart>,
     /// All calls to start a task, answered or not.
     pub start_calls: Vec<ObservedStart>,
-    /// What agents noted, by event.
-    pub notes: BTreeMap<&'static str, usize>,
+    /// Number of events that agents logged, by event name.
+    pub event_counts: BTreeMap<&'static str, usize>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -334,14 +364,15 @@
         Self::with_minions(entries, vec![kind; agents], table(1).queues, fair_share)
     }
 
-    /// A session of one agent for each minion; `policy` makes that of an entry.
+    /// Creates a session with one agent for each minion; `policy` creates the
+    /// overload policy of an entry.
     pub fn with_minions(
         entries: usize,
-        kinds: Vec<MinionKind>,
+        minion_kinds: Vec<MinionKind>,
         queues: Vec<Arc<Queue>>,
         policy: fn() -> BoxedPolicy,
     ) -> Self {
-        let agents = kinds.len();
+        let agents = minion_kinds.len();
         let mut session = Self {
             now_ms: 0,
             entries: Vec::new(),
@@ -350,7 +381,7 @@
             links: BTreeMap::new(),
             next_link: 1,
             next_caller: 1,
-            wires: Vec::new(),
+            in_flight: Vec::new(),
             sequence: 0,
             cuts: BTreeSet::new(),
             delayed_calls: Vec::new(),
@@ -367,12 +398,14 @@
             log_outcome: Box::new(|_, _| LogCallOutcome::Served),
             stored: Vec::new(),
             ended_minions: Vec::new(),
-            chosen: (0..agents).map(|agent| chosen(agent, entries)).collect(),
-            kinds,
+            link_targets: (0..agents)
+                .map(|agent| link_targets(agent, entries))
+                .collect(),
+            minion_kinds,
             queues,
             policy,
             shapes: BTreeMap::new(),
-            started: BTreeMap::new(),
+            started_tasks: BTreeMap::new(),
             has_prompt_minions: false,
             pending_listings: Vec::new(),
             has_start_times: false,
@@ -380,14 +413,14 @@
             crashing: BTreeSet::new(),
             crashes: BTreeMap::new(),
             crash_after_ms: None,
-            due_crashes: PendingCrashes::default(),
+            pending_crashes: PendingCrashes::default(),
             sent_crashes: BTreeMap::new(),
             reported: BTreeMap::new(),
-            just_refused: Vec::new(),
+            newly_refused: Vec::new(),
             evacuated: BTreeSet::new(),
             answered_starts: Vec::new(),
             start_calls: Vec::new(),
-            notes: BTreeMap::new(),
+            event_counts: BTreeMap::new(),
         };
         for entry in 0..entries {
             let process = session.new_entry(entry, 1);
@@ -403,11 +436,11 @@
         session
     }
 
-    fn new_entry(&self, entry: usize, runs: u64) -> Process<EntryCore> {
+    fn new_entry(&self, entry: usize, start_number: u64) -> Process<EntryCore> {
         let settings = DispatcherSettings {
             zone: zone(entry).into(),
             remote_factor: 1.5,
-            seed: entry as u64 * 1_000 + runs,
+            seed: entry as u64 * 1_000 + start_number,
         };
         let mut dispatcher = Dispatcher::with_policy(settings, (self.policy)(), self.now_ms);
         dispatcher.configure(RoutingTable {
@@ -427,21 +460,21 @@
             due_ms: self.now_ms,
             suspended_until_ms: 0,
             down_until_ms: 0,
-            runs,
+            start_number,
         }
     }
 
     fn new_minion(&self, agent: usize, instance: &str) -> FakeMinion {
-        let kind = self.kinds[agent];
+        let kind = self.minion_kinds[agent];
         let mut minion = FakeMinion::new(self.now_ms, instance, kind.capacity);
         minion.speed = kind.speed;
         minion.reports_start_time = self.has_start_times;
         minion
     }
 
-    fn new_agent(&self, agent: usize, runs: u64) -> Process<Agent> {
+    fn new_agent(&self, agent: usize, start_number: u64) -> Process<Agent> {
         let identity = AgentIdentity {
-            node: NodeId(agent as u64 * 1_000 + runs),
+            node: NodeId(agent as u64 * 1_000 + start_number),
             host: host(agent).into(),
             zone: zone(agent).into(),
         };
@@ -451,16 +484,17 @@
             due_ms: self.now_ms,
             suspended_until_ms: 0,
             down_until_ms: 0,
-            runs,
+            start_number,
         }
     }
 
-    /// Submits a job of tasks that work this long.
+    /// Submits a job whose tasks run for `work_ms`; returns its position in
+    /// `callers`.
     pub fn submit(&mut self, entry: usize, id: &str, tasks: u32, work_ms: u64) -> usize {
         self.submit_declared(entry, id, tasks, work_ms, work_ms)
     }
 
-    /// Submits a job whose declared time is not that of its work.
+    /// Submits a job whose declared time differs from the time that its tasks run.
     pub fn submit_declared(
         &mut self,
         entry: usize,
@@ -489,7 +523,7 @@
         position
     }
 
-    /// Submits a job of this shape.
+    /// Submits a job of the given shape; returns its position in `callers`.
     pub fn submit_shape(&mut self, entry: usize, id: &str, shape: JobShape) -> usize {
         let tasks = u32::try_from(shape.work_ms.len()).unwrap_or(u32::MAX);
         let declared_ms = shape.declared_ms;
@@ -497,6 +531,8 @@
         self.submit_declared(entry, id, tasks, declared_ms, declared_ms)
     }
 
+    /// Sends a caller's job to an entry, or schedules that for later if the entry is
+    /// down.
     fn send(&mut self, position: usize, entry: usize) {
         let now_ms = self.now_ms;
         let state = &mut self.callers[position];
@@ -504,7 +540,7 @@
         state.entry = entry;
         state.resend_at_ms = None;
         if !self.entries[entry].is_up(now_ms) {
-            state.resend_at_ms = Some(now_ms + RESEND_MS);
+            state.resend_at_ms = Some(now_ms + RESEND_DELAY_MS);
             return;
         }
         let caller = CallerId(self.next_caller);
@@ -533,67 +569,74 @@
         self.callers[position].outcome
     }
 
-    /// A caller closes its connection and sends the job again to another entry.
-    pub fn break_caller(&mut self, position: usize) {
+    /// Closes a caller's connection; the caller sends its job again to the next
+    /// entry after `RESEND_DELAY_MS`.
+    pub fn disconnect_caller(&mut self, position: usize) {
         let state = &mut self.callers[position];
         if let Some(caller) = state.caller.take() {
-            state.resend_at_ms = Some(self.now_ms + RESEND_MS);
+            state.resend_at_ms = Some(self.now_ms + RESEND_DELAY_MS);
             let entry = state.entry;
             self.post(Side::Entry(entry), Event::CallerLeft(caller));
         }
     }
 
-    /// The same, and the job comes again at once.
-    pub fn break_caller_and_resend(&mut self, position: usize) {
-        self.break_caller(position);
+    /// Closes a caller's connection; the caller sends its job again to the next
+    /// entry at once.
+    pub fn disconnect_caller_and_resend(&mut self, position: usize) {
+        self.disconnect_caller(position);
         self.callers[position].resend_at_ms = Some(self.now_ms + 2 * DELAY_MS);
     }
 
-    /// A caller neither waits any more nor comes again.
+    /// Makes a caller stop waiting without closing its connection or sending its
+    /// job again.
     pub fn forget_caller(&mut self, position: usize) {
         let state = &mut self.callers[position];
         state.caller = None;
         state.resend_at_ms = None;
     }
 
+    /// Suspends an entry; its events wait until it resumes after `for_ms`.
     pub fn suspend_entry(&mut self, entry: usize, for_ms: u64) {
         self.entries[entry].suspended_until_ms = self.now_ms + for_ms;
     }
 
+    /// Suspends an agent; its events wait until it resumes after `for_ms`.
     pub fn suspend_agent(&mut self, agent: usize, for_ms: u64) {
         self.agents[agent].suspended_until_ms = self.now_ms + for_ms;
     }
 
-    /// Kills an entry; its callers' connections break.
+    /// Kills an entry, which starts again after `for_ms`; its callers' connections
+    /// break.
     pub fn kill_entry(&mut self, entry: usize, for_ms: u64) {
-        let runs = self.entries[entry].runs + 1;
-        self.entries[entry] = self.new_entry(entry, runs);
+        let start_number = self.entries[entry].start_number + 1;
+        self.entries[entry] = self.new_entry(entry, start_number);
         self.entries[entry].down_until_ms = self.now_ms + for_ms;
         self.sent_crashes
             .retain(|(from, to), _| *from != entry && *to != entry);
         self.break_links(|link| link.entry == entry, Side::Entry(entry));
         for state in &mut self.callers {
             if state.entry == entry && state.outcome.is_none() && state.caller.take().is_some() {
-                state.resend_at_ms = Some(self.now_ms + RESEND_MS);
+                state.resend_at_ms = Some(self.now_ms + RESEND_DELAY_MS);
             }
         }
     }
 
+    /// Kills an agent, which starts again after `for_ms`; its minion runs on.
     pub fn kill_agent(&mut self, agent: usize, for_ms: u64) {
-        let runs = self.agents[agent].runs + 1;
-        self.agents[agent] = self.new_agent(agent, runs);
+        let start_number = self.agents[agent].start_number + 1;
+        self.agents[agent] = self.new_agent(agent, start_number);
         self.agents[agent].down_until_ms = self.now_ms + for_ms;
         self.break_links(|link| link.agent == agent, Side::Agent(agent));
     }
 
-    /// The minion has other room from now on, and says so with its next report.
+    /// Changes a minion's capacity; the minion reports it at once.
     pub fn resize_minion(&mut self, agent: usize, capacity: Resources) {
         self.minions[agent].resize(self.now_ms, capacity);
         let report = self.report(agent);
         self.post(Side::Agent(agent), Event::Reported(report));
     }
 
-    /// All minions tell their births from now on.
+    /// Makes all minions report their start times, and waits for these reports.
     pub fn report_start_times(&mut self) {
         self.has_start_times = true;
         for minion in &mut self.minions {
@@ -602,23 +645,24 @@
         self.run(2 * REPORT_INTERVAL_MS);
     }
 
-    /// The last report of the lifetime before the present one arrives only now.
+    /// Delivers the last report of the minion's previous incarnation.
     pub fn deliver_delayed_report(&mut self, agent: usize) {
         if let Some(report) = self.last_reports.get(&agent).cloned() {
             self.post(Side::Agent(agent), Event::Reported(report));
         }
     }
 
-    /// Holds up all that an entry and an agent send each other.
+    /// Holds up everything that an entry and an agent send each other.
     pub fn cut(&mut self, entry: usize, agent: usize) {
         self.cuts.insert((entry, agent));
     }
 
+    /// Ends all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    /// The minion says from now on that it leaves.
+    /// Makes a minion report from now on that it drains.
     pub fn drain_minion(&mut self, agent: usize) {
         self.draining.insert(agent);
         let report = self.report(agent);
@@ -646,7 +690,7 @@
         &mut self.entries[entry].core.dispatcher
     }
 
-    /// A planned stop of an entry.
+    /// Begins the planned stop of an entry.
     pub fn stop_entry(&mut self, entry: usize) {
         let process = &mut self.entries[entry];
         let EntryCore { dispatcher, ledger } = &mut process.core;
@@ -654,11 +698,13 @@
         process.due_ms = self.now_ms;
     }
 
+    /// Returns the number of tasks that were started on a minion.
     pub fn starts_on(&self, instance: &str) -> usize {
         self.starts.get(instance).copied().unwrap_or(0)
     }
 
-    fn break_links(&mut self, is_broken: impl Fn(&Link) -> bool, dead: Side) {
+    /// Removes the selected links, and notifies their ends except the killed process.
+    fn break_links(&mut self, is_broken: impl Fn(&Link) -> bool, killed: Side) {
         let broken: Vec<(LinkId, Link)> = self
             .links
             .iter()
@@ -668,7 +714,7 @@
         for (id, link) in broken {
             self.links.remove(&id);
             for side in [Side::Agent(link.agent), Side::Entry(link.entry)] {
-                if side != dead {
+                if side != killed {
                     self.post(side, Event::LinkDown(id));
                 }
             }
@@ -681,10 +727,10 @@
 
     fn post_at(&mut self, at_ms: u64, to: Side, event: Event) {
         self.sequence += 1;
-        self.wires.push((at_ms, self.sequence, to, event));
+        self.in_flight.push((at_ms, self.sequence, to, event));
     }
 
-    /// Advances the clock, a millisecond at a time.
+    /// Advances the clock in steps of a millisecond.
     pub fn run(&mut self, for_ms: u64) {
         for _ in 0..for_ms {
             self.now_ms += 1;
@@ -692,7 +738,7 @@
         }
     }
 
-    /// Runs until a caller has its answer, for at most this long.
+    /// Runs until a caller has its answer, for at most `for_ms`.
     pub fn run_until_answered(&mut self, position: usize, for_ms: u64) {
         for _ in 0..for_ms {
             if self.callers[position].outcome.is_some() {
@@ -703,11 +749,11 @@
     }
 
     fn step(&mut self) {
-        self.crash_due();
+        self.crash_due_minions();
         self.report_minions();
         self.dial();
         self.deliver();
-        self.carry_out_late();
+        self.carry_out_delayed_calls();
         self.resend();
         self.log.tick(self.now_ms);
         self.run_stored_callers();
@@ -721,7 +767,7 @@
         for entry in 0..self.entries.len() {
             self.run_entry(entry);
         }
-        self.check();
+        self.check_invariants();
     }
 
     fn report(&self, agent: usize) -> MinionReport {
@@ -738,12 +784,15 @@
         }
     }
 
-    /// Whether the present run of an agent has a report of the present lifetime
-    /// of its minion.
+    /// Whether the agent has had a report of its minion's current incarnation since
+    /// its own last start.
     fn is_reported(&self, agent: usize) -> bool {
-        let (runs, instance) = (self.agents[agent].runs, &self.minions[agent].instance);
+        let (start_number, instance) = (
+            self.agents[agent].start_number,
+            &self.minions[agent].instance,
+        );
         let reported = self.reported.get(&agent);
-        reported.is_some_and(|(known, reported)| *known == runs && reported == instance)
+        reported.is_some_and(|(known, reported)| *known == start_number && reported == instance)
     }
 
     fn report_minions(&mut self) {
@@ -756,9 +805,9 @@
                 && self.agents[agent].is_up(self.now_ms)
                 && self.now_ms >= self.minions[agent].up_at_ms
             {
-                let runs = self.agents[agent].runs;
+                let start_number = self.agents[agent].start_number;
                 self.reported
-                    .insert(agent, (runs, self.minions[agent].instance.clone()));
+                    .insert(agent, (start_number, self.minions[agent].instance.clone()));
                 let report = self.report(agent);
                 self.post(Side::Agent(agent), Event::Reported(report));
             }
@@ -772,7 +821,7 @@
             .map(|link| (link.agent, link.entry))
             .collect();
         for agent in 0..self.agents.len() {
-            for entry in self.chosen[agent].clone() {
+            for entry in self.link_targets[agent].clone() {
                 if !linked.contains(&(agent, entry)) {
                     self.dial_entry(agent, entry);
                 }
@@ -782,10 +831,10 @@
 
     fn dial_entry(&mut self, agent: usize, entry: usize) {
         let dialed_ms = self.dialed_ms.get(&(agent, entry)).copied().unwrap_or(0);
-        let is_possible = self.agents[agent].runs_now(self.now_ms)
+        let is_possible = self.agents[agent].is_running(self.now_ms)
             && self.entries[entry].is_up(self.now_ms)
             && !self.cuts.contains(&(entry, agent));
-        if is_possible && self.now_ms >= dialed_ms + DIAL_MS {
+        if is_possible && self.now_ms >= dialed_ms + DIAL_INTERVAL_MS {
             self.dialed_ms.insert((agent, entry), self.now_ms);
             self.dials += 1;
             let id = LinkId(self.next_link);
@@ -807,17 +856,18 @@
         link.is_some_and(|link| self.cuts.contains(&(link.entry, link.agent)))
     }
 
-    /// Moves what arrived to the inboxes; what is cut off is held up.
+    /// Moves events that are due to the inboxes, and holds up those of links that
+    /// are cut.
     fn deliver(&mut self) {
-        let wires = std::mem::take(&mut self.wires);
-        let (mut due, rest): (Vec<_>, Vec<_>) = wires
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (mut due, rest): (Vec<_>, Vec<_>) = in_flight
             .into_iter()
             .partition(|(at_ms, _, to, event)| *at_ms <= self.now_ms && !self.is_cut(*to, event));
-        self.wires = rest;
+        self.in_flight = rest;
         due.sort_by_key(|(_, sequence, ..)| *sequence);
         for (_, _, to, event) in due {
             if let Event::LinkDown(link) = &event {
-                // Both ends have closed it: the agent may connect anew.
+                // Both ends have closed the link: the agent may connect again.
                 self.links.remove(link);
             }
             match to {
@@ -846,7 +896,7 @@
     fn run_agent(&mut self, agent: usize) {
         let now_ms = self.now_ms;
         let process = &mut self.agents[agent];
-        if !process.runs_now(now_ms) || (process.inbox.is_empty() && now_ms < process.due_ms) {
+        if !process.is_running(now_ms) || (process.inbox.is_empty() && now_ms < process.due_ms) {
             return;
         }
         for event in std::mem::take(&mut process.inbox) {
@@ -885,11 +935,12 @@
         }
         match action {
             AgentAction::Start { .. } | AgentAction::Stop { .. } | AgentAction::List { .. } => {
-                let is_lost_stop = self.delays_stops && matches!(action, AgentAction::Stop { .. });
+                let is_delayed_stop =
+                    self.delays_stops && matches!(action, AgentAction::Stop { .. });
                 match (self.call_delay)(self.now_ms, agent) {
-                    None if is_lost_stop => self.answer_nothing(agent, &action, LOST_STOP_MS),
+                    None if is_delayed_stop => self.delay_call(agent, &action, STOP_DELAY_MS),
                     None => self.carry_out(agent, &action, true),
-                    Some(late_ms) => self.answer_nothing(agent, &action, late_ms),
+                    Some(delay_ms) => self.delay_call(agent, &action, delay_ms),
                 }
             }
             AgentAction::Greet(link, hello) => {
@@ -905,8 +956,8 @@
                 }
             }
             AgentAction::Event(event) => {
-                self.print(&format!("agent {agent} {event:?}"));
-                *self.notes.entry(event.event).or_default() += 1;
+                self.trace(&format!("agent {agent} {event:?}"));
+                *self.event_counts.entry(event.event).or_default() += 1;
             }
             AgentAction::Entries(_) => {}
         }
@@ -918,13 +969,15 @@
         }
     }
 
-    fn answer_nothing(&mut self, agent: usize, action: &AgentAction, late_ms: u64) {
+    /// Lets a call of an agent time out, and schedules that the minion carries it out
+    /// after `delay_ms`.
+    fn delay_call(&mut self, agent: usize, action: &AgentAction, delay_ms: u64) {
         self.delayed_calls.push(DelayedCall {
-            at_ms: self.now_ms + late_ms,
+            at_ms: self.now_ms + delay_ms,
             agent,
             action: action.clone(),
         });
-        let at_ms = self.now_ms + ORDER_TIMEOUT_MS;
+        let at_ms = self.now_ms + CALL_TIMEOUT_MS;
         let answer = match action {
             AgentAction::Start {
                 incarnation, key, ..
@@ -940,6 +993,7 @@
         self.post_at(at_ms, Side::Agent(agent), answer);
     }
 
+    /// Answers a call of an agent with a refused connection.
     fn refuse_connection(&mut self, agent: usize, action: &AgentAction) {
         let answer = match action {
             AgentAction::Start {
@@ -956,7 +1010,7 @@
         self.post(Side::Agent(agent), answer);
     }
 
-    fn carry_out_late(&mut self) {
+    fn carry_out_delayed_calls(&mut self) {
         let delayed_calls = std::mem::take(&mut self.delayed_calls);
         let (due, rest): (Vec<_>, Vec<_>) = delayed_calls
             .into_iter()
@@ -964,7 +1018,8 @@
         self.delayed_calls = rest;
         for call in due {
             let incarnation = self.minions[call.agent].incarnation();
-            if self.drops_calls_of_ended_incarnations && target(&call.action) != Some(&incarnation)
+            if self.drops_calls_of_ended_incarnations
+                && target_incarnation(&call.action) != Some(&incarnation)
             {
                 continue;
             }
@@ -972,6 +1027,7 @@
         }
     }
 
+    /// Carries out a call at the minion, and answers the agent if `is_answered`.
     fn carry_out(&mut self, agent: usize, action: &AgentAction, is_answered: bool) {
         let now_ms = self.now_ms;
         let minion = &mut self.minions[agent];
@@ -983,17 +1039,17 @@
         };
         if now_ms < minion.up_at_ms {
             if is_answered && minion.is_host_down {
-                self.answer_nothing(agent, action, NEVER_MS);
+                self.delay_call(agent, action, ENDLESS_DELAY_MS);
             } else if is_answered {
                 self.refuse_connection(agent, action);
             }
             return;
         }
-        if is_answered && self.leave_unread(agent, action) {
+        if is_answered && self.queue_if_unresponsive(agent, action) {
             return;
         }
         let minion = &mut self.minions[agent];
-        let is_same = **incarnation.id() == *minion.instance;
+        let is_current = **incarnation.id() == *minion.instance;
         let answer = match action {
             AgentAction::Start {
                 key,
@@ -1003,7 +1059,7 @@
                 ..
             } => {
                 let mut was_started = false;
-                let result = if is_same {
+                let result = if is_current {
                     let work_ms = spec.trim_start_matches("work_ms=").parse().unwrap_or(100.0);
                     let shape = self.shapes.get(&*key.task.job);
                     let needs = shape.map_or(TASK_RESOURCES, |shape| shape.needs);
@@ -1014,16 +1070,16 @@
                 } else {
                     StartResult::OtherInstance
                 };
-                self.print(&format!(
+                self.trace(&format!(
                     "minion {agent} start answered={is_answered} {key:?} {result:?}"
                 ));
                 let minion = &mut self.minions[agent];
                 if !is_answered {
-                    minion.started_late.push(key.clone());
+                    minion.delayed_starts.push(key.clone());
                 }
                 let is_crash = self.crashing.contains(&*key.task.job) && key.task.index == 0;
                 let is_new = result == StartResult::Started && !was_started;
-                if is_crash && is_new && !self.crash_by(agent, incarnation, key) {
+                if is_crash && is_new && !self.crash_by_task(agent, incarnation, key) {
                     return;
                 }
                 if result == StartResult::Started {
@@ -1033,14 +1089,14 @@
                             agent,
                         });
                     }
-                    let started = self.started.entry(key.task.job.to_string());
+                    let started = self.started_tasks.entry(key.task.job.to_string());
                     started.or_default().insert(key.task.index);
                     *self.starts.entry(incarnation.id().to_string()).or_default() += 1;
                 }
                 Event::Started(incarnation.clone(), key.clone(), result)
             }
             AgentAction::Stop { key, epoch, .. } => {
-                let is_done = is_same && minion.stop(now_ms, key, *epoch);
+                let is_done = is_current && minion.stop(now_ms, key, *epoch);
                 Event::Stopped(incarnation.clone(), key.clone(), is_done)
             }
             AgentAction::List {
@@ -1051,7 +1107,7 @@
                 wait_ms,
                 ..
             } => {
-                if !is_same {
+                if !is_current {
                     let result = ListResult::OtherInstance;
                     let event = Event::Listed(incarnation.clone(), *call, result);
                     if is_answered {
@@ -1059,20 +1115,20 @@
                     }
                     return;
                 }
-                let noted = minion.counted_ends.len();
+                let counted = minion.counted_ends.len();
                 minion.extend(now_ms, *epoch, *acknowledged_through, *deadline_ms);
-                for (key, _) in &self.minions[agent].counted_ends[noted..] {
-                    self.print(&format!(
+                for (key, _) in &self.minions[agent].counted_ends[counted..] {
+                    self.trace(&format!(
                         "minion {agent} end counts answered={is_answered} {key:?}"
                     ));
                 }
                 let minion = &self.minions[agent];
                 if is_answered {
-                    // Without waiting, the listing is made now and is told as
-                    // late as one that waits a little.
+                    // A minion that is not prompt makes the listing now and
+                    // answers as late as if it had waited a little.
                     let pause_ms = match self.has_prompt_minions {
                         true => (*wait_ms).min(MAX_LIST_WAIT_MS),
-                        false => (*wait_ms).min(HELD_BACK_MS),
+                        false => (*wait_ms).min(MAX_LISTING_DELAY_MS),
                     };
                     if *epoch > 0 && *epoch < minion.epoch() {
                         let result = ListResult::Fenced;
@@ -1099,7 +1155,8 @@
         }
     }
 
-    /// Answers the listings that waited for an end, or for long enough.
+    /// Answers the listing calls that have an end to list or have waited long
+    /// enough.
     fn answer_listings(&mut self) {
         let now_ms = self.now_ms;
         for pending in std::mem::take(&mut self.pending_listings) {
@@ -1108,19 +1165,19 @@
                 continue;
             }
             let minion = &mut self.minions[pending.agent];
-            let is_same =
+            let is_current =
                 **pending.incarnation.id() == *minion.instance && now_ms >= minion.up_at_ms;
-            let is_news = pending.listing.is_none() && minion.has_ends();
-            if now_ms < pending.until_ms && is_same && !is_news {
+            let has_ends = pending.listing.is_none() && minion.has_ends();
+            if now_ms < pending.until_ms && is_current && !has_ends {
                 self.pending_listings.push(pending);
                 continue;
             }
             let result = match pending.listing {
                 Some(listing) => ListResult::Listed(listing),
-                None if is_same && pending.epoch > 0 && pending.epoch < minion.epoch() => {
+                None if is_current && pending.epoch > 0 && pending.epoch < minion.epoch() => {
                     ListResult::Fenced
                 }
-                None if is_same => ListResult::Listed(minion.list(now_ms, pending.epoch)),
+                None if is_current => ListResult::Listed(minion.list(now_ms, pending.epoch)),
                 None => ListResult::OtherInstance,
             };
             let event = Event::Listed(pending.incarnation, pending.call, result);
@@ -1131,7 +1188,7 @@
     fn run_entry(&mut self, entry: usize) {
         let now_ms = self.now_ms;
         let process = &mut self.entries[entry];
-        if !process.runs_now(now_ms) || (process.inbox.is_empty() && now_ms < process.due_ms) {
+        if !process.is_running(now_ms) || (process.inbox.is_empty() && now_ms < process.due_ms) {
             return;
         }
         let EntryCore { dispatcher, ledger } = &mut process.core;
@@ -1168,14 +1225,15 @@
         }
     }
 
-    /// Entries tell each other of crashes under tasks.
+    /// Sends crashes that an entry has recorded since the last call to the other
+    /// entries.
     fn gossip_crashes(&mut self, entry: usize) {
         let now_ms = self.now_ms;
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
-            let book = self.entries[entry].core.dispatcher.crashes();
-            let told = self.sent_crashes.entry((entry, other)).or_default();
-            let crashes = book.since(now_ms, *told);
-            *told = book.last_sequence();
+            let known = self.entries[entry].core.dispatcher.crashes();
+            let last_sent = self.sent_crashes.entry((entry, other)).or_default();
+            let crashes = known.since(now_ms, *last_sent);
+            *last_sent = known.last_sequence();
             if !crashes.is_empty() {
                 self.post(Side::Entry(other), Event::Crashes(crashes));
             }
@@ -1198,13 +1256,13 @@
                 }
             }
             DispatcherAction::Answer(caller, outcome) => {
-                let is_its =
+                let is_caller =
                     |state: &CallerState| state.entry == entry && state.caller == Some(caller);
-                if let Some(position) = self.callers.iter().rposition(is_its) {
+                if let Some(position) = self.callers.iter().rposition(is_caller) {
                     let state = &mut self.callers[position];
                     if matches!(outcome, JobOutcome::Refused { .. }) {
                         state.refused += 1;
-                        self.just_refused.push(position);
+                        self.newly_refused.push(position);
                     }
                     state.outcome = Some(outcome);
                     state.answered_ms = Some(self.now_ms);
@@ -1214,99 +1272,106 @@
                     }
                 }
             }
-            DispatcherAction::Event(event) => self.print(&format!("{event:?}")),
+            DispatcherAction::Event(event) => self.trace(&format!("{event:?}")),
         }
     }
 
-    /// Shows what the processes log, when `GANNETVANE_TRACE` is set.
-    fn print(&self, line: &str) {
+    /// Prints a line with the time, if `GANNETVANE_TRACE` is set.
+    fn trace(&self, line: &str) {
         if std::env::var_os("GANNETVANE_TRACE").is_some() {
             println!("{:6} {line}", self.now_ms);
         }
     }
 
-    /// Whether an agent runs, in a zone that is not being emptied.
+    /// Whether an agent is up, in a zone that is not evacuated.
     fn is_usable(&self, agent: usize) -> bool {
         self.agents[agent].is_up(self.now_ms) && !self.evacuated.contains(zone(agent))
     }
 
-    /// Free room of the minions that may get tasks.
-    fn free_rooms(&self) -> Vec<Resources> {
+    /// Returns the free resources of each minion that may get tasks.
+    fn free_resources(&self) -> Vec<Resources> {
         let agents = (0..self.agents.len()).filter(|agent| self.is_usable(*agent));
         agents.map(|agent| self.minions[agent].free()).collect()
     }
 
-    /// Thousandths of a core that stand idle while tasks wait that would fit,
-    /// and all that there are; both 0 while nothing waits.
+    /// Returns the idle processor capacity that waiting tasks could use, and the
+    /// whole capacity, both in thousandths of a core. Both are 0 if no task
+    /// waits.
     pub fn idle_milli(&self) -> (f64, f64) {
-        let mut rooms = self.free_rooms();
+        let mut free = self.free_resources();
         let (mut idle_milli, mut is_waiting) = (0.0, false);
-        let open = self.callers.iter().rev().take(OPEN_CALLERS);
-        for state in open.filter(|state| state.outcome.is_none() && state.caller.is_some()) {
+        let unanswered = self.callers.iter().rev().take(RECENT_CALLERS);
+        for state in unanswered.filter(|state| state.outcome.is_none() && state.caller.is_some()) {
             let Some(shape) = self.shapes.get(&state.id) else {
                 continue;
             };
-            let started = self.started.get(&state.id).map_or(0, BTreeSet::len);
+            let started = self.started_tasks.get(&state.id).map_or(0, BTreeSet::len);
             let waiting = shape.work_ms.len().saturating_sub(started);
             is_waiting |= waiting > 0;
-            let packed = pack(&mut rooms, shape.needs, waiting);
-            idle_milli += packed as f64 * f64::from(shape.needs.cpu_milli);
+            let placed = place_tasks(&mut free, shape.needs, waiting);
+            idle_milli += placed as f64 * f64::from(shape.needs.cpu_milli);
         }
         if !is_waiting {
             return (0.0, 0.0);
         }
         let usable = (0..self.agents.len()).filter(|agent| self.is_usable(*agent));
-        let rooms = usable.map(|agent| f64::from(self.minions[agent].capacity.cpu_milli));
-        (idle_milli, rooms.sum())
+        let capacities_milli =
+            usable.map(|agent| f64::from(self.minions[agent].capacity.cpu_milli));
+        (idle_milli, capacities_milli.sum())
     }
 
-    /// Callers that were refused since the last call although there was room
-    /// for all tasks of their jobs at that moment.
-    pub fn refused_with_room(&mut self) -> usize {
-        let refused = std::mem::take(&mut self.just_refused);
-        let had_room = |position: &usize| {
+    /// Returns the number of callers refused since the last call although all
+    /// tasks of their jobs fit into the resources that are free now.
+    pub fn refused_despite_free_resources(&mut self) -> usize {
+        let refused = std::mem::take(&mut self.newly_refused);
+        let had_free_resources = |position: &usize| {
             let shape = self.shapes.get(&self.callers[*position].id);
             shape.is_some_and(|shape| {
                 let tasks = shape.work_ms.len();
-                pack(&mut self.free_rooms(), shape.needs, tasks) == tasks
+                place_tasks(&mut self.free_resources(), shape.needs, tasks) == tasks
             })
         };
-        refused.iter().filter(|position| had_room(position)).count()
+        refused
+            .iter()
+            .filter(|position| had_free_resources(position))
+            .count()
     }
 
-    /// Work that minions did for a job, in thousandths of a core by
+    /// Returns the work that minions did for a job, in thousandths of a core times
     /// milliseconds.
-    pub fn worked(&self, id: &str) -> f64 {
+    pub fn work_of(&self, id: &str) -> f64 {
         let minions = self.minions.iter().chain(&self.ended_minions);
-        minions.filter_map(|minion| minion.worked.get(id)).sum()
+        minions
+            .filter_map(|minion| minion.work_by_job.get(id))
+            .sum()
     }
 
-    /// Looks for what must never be.
-    fn check(&mut self) {
+    /// Checks the invariants and records their violations.
+    fn check_invariants(&mut self) {
         let mut seen: BTreeSet<TaskId> = BTreeSet::new();
         for minion in &self.minions {
             for key in minion.running() {
                 if !seen.insert(key.task.clone()) {
-                    let what = format!("{} ms: {:?}", self.now_ms, key);
+                    let what = format!("{} ms: {:?} runs twice", self.now_ms, key);
                     self.violations.duplicates.push(what);
                 }
             }
         }
         self.violations.overcommits = self.minions.iter().map(|minion| minion.overcommits).sum();
-        if !self.now_ms.is_multiple_of(REFUSED_CHECK_MS) {
+        if !self.now_ms.is_multiple_of(REFUSED_CHECK_INTERVAL_MS) {
             return;
         }
         for state in &self.callers {
             let is_refused = state.refused > 0 && state.refused == state.attempts;
-            if is_refused && self.started.contains_key(&state.id) {
+            if is_refused && self.started_tasks.contains_key(&state.id) {
                 self.violations.refused_and_ran.push(state.id.clone());
             }
         }
     }
 }
 
-/// The life that a call to a minion was meant for.
-fn target(action: &AgentAction) -> Option<&Incarnation> {
+/// Returns the incarnation of a minion that a call is addressed to.
+fn target_incarnation(action: &AgentAction) -> Option<&Incarnation> {
     match action {
         AgentAction::Start { incarnation, .. }
         | AgentAction::Stop { incarnation, .. }
@@ -1315,19 +1380,20 @@
     }
 }
 
-/// Tasks, of this many, that find room; it is taken from `rooms`.
-fn pack(rooms: &mut [Resources], needs: Resources, tasks: usize) -> usize {
-    let mut packed = 0;
-    for room in rooms {
-        while packed < tasks && room.can_fit(&needs) {
-            *room = room.minus(&needs);
-            packed += 1;
+/// Subtracts the resources of up to `tasks` tasks from the free resources; returns
+/// how many tasks fit.
+fn place_tasks(free: &mut [Resources], needs: Resources, tasks: usize) -> usize {
+    let mut placed = 0;
+    for resources in free {
+        while placed < tasks && resources.can_fit(&needs) {
+            *resources = resources.minus(&needs);
+            placed += 1;
         }
     }
-    packed
+    placed
 }
 
-/// The policy of the product.
+/// Creates the overload policy that the product uses.
 pub fn fair_share() -> BoxedPolicy {
     Box::new(FairShare::default())
 }
@@ -1356,21 +1422,22 @@
     format!("host-{agent}")
 }
 
-/// The entries that an agent links to once it knows all of them.
-fn chosen(agent: usize, entries: usize) -> Vec<usize> {
+/// Returns the entries that an agent connects to once its directory has all of
+/// them.
+fn link_targets(agent: usize, entries: usize) -> Vec<usize> {
     let known: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
     let mut directory = directory.with_max_targets(host(agent).into(), MAX_LINKED_ENTRIES);
     directory.learn(0, &known);
     let targets = directory.targets(0);
-    let chosen = (0..entries).filter(|entry| targets.contains(&known[*entry]));
-    chosen.collect()
+    let link_targets = (0..entries).filter(|entry| targets.contains(&known[*entry]));
+    link_targets.collect()
 }
 
-/// The zones of a session; processes are spread over them in turn.
+/// Availability zones of a session; processes are assigned to them in turn.
 pub const ZONES: [&str; 3] = ["selfoss", "hella", "thorlak"];
 
-/// Number of the zone of a process.
+/// Returns the index in `ZONES` of a process's availability zone.
 pub fn zone_number(process: usize) -> usize {
     process % ZONES.len()
 }
--- a/crates/dispatch/tests/session/stored.rs
+++ b/crates/dispatch/tests/session/stored.rs
@@ -1,5 +1,5 @@
-//! Callers of stored jobs in a session: they submit until they have an answer,
-//! and ask until the job has ended.
+//! Callers of stored jobs: each repeats its submission until it is answered, and
+//! then queries the state of the job until it has ended.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,42 +28,44 @@
 use super::log::PARTITIONS;
 use super::table;
 
-/// Time that a call to the log takes, in milliseconds.
-const LOG_MS: u64 = 4;
-/// Time after which a call without an answer is given up, in milliseconds.
+/// Duration of a call to the log, in milliseconds.
+const LOG_CALL_MS: u64 = 4;
+/// Time after which a call to the log times out, in milliseconds.
 const LOG_TIMEOUT_MS: u64 = 500;
-/// Time after which a caller asks again.
-const ASK_TIMEOUT_MS: u64 = 700;
-/// Time in which an owner that does not know yet of the next one may go on, by
-/// the platform's rules.
-const CANCEL_MS: u64 = 3_000;
-/// Pause of a caller between two questions.
-const ASK_PAUSE_MS: u64 = 60;
+/// Time after which a caller's call times out and is repeated, in milliseconds.
+const CALLER_TIMEOUT_MS: u64 = 700;
+/// Time for which the platform's rules let a former owner of a partition go on while
+/// it has not learned of the next owner, in milliseconds.
+const FORMER_OWNER_MS: u64 = 3_000;
+/// Time between an answer and the caller's next call, in milliseconds.
+const CALLER_PAUSE_MS: u64 = 60;
 
-/// A stored job as its caller sees it.
+/// State of a stored job at its caller.
 #[derive(Clone, Debug)]
 pub struct StoredView {
     pub id: String,
     pub tasks: u32,
     work_ms: u64,
     pub is_accepted: bool,
-    /// How often it was refused as never to run.
+    /// Number of submissions refused with the statement that the job will not run.
     pub refusals: usize,
     is_outcome_unknown: bool,
     pub wants_cancel: bool,
     pub is_cancelled: bool,
-    /// When a cancel, or the word that there is no such job, was answered.
+    /// Time of the first answer to a cancel, which says that the job is cancelled or
+    /// had already ended.
     cancelled_ms: Option<u64>,
-    /// Whether the caller sends the job once more although it was accepted.
+    /// Whether the caller submits the job again although it was accepted.
     pub sends_again: bool,
     pub end: Option<StoredEnd>,
     pub ended_ms: Option<u64>,
-    next_ms: u64,
-    waits_for: Option<StoredCaller>,
+    next_call_ms: u64,
+    pending_call: Option<StoredCaller>,
 }
 
 impl Session {
-    /// Submits a stored job, and asks for it until it has ended.
+    /// Submits a stored job and queries it until it has ended; returns its position in
+    /// `stored`.
     pub fn store(&mut self, id: &str, tasks: u32, work_ms: u64) -> usize {
         self.stored.push(StoredView {
             id: id.to_owned(),
@@ -78,8 +80,8 @@
             sends_again: false,
             end: None,
             ended_ms: None,
-            next_ms: self.now_ms,
-            waits_for: None,
+            next_call_ms: self.now_ms,
+            pending_call: None,
         });
         for entry in 0..self.entries.len() {
             self.entries[entry].core.ledger.activate(self.now_ms);
@@ -88,12 +90,12 @@
         self.stored.len() - 1
     }
 
-    /// The caller cancels a job, until that is answered.
+    /// Makes the caller cancel a job, and repeat that until it is answered.
     pub fn cancel_stored(&mut self, position: usize) {
         self.stored[position].wants_cancel = true;
     }
 
-    /// Runs until a stored job has ended, for at most this long.
+    /// Runs until the caller knows that a stored job has ended, for at most `for_ms`.
     pub fn run_until_ended(&mut self, position: usize, for_ms: u64) {
         for _ in 0..for_ms {
             if self.stored[position].end.is_some() {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// The entry that owns a job's partition, as the log tells it.
+    /// Returns the entry that owns a job's partition according to the log.
     pub fn owner_of(&mut self, id: &str) -> Option<usize> {
         let owner = self.log.owner(self.now_ms, Partition::of(id, PARTITIONS))?;
         let is_owner = |entry: &usize| self.member(*entry) == owner;
@@ -111,21 +113,21 @@
     }
 
     fn member(&self, entry: usize) -> String {
-        format!("entry-{entry}/{}", self.entries[entry].runs)
+        format!("entry-{entry}/{}", self.entries[entry].start_number)
     }
 
     pub(super) fn run_stored_callers(&mut self) {
         for position in 0..self.stored.len() {
-            if self.now_ms >= self.stored[position].next_ms {
-                self.ask(position);
+            if self.now_ms >= self.stored[position].next_call_ms {
+                self.call_owner(position);
             }
         }
     }
 
-    fn ask(&mut self, position: usize) {
+    fn call_owner(&mut self, position: usize) {
         let state = &self.stored[position];
-        let is_over = state.end.is_some() || state.refusals > 0 && !state.is_accepted;
-        if is_over && !(state.wants_cancel && state.is_accepted && !state.is_cancelled) {
+        let has_final_answer = state.end.is_some() || state.refusals > 0 && !state.is_accepted;
+        if has_final_answer && !(state.wants_cancel && state.is_accepted && !state.is_cancelled) {
             return;
         }
         let id: Arc<str> = state.id.as_str().into();
@@ -146,7 +148,7 @@
         } else {
             StoredCall::State(id.clone())
         };
-        self.stored[position].next_ms = self.now_ms + ASK_PAUSE_MS;
+        self.stored[position].next_call_ms = self.now_ms + CALLER_PAUSE_MS;
         let Some(owner) = self.owner_of(&id) else {
             return;
         };
@@ -157,22 +159,22 @@
         let caller = StoredCaller(self.next_caller);
         let state = &mut self.stored[position];
         state.is_outcome_unknown |= matches!(call, StoredCall::Submit(_));
-        state.waits_for = Some(caller);
-        state.next_ms = self.now_ms + ASK_TIMEOUT_MS;
+        state.pending_call = Some(caller);
+        state.next_call_ms = self.now_ms + CALLER_TIMEOUT_MS;
         self.post(Side::Entry(owner), Event::Stored(caller, call));
     }
 
-    fn answered(&mut self, caller: StoredCaller, answer: StoredAnswer) {
+    fn stored_answered(&mut self, caller: StoredCaller, answer: StoredAnswer) {
         let now_ms = self.now_ms;
         let waiting = self
             .stored
             .iter_mut()
-            .find(|state| state.waits_for == Some(caller));
+            .find(|state| state.pending_call == Some(caller));
         let Some(state) = waiting else {
             return;
         };
-        state.waits_for = None;
-        state.next_ms = now_ms + ASK_PAUSE_MS;
+        state.pending_call = None;
+        state.next_call_ms = now_ms + CALLER_PAUSE_MS;
         match answer {
             StoredAnswer::Accepted => {
                 state.is_accepted = true;
@@ -192,7 +194,7 @@
                 }
             }
             StoredAnswer::Unknown if state.is_accepted => {
-                let what = format!("{now_ms} ms: {} is not known", state.id);
+                let what = format!("{now_ms} ms: {} is unknown to its owner", state.id);
                 self.violations.lost.push(what);
             }
             _ => {}
@@ -238,8 +240,8 @@
                 let records = is_served.then(|| self.log.newest(partition));
                 self.answer_log(entry, outcome, Event::Loaded(partition, load, records));
             }
-            LedgerAction::Answer(caller, answer) => self.answered(caller, answer),
-            LedgerAction::Event(event) => self.print(&format!("entry {entry} {event:?}")),
+            LedgerAction::Answer(caller, answer) => self.stored_answered(caller, answer),
+            LedgerAction::Event(event) => self.trace(&format!("entry {entry} {event:?}")),
         }
     }
 
@@ -253,8 +255,9 @@
                 self.log.append(append);
                 AppendResult::NoAnswer
             }
-            LogCallOutcome::Delayed(late_ms) => {
-                self.log.append_late(self.now_ms + late_ms, append.clone());
+            LogCallOutcome::Delayed(delay_ms) => {
+                self.log
+                    .append_delayed(self.now_ms + delay_ms, append.clone());
                 AppendResult::NoAnswer
             }
         };
@@ -264,7 +267,7 @@
 
     fn answer_log(&mut self, entry: usize, outcome: LogCallOutcome, event: Event) {
         let delay_ms = match outcome {
-            LogCallOutcome::Served | LogCallOutcome::Refused => LOG_MS + DELAY_MS,
+            LogCallOutcome::Served | LogCallOutcome::Refused => LOG_CALL_MS + DELAY_MS,
             _ => LOG_TIMEOUT_MS,
         };
         self.post_at(self.now_ms + delay_ms, Side::Entry(entry), event);
@@ -274,24 +277,27 @@
         &mut self.entries[entry].core.ledger
     }
 
-    /// What must hold of stored jobs once everything is calm: none is lost, and
-    /// no task started after an end that counts.
+    /// Checks the invariants of stored jobs after recovery: no job is lost, at most one
+    /// end of each task counts, and no task started after an end that counts or too long
+    /// after its job was cancelled.
     pub fn check_stored(&mut self) {
         let mut counted: BTreeMap<TaskId, (RunKey, u64)> = BTreeMap::new();
         for minion in self.ended_minions.iter().chain(&self.minions) {
             for (key, ended_ms) in &minion.counted_ends {
                 if let Some((other, _)) = counted.get(&key.task) {
-                    let what = format!("{key:?} and {other:?} both count");
+                    let what = format!("the ends of {key:?} and {other:?} both count");
                     self.violations.duplicates.push(what);
                 }
                 counted.insert(key.task.clone(), (key.clone(), *ended_ms));
             }
         }
         for minion in self.ended_minions.iter().chain(&self.minions) {
-            for (key, started_ms) in &minion.started {
+            for (key, started_ms) in &minion.stored_starts {
                 let end = counted.get(&key.task);
                 if let Some((done, ended_ms)) = end.filter(|(_, ended_ms)| started_ms > ended_ms) {
-                    let what = format!("{key:?} at {started_ms} after {done:?} at {ended_ms}");
+                    let what = format!(
+                        "{key:?} started at {started_ms} ms after {done:?} ended at {ended_ms} ms"
+                    );
                     self.violations.duplicates.push(what);
                 }
             }
@@ -303,17 +309,24 @@
             let of_job = done.iter().filter(|task| *task.job == *state.id).count();
             let is_whole = of_job == state.tasks as usize;
             if state.end == Some(StoredEnd::Completed) && !is_whole {
-                let what = format!("{}: {of_job} of {} done", state.id, state.tasks);
+                let what = format!("{}: {of_job} of {} tasks done", state.id, state.tasks);
                 self.violations.lost.push(what);
             }
             let starts = minions.clone().flat_map(|minion| {
-                let in_time = |(key, _): &&(RunKey, u64)| !minion.started_late.contains(key);
-                minion.started.iter().filter(in_time)
+                let in_time = |(key, _): &&(RunKey, u64)| !minion.delayed_starts.contains(key);
+                minion.stored_starts.iter().filter(in_time)
             });
             let mut of_job = starts.filter(|(key, _)| *key.task.job == *state.id);
-            let is_late = |at_ms: u64| state.cancelled_ms.is_some_and(|ms| at_ms > ms + CANCEL_MS);
-            if let Some((key, at_ms)) = of_job.find(|(_, at_ms)| is_late(*at_ms)) {
-                let what = format!("{key:?} at {at_ms}, cancelled at {:?}", state.cancelled_ms);
+            let is_after_cancel = |at_ms: u64| {
+                state
+                    .cancelled_ms
+                    .is_some_and(|ms| at_ms > ms + FORMER_OWNER_MS)
+            };
+            if let Some((key, at_ms)) = of_job.find(|(_, at_ms)| is_after_cancel(*at_ms)) {
+                let what = format!(
+                    "{key:?} started at {at_ms} ms, cancelled at {:?}",
+                    state.cancelled_ms
+                );
                 self.violations.duplicates.push(what);
             }
             if state.is_accepted && state.end.is_none() {
--- a/crates/dispatch/tests/stored.rs
+++ b/crates/dispatch/tests/stored.rs
@@ -1,4 +1,4 @@
-//! Stored jobs when their owner, their agents or the job log fail.
+//! Stored jobs under failures of their owners, agents, minions and the job log.
 
 mod session;
 
@@ -12,14 +12,16 @@
 use session::Session;
 use yare::parameterized;
 
-/// Time in which the next owner of a partition gets a job to its end: 1.2 s
-/// until the log gives it away, 2.7 s for the last owner's runs, and the work.
+/// Time within which the next owner of a partition ends a job, in milliseconds: 1.2 s
+/// until the log reassigns the partition, 2.7 s until the former owner's runs are gone,
+/// and the time that the tasks run.
 const TAKEOVER_MS: u64 = 7_000;
-/// Time after which all ends are settled and all callers know.
-const CALM_MS: u64 = 9_000;
+/// Time after which all ends have a disposition and all callers have their answers, in
+/// milliseconds.
+const RECOVERY_MS: u64 = 9_000;
 
 fn check(session: &mut Session) {
-    session.run(CALM_MS);
+    session.run(RECOVERY_MS);
     session.check_stored();
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
@@ -36,10 +38,10 @@
 }
 
 #[test]
-fn ends_that_are_recorded_with_the_release_of_a_partition_are_settled() {
+fn ends_that_are_recorded_with_the_release_of_a_partition_get_a_disposition() {
     let mut session = Session::new(2, 3);
-    // The first entry owns everything, until the second takes its part while
-    // all kinds of runs end.
+    // The first entry owns all partitions until some are assigned to the second one,
+    // while runs of different lengths end.
     for n in 0..24 {
         session.store(&format!("00000000000001{n:02x}"), 2, 30 + n * 37);
         session.run(17);
@@ -55,14 +57,16 @@
     as_the_last_end_is_recorded = { 318 },
     after_the_end = { 400 },
 )]
-fn the_next_owner_ends_the_job_of_one_that_was_killed(kill_after_ms: u64) {
+fn the_next_owner_completes_the_job_of_a_killed_owner(kill_after_ms: u64) {
     let mut session = Session::new(3, 3);
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
     session.run(1_500);
     let job = session.store("00000000000000b1", 4, 300);
     session.run(kill_after_ms);
-    let owner = session.owner_of("00000000000000b1").expect("an owner");
+    let owner = session
+        .owner_of("00000000000000b1")
+        .expect("the job's partition should have an owner");
     session.kill_entry(owner, 20_000);
     session.run_until_ended(job, TAKEOVER_MS);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
@@ -70,15 +74,17 @@
 }
 
 #[test]
-fn an_end_that_no_owner_recorded_is_taken_over_and_not_done_again() {
+fn the_next_owner_takes_over_an_unrecorded_end_without_a_second_run() {
     let mut session = Session::new(2, 2);
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
     session.run(1_500);
     let job = session.store("00000000000000b1", 2, 300);
     session.run(100);
-    let owner = session.owner_of("00000000000000b1").expect("an owner");
-    // The log takes nothing of the owner any more, and then it dies.
+    let owner = session
+        .owner_of("00000000000000b1")
+        .expect("the job's partition should have an owner");
+    // The log drops all calls of the owner, which is killed after that.
     session.log_outcome = Box::new(move |_, entry| {
         if entry == owner {
             LogCallOutcome::Dropped
@@ -91,7 +97,7 @@
     session.run_until_ended(job, TAKEOVER_MS);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
     let starts: usize = session.starts.values().sum();
-    assert_eq!(starts, 1 + 2, "no task of the job was started anew");
+    assert_eq!(starts, 1 + 2, "no task of the job started again");
     check(&mut session);
 }
 
@@ -99,14 +105,14 @@
     short = { 600 },
     longer_than_its_lease = { 6_000 },
 )]
-fn an_owner_that_the_log_turns_away_or_that_stood_still_is_followed(for_ms: u64) {
-    for is_frozen in [false, true] {
+fn other_entries_take_over_from_an_owner_that_is_refused_or_suspended(for_ms: u64) {
+    for is_suspended in [false, true] {
         let mut session = Session::new(3, 3);
         let jobs: Vec<usize> = (0..8)
             .map(|n| session.store(&format!("00000000000002{n:02x}"), 3, 900))
             .collect();
         session.run(700);
-        if is_frozen {
+        if is_suspended {
             session.suspend_entry(0, for_ms);
         } else {
             session.log_outcome = Box::new(|_, entry| match entry {
@@ -125,7 +131,7 @@
 }
 
 #[test]
-fn all_partitions_are_dealt_anew_while_jobs_run() {
+fn all_partitions_are_reassigned_while_jobs_run() {
     let mut session = Session::new(3, 3);
     let jobs: Vec<usize> = (0..9)
         .map(|n| session.store(&format!("00000000000003{n:02x}"), 2, 700))
@@ -164,11 +170,11 @@
 
 #[parameterized(
     lost_answers = { LogCallOutcome::AnswerLost },
-    late_appends = { LogCallOutcome::Delayed(1_200) },
+    delayed_appends = { LogCallOutcome::Delayed(1_200) },
     refusals = { LogCallOutcome::Refused },
-    silence = { LogCallOutcome::Dropped },
+    dropped_calls = { LogCallOutcome::Dropped },
 )]
-fn jobs_outlive_a_log_that_fails(outcome: LogCallOutcome) {
+fn jobs_end_after_a_failure_of_the_log(outcome: LogCallOutcome) {
     let mut session = Session::new(2, 3);
     let early: Vec<usize> = (0..6)
         .map(|n| session.store(&format!("00000000000005{n:02x}"), 2, 500))
@@ -193,7 +199,7 @@
 }
 
 #[test]
-fn an_agent_that_starts_anew_acknowledges_no_end_that_is_not_recorded() {
+fn a_restarted_agent_acknowledges_no_unrecorded_end() {
     let mut session = Session::new(2, 2);
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
@@ -212,12 +218,12 @@
 }
 
 #[test]
-fn ends_that_the_minion_does_not_list_are_not_taken_for_lost() {
+fn ends_that_the_minion_does_not_list_are_not_treated_as_lost() {
     let mut session = Session::new(1, 1);
     let warm = session.store("0000000000000001", 1, 10);
     session.run_until_ended(warm, 5_000);
     session.run(1_500);
-    // Some ends stay unrecorded, and callers of other jobs come all the while.
+    // Some ends stay unrecorded, while callers submit other jobs all the time.
     session.store("00000000000000b1", 4, 100);
     session.run(60);
     session.log_outcome = Box::new(|_, _| LogCallOutcome::Dropped);
@@ -247,7 +253,7 @@
     session.run(1_500);
     let job = session.store("00000000000000b1", 6, 600);
     session.run(150);
-    // No call to the first minion is answered any more, and none carried out.
+    // From now on no call to the first minion is answered or carried out.
     session.call_delay = Box::new(|_, agent| (agent == 0).then_some(u64::MAX / 2));
     session.run_until_ended(job, 3_000);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Completed));
@@ -261,7 +267,9 @@
     session.cancel_stored(job);
     session.run(200);
     assert!(session.stored[job].is_cancelled);
-    let owner = session.owner_of("00000000000000b1").expect("an owner");
+    let owner = session
+        .owner_of("00000000000000b1")
+        .expect("the job's partition should have an owner");
     session.kill_entry(owner, 20_000);
     session.run_until_ended(job, TAKEOVER_MS);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Cancelled));
@@ -287,7 +295,7 @@
     session.run_until_ended(job, 2_000);
     assert_eq!(session.stored[job].end, Some(StoredEnd::Failed));
     let starts: usize = session.starts.values().sum();
-    // The queue allows three.
+    // The queue allows three attempts.
     assert_eq!(starts, 1 + 3);
     check(&mut session);
 }
