--- a/crates/dispatch/src/agent/call_loss.rs
+++ b/crates/dispatch/src/agent/call_loss.rs
@@ -6,10 +6,10 @@
 
 /// Weight of the last call: loss is detected soon, and no single call decides.
 const LAST_CALL_WEIGHT: f64 = 1.0 / 16.0;
-/// Fraction of unanswered calls up to which one call is enough. A single unanswered
-/// call exceeds it, for 18 calls.
+/// Fraction of unanswered calls up to which one call is enough. After a single
+/// unanswered call, the fraction exceeds it for 18 calls.
 const NEGLIGIBLE_FRACTION: f64 = 0.02;
-/// Fraction of calls of which all hedged calls may stay unanswered.
+/// Accepted fraction of calls that get no answer to any of their hedged calls.
 const ACCEPTED_FRACTION: f64 = 0.03;
 /// Maximum number of hedged calls: an agent has a small fraction of a core.
 const MAX_HEDGED_CALLS: u32 = 4;
--- a/crates/dispatch/src/agent/incarnations.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -197,9 +197,9 @@
         };
         // With the same id, the served incarnation may answer, and it refuses to list
         // for an epoch below the highest that it has seen.
-        let asked = &candidate.report.incarnation;
+        let expected = &candidate.report.incarnation;
         let served = self.minion.as_ref();
-        let served = served.filter(|minion| minion.report.incarnation.id() == asked.id());
+        let served = served.filter(|minion| minion.report.incarnation.id() == expected.id());
         let epoch = served.map_or(0, |minion| minion.epoch);
         self.next_call += 1;
         candidate.call = call;
@@ -256,11 +256,12 @@
         let Some(candidate) = &self.candidate else {
             return false;
         };
-        let asked = &candidate.report.incarnation;
+        let expected = &candidate.report.incarnation;
         let served = self.minion.as_ref();
-        let is_same_id = served.is_some_and(|minion| minion.report.incarnation.id() == asked.id());
-        match (asked.started_unix_ms(), listing.started_unix_ms) {
-            (Some(asked_ms), Some(listed_ms)) => asked_ms == listed_ms,
+        let is_same_id =
+            served.is_some_and(|minion| minion.report.incarnation.id() == expected.id());
+        match (expected.started_unix_ms(), listing.started_unix_ms) {
+            (Some(expected_ms), Some(listed_ms)) => expected_ms == listed_ms,
             // Without start times, the clock shows whether the served incarnation has
             // answered: its clock never goes backwards.
             _ => !is_same_id || served.is_some_and(|minion| listing.clock_ms < minion.clock_ms),
--- a/crates/dispatch/src/agent/links.rs
+++ b/crates/dispatch/src/agent/links.rs
@@ -1,5 +1,5 @@
 //! The connections of an agent to entries: greeting, frames, reports, and what happens
-//! to the runs of a connection that is gone.
+//! to the runs of a closed connection.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
         self.links.values().filter(|link| link.is_greeted).count()
     }
 
-    /// Handles a connection to an entry that was opened.
+    /// Handles a newly opened connection to an entry.
     pub fn link_up(&mut self, now_ms: u64, link: LinkId, addr: SocketAddr) {
         let state = Link {
             addr,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Stops all runs of a link that is gone.
+    /// Stops all runs of a closed link.
     fn abandon_runs(&mut self, now_ms: u64, link: LinkId, cause: &'static str) {
         self.offers.forget(link);
         self.reclaim_ends_of_link(now_ms, link);
@@ -180,7 +180,8 @@
     }
 
     /// Greets the entries that are not greeted yet, once no run of a closed link is
-    /// left.
+    /// left: to an entry, a greeting means that nothing that it ordered earlier is left
+    /// on the minion.
     pub(crate) fn greet_links(&mut self, now_ms: u64) {
         let Some(minion) = self
             .minion
--- a/crates/dispatch/src/agent/listings.rs
+++ b/crates/dispatch/src/agent/listings.rs
@@ -1,5 +1,5 @@
-//! How an agent applies a listing of its minion: it compares what is listed with the
-//! runs that it has on record.
+//! How an agent applies a listing of its minion: it compares the listed runs
+//! with those in its run table.
 
 use crate::ActiveRun;
 use crate::Agent;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Takes over the ends in a listing that were not listed before, and reports them.
+    /// Processes the ends in a listing that were not listed before, and reports them.
     pub(crate) fn apply_ends(&mut self, now_ms: u64, listing: &Listing) {
         let mut unowned = Vec::new();
         for ended in &listing.ended {
@@ -163,7 +163,7 @@
             match (&retained, linked) {
                 (Some(end), Some((link, _))) => minion.retained_ends.report_sent(link, end.clone()),
                 (Some(end), None) => {
-                    // The run was started for an entry whose link is gone, or by an
+                    // The run was started for an entry whose link is closed, or by an
                     // earlier agent.
                     minion.retained_ends.mark_unowned(now_ms, end.clone());
                     unowned.push(end.clone());
@@ -280,7 +280,9 @@
     }
 }
 
-/// Whether a run that is not listed is gone for good.
+/// Whether a run that is missing from a listing requested at `sent_ms` is over. It is
+/// if the minion was known to run it before the request, or had acknowledged its stop.
+/// A start that is pending may still be carried out.
 fn is_gone_for_good(phase: Phase, confirmed_ms: u64, sent_ms: u64) -> bool {
     match phase {
         Phase::Checking | Phase::Starting => false,
--- a/crates/dispatch/src/agent/mod.rs
+++ b/crates/dispatch/src/agent/mod.rs
@@ -84,7 +84,7 @@
         /// The agent's epoch.
         epoch: u64,
     },
-    /// Stop a run, or forbid a start of it that is still under way; the result goes to
+    /// Stop a run, or forbid a start of it that is still pending; the result goes to
     /// [`Agent::stop_answered`].
     Stop {
         /// The minion's incarnation.
--- a/crates/dispatch/src/agent/run_table.rs
+++ b/crates/dispatch/src/agent/run_table.rs
@@ -1,4 +1,4 @@
-//! The runs that an agent has on record.
+//! Table of the runs that an agent has admitted and that have not ended.
 
 use std::collections::BTreeMap;
 
@@ -145,8 +145,8 @@
     }
 
     /// Records that the connection of a start broke after the call was sent. If that
-    /// took long, the minion may have been suspended all the while and not have read
-    /// the call.
+    /// took long, the minion may have been suspended for all that time and not have
+    /// read the call.
     pub(crate) fn start_connection_broke(&mut self, now_ms: u64) {
         if now_ms <= self.sent_ms + READ_AT_ONCE_MS {
             self.connection_broke_ms = Some(now_ms);
@@ -155,8 +155,8 @@
         }
     }
 
-    /// What a crash of the minion tells about the task: nothing if the minion may have
-    /// been gone before it got the start.
+    /// Evidence that a crash of the minion gives against the task: none if the run was
+    /// stopped before, or if the minion may have ended before it got the start.
     pub(crate) fn crash_evidence(&self) -> Option<CrashEvidence> {
         let is_stopped = matches!(
             self.phase,
--- a/crates/dispatch/src/agent/stalls.rs
+++ b/crates/dispatch/src/agent/stalls.rs
@@ -24,8 +24,8 @@
 const MIN_STALLED_JOBS: usize = 2;
 
 impl Agent {
-    /// Trips the breaker and stops all runs if every run on the minion is stalled.
-    /// Called after a fresh listing.
+    /// Trips the breaker and stops the active runs if all of them are stalled and they
+    /// belong to enough jobs. Called after a fresh listing.
     pub(crate) fn detect_stalls(&mut self, now_ms: u64) {
         let running = self.runs.iter().filter(|run| run.phase == Phase::Running);
         let running: Vec<&Run> = running.collect();
--- a/crates/dispatch/src/agent/starts.rs
+++ b/crates/dispatch/src/agent/starts.rs
@@ -200,7 +200,7 @@
         let due = self.runs.iter().filter(is_due);
         let due: Vec<(LinkId, OrderId)> = due.map(|run| (run.link, run.order)).collect();
         if self.is_evacuated() || !self.runs_fit() {
-            // The unanswered start may still be carried out.
+            // The unanswered start may still be carried out, so the run is forbidden.
             for (link, order) in due {
                 self.stop_run(now_ms, link, order);
             }
--- a/crates/dispatch/src/agent/trial.rs
+++ b/crates/dispatch/src/agent/trial.rs
@@ -13,8 +13,8 @@
 use crate::agent::breaker::BreakerState;
 use crate::agent::links::Link;
 
-/// Time for which an entry may send the start, in milliseconds: its answer to a frame
-/// takes a few.
+/// Time for which an entry may send the start, in milliseconds. An entry answers a frame
+/// within a few milliseconds.
 const TURN_MS: u64 = 100;
 
 /// The entry that may send the half-open trial.
--- a/crates/dispatch/src/dispatcher/ends.rs
+++ b/crates/dispatch/src/dispatcher/ends.rs
@@ -28,8 +28,7 @@
 /// Cost of a move, in milliseconds.
 const MOVE_COST_MS: f64 = 30.0;
 /// Largest number of times that a task is moved because its host is slow. A
-/// task that is slow again may just have more work than anything known of it
-/// shows.
+/// task that is slow again may have more work than its estimate says.
 const MAX_MOVES: u32 = 1;
 /// Speed below which a minion is slow, so that its runs may be moved; 1 is the
 /// ordinary speed.
--- a/crates/dispatch/src/dispatcher/fleet.rs
+++ b/crates/dispatch/src/dispatcher/fleet.rs
@@ -257,8 +257,8 @@
 }
 
 impl Hosts {
-    /// Records the greeting of an agent; the record of a host starts afresh if
-    /// its minion is of another kind.
+    /// Records the greeting of an agent; the record of a host is reset if its
+    /// minion is of another kind.
     pub(crate) fn record_greeting(&mut self, hello: &AgentHello) {
         let record = self.record(&hello.host);
         if record.labels != hello.labels {
--- a/crates/dispatch/src/dispatcher/jobs.rs
+++ b/crates/dispatch/src/dispatcher/jobs.rs
@@ -19,7 +19,7 @@
 use crate::stored::RUNS_PER_EPOCH;
 
 /// Time that messages between caller, entry and minion take, in milliseconds.
-/// It is subtracted from the objective.
+/// It is subtracted from the objective, since tasks cannot use this part of it.
 const TRANSIT_MS: f64 = 10.0;
 /// A job is of no use after this many times its objective.
 const GIVE_UP_FACTOR: f64 = 3.0;
@@ -28,14 +28,15 @@
 /// host on a small site.
 const MAX_AVOIDED_HOSTS: usize = 3;
 
-/// Crash weight at which a task is given up, since each crash takes a minion
-/// away for seconds with all that ran there. It is reached by two crashes with
+/// Crash weight at which a task is given up, since each crash ends all runs on
+/// a minion and makes it unavailable for seconds. It is reached by two crashes with
 /// strong evidence, or by four crashes at most. Weak evidence beside one strong
-/// crash is not enough: a healthy task may meet a crash of another cause.
+/// crash is not enough: a minion may crash for another cause under a healthy
+/// task.
 const MAX_CRASH_WEIGHT: u32 = 4;
-/// Crash weight at which a stored task is given up. Over its longer time it may
-/// meet more crashes of another cause, so it takes three crashes, and five at
-/// most.
+/// Crash weight at which a stored task is given up. It may exist for longer, so
+/// that more minions may crash for other causes under it. It is reached by three
+/// crashes, or by five at most.
 const MAX_STORED_CRASH_WEIGHT: u32 = 5;
 
 /// Phase of a task.
@@ -47,8 +48,8 @@
     Waiting,
     /// It is ordered, and its run has not ended.
     Ordered(OrderId),
-    /// The connection to its agent broke, and its run may go on until
-    /// `until_ms`.
+    /// Its run may go on until `until_ms`, because the connection to its agent
+    /// broke, or may still be started until then by a delayed call.
     Orphaned {
         /// Time from which no run of the task is left, whatever happened, in
         /// milliseconds.
--- a/crates/dispatch/src/dispatcher/overload.rs
+++ b/crates/dispatch/src/dispatcher/overload.rs
@@ -1,5 +1,6 @@
-//! Jobs that have expired are answered at once. Jobs of which nothing has run
-//! are refused when the policy finds that they cannot meet their objective.
+//! Jobs that have expired, because they are of no use any more, are answered at
+//! once. Jobs of which nothing has run are refused when the policy finds that
+//! they cannot meet their objective.
 
 use std::collections::BTreeMap;
 
--- a/crates/dispatch/src/dispatcher/stored_runs.rs
+++ b/crates/dispatch/src/dispatcher/stored_runs.rs
@@ -125,7 +125,7 @@
         self.stored_events.extend(events);
     }
 
-    /// Applies the retained end of a run that this entry lost track of, or that
+    /// Applies the retained end of a run whose end this entry missed, or that
     /// an earlier owner started. Returns `false` if the end does not count, for
     /// instance because the task was started again since.
     pub(crate) fn apply_retained_end(
--- a/crates/dispatch/src/dispatcher/views.rs
+++ b/crates/dispatch/src/dispatcher/views.rs
@@ -44,7 +44,7 @@
             }
         }
         // After a suspension, the entry has received no frames from its agents
-        // for that time, and would wrongly count their capacity as gone.
+        // for that time, and would wrongly count their capacity as lost.
         let is_view_current = now_ms >= self.starts_resume_at_ms && capacity_milli > 0.0;
         ServiceView {
             capacity_milli,
--- a/crates/dispatch/src/policy/backlog.rs
+++ b/crates/dispatch/src/policy/backlog.rs
@@ -1,4 +1,4 @@
-//! Limit of the backlog, adapted to what becomes of the jobs in it.
+//! Limit of the backlog, which is lowered when admitted jobs have to be shed.
 //!
 //! A burst of a few seconds can be absorbed by a backlog. In an overload that
 //! lasts, a backlog only makes every job wait before some are refused all the
@@ -24,8 +24,8 @@
 
 /// Fraction of the jobs' slack that the backlog may take.
 ///
-/// As it adapts, instead of being fixed, refused callers are answered early,
-/// and large jobs are not starved by small ones.
+/// Because the fraction adapts instead of being fixed, refused callers are
+/// answered early, and small jobs do not starve large ones.
 #[derive(Debug)]
 pub(super) struct BacklogFraction {
     fraction: f64,
--- a/crates/node/src/store_client.rs
+++ b/crates/node/src/store_client.rs
@@ -24,7 +24,7 @@
 /// then.
 const READ_WAIT_MS: u64 = 1_500;
 /// Pause after the first failed call, in milliseconds. It doubles with each further
-/// failure.
+/// failure, except while the client reads changes.
 const FIRST_PAUSE_MS: u64 = 100;
 /// Longest pause after a failed call, in milliseconds.
 const MAX_PAUSE_MS: u64 = 800;
--- a/crates/node/tests/entry.rs
+++ b/crates/node/tests/entry.rs
@@ -263,7 +263,7 @@
         write_frame(&mut peer, &PeerFrame::default()).await;
         assert!(decode::<PeerAck>(&read_frame(&mut peer).await).is_ok());
         // Keepalive frames come every 100 ms, regular checks of the set of entries
-        // every 500 ms: two frames are too few for a regular check.
+        // every 500 ms: two frames arrive before the next regular check.
         let mut sent = Vec::new();
         for _ in 0..2 {
             let frame = decode::<EntryFrame>(&read_frame(&mut agent).await).expect("a frame");
