--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -68,7 +68,8 @@
     /// The entry knows no minion of the service.
     #[error("no minion of the service is known")]
     NoMinion,
-    /// The job would miss its objective because of the load.
+    /// The job would end too late to be of use: too much work waits before it, or no minion
+    /// has the capacity for one of its tasks at present.
     #[error("the queue is so long that this job would miss its objective")]
     Overloaded,
     /// A task of the job needs more resources than any minion has.
@@ -114,7 +115,8 @@
 pub enum JobOutcome {
     /// All tasks are done.
     Completed,
-    /// A task failed in as many runs as its queue allows.
+    /// A task failed in as many runs as its queue allows, or minions crashed under it too
+    /// often.
     Failed,
     /// Some tasks ran or may have run, and the rest can't end in time.
     TooLate,
--- a/crates/dispatch/src/ledger/calls.rs
+++ b/crates/dispatch/src/ledger/calls.rs
@@ -108,14 +108,14 @@
     /// that have waited for too long.
     pub(crate) fn answer_confirmed_calls(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
         for call in std::mem::take(&mut self.unconfirmed_calls) {
-            let is_over = now_ms >= call.called_ms + CONFIRMATION_TIMEOUT_MS;
+            let has_timed_out = now_ms >= call.called_ms + CONFIRMATION_TIMEOUT_MS;
             let answer = if !self.is_unconfirmed(call.called_ms, &call.job) {
                 if call.is_cancel {
                     self.cancel(now_ms, call.caller, &call.job, dispatcher)
                 } else {
                     self.state_or_wait(now_ms, call.caller, &call.job, dispatcher)
                 }
-            } else if is_over {
+            } else if has_timed_out {
                 Some(StoredAnswer::NotOwner)
             } else {
                 self.unconfirmed_calls.push(call);
@@ -198,8 +198,8 @@
         Some(answer)
     }
 
-    /// Answers the callers that wait for the end of a job, once the job has ended, its
-    /// partition has another owner, or the caller has waited for [`MAX_STATE_WAIT_MS`].
+    /// Answers the callers that wait for the end of a job, once the job has ended, this entry
+    /// no longer serves its partition, or the caller has waited for [`MAX_STATE_WAIT_MS`].
     pub(crate) fn answer_watchers(&mut self, now_ms: u64, dispatcher: &Dispatcher) {
         for watcher in std::mem::take(&mut self.watchers) {
             let answer = self.state(&watcher.job, dispatcher);
--- a/crates/dispatch/src/ledger/mod.rs
+++ b/crates/dispatch/src/ledger/mod.rs
@@ -219,8 +219,8 @@
         let Some(assignment) = assignment else {
             return;
         };
-        // If there was more than one change, a partition may have had another owner in
-        // between.
+        // A partition can have gone to another entry and come back only if the generation
+        // rose by more than one.
         let has_gap = assignment.generation > self.generation + 1;
         if assignment.generation != self.generation {
             self.join_soon(now_ms);
@@ -252,7 +252,8 @@
             Some((last, next)) if *last == epoch => *next,
             _ => 0,
         };
-        // The store last listed the former owner before it answered this join.
+        // The store last listed the partition as the former owner's before it answered this
+        // join, so that owner's lease ends within `OWNER_LEASE_MS` from now.
         let former_runs_gone_at_ms = now_ms + OWNER_LEASE_MS + RUNS_GONE_AFTER_MS;
         let mut owned = OwnedPartition::claim(epoch, sent_ms, former_runs_gone_at_ms, first_number);
         owned.append_pause_ms = self.settings.append_pause_ms();
@@ -281,8 +282,8 @@
         }
     }
 
-    /// Gives a partition up at once. Its runs are stopped, and it is unknown whether the
-    /// changes that were not confirmed are in the log.
+    /// Gives a partition up at once. Its runs are stopped, because none may go on at an entry
+    /// that isn't the owner. It is unknown whether the unconfirmed changes are in the log.
     pub(crate) fn give_up(
         &mut self,
         partition: Partition,
--- a/crates/dispatch/src/ledger/partition.rs
+++ b/crates/dispatch/src/ledger/partition.rs
@@ -50,8 +50,8 @@
     /// The owner answers calls and runs jobs.
     Serving,
     /// Jobs run on while an append finds out whether another entry has owned the partition in
-    /// between and accepted jobs. Calls get [`StoredAnswer::NotOwner`](crate::StoredAnswer::NotOwner)
-    /// in the meantime.
+    /// between and accepted jobs. Calls about jobs meanwhile get
+    /// [`StoredAnswer::NotOwner`](crate::StoredAnswer::NotOwner).
     Verifying,
     /// The partition goes to another owner: jobs are still accepted, but nothing starts.
     Releasing {
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -321,15 +321,17 @@
 /// Why a run never started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotStartedReason {
-    /// The agent has too few free resources, already runs the task, may not extend the
-    /// minion's lease, or runs a suspect task of another job.
+    /// The agent or its minion has too few free resources, or the agent already runs the task,
+    /// can't extend the minion's lease, or runs a suspect task of another job.
     Full,
-    /// The minion or the agent is leaving.
+    /// The agent accepts no starts on this link at present, for example because the minion or
+    /// the agent is leaving, or the minion has seen a higher epoch than the agent's.
     Closing,
     /// The minion refused the run because it is unhealthy.
     Unhealthy,
-    /// The start is unanswered; the agent has made sure that the minion doesn't carry it out
-    /// later.
+    /// The start is unanswered, and the agent has made sure that the minion doesn't carry it
+    /// out later; or the minion did not answer the listing before the start of a suspect task,
+    /// and the start was never sent.
     NoAnswer,
     /// The minion has already seen this run or a later one of the task.
     OldRun,
--- a/crates/dispatch/src/resources.rs
+++ b/crates/dispatch/src/resources.rs
@@ -16,7 +16,7 @@
     pub accelerators: u32,
 }
 
-// Log lines print the type as `Room`, which tools may match.
+// Log lines keep the former name of the type, `Room`, so that their format stays the same.
 impl fmt::Debug for Resources {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Room")
--- a/crates/dispatch/src/stored.rs
+++ b/crates/dispatch/src/stored.rs
@@ -166,7 +166,8 @@
 pub enum StoredEnd {
     /// All tasks are done.
     Completed,
-    /// A task failed in as many runs as its queue allows.
+    /// A task failed in as many runs as its queue allows, or minions crashed under it too
+    /// often.
     Failed,
     /// The job was cancelled.
     Cancelled,
@@ -207,7 +208,8 @@
         /// Crash and its task.
         crash: Crash,
     },
-    /// The agent at this link has a retained end that waits for a decision of its owner.
+    /// The agent at this link offers a retained end, on which the owner of the job has to
+    /// decide.
     EndRetained(LinkId, RetainedEnd),
     /// A job ended: all its tasks are done, or one failed for good.
     JobEnded(Name, StoredEnd),
