--- a/crates/dispatch/tests/at_most_once.rs
+++ b/crates/dispatch/tests/at_most_once.rs
@@ -133,7 +133,7 @@
 #[test]
 fn an_unanswered_start_is_forbidden_before_its_task_starts_elsewhere() {
     let mut session = Session::new(1, 3);
-    // Every call to the first minion is unanswered and carried out seconds later.
+    // For 0.8 s every call to the first minion is unanswered and carried out 2.5 s later.
     session.call_delay =
         Box::new(|now_ms, agent| (agent == 0 && (1_800..2_600).contains(&now_ms)).then_some(2_500));
     let job = session.submit(0, "a", 18, 500);
@@ -302,14 +302,14 @@
 }
 
 /// Returns the fraction of 60 jobs of 8 tasks that complete within their objective of
-/// 1.6 times 60 ms plus 60 ms, while the fraction `loss` of the calls to minions is
-/// unanswered and carried out seconds later.
-fn fraction_in_time(loss: f64) -> f64 {
+/// 1.6 times 60 ms plus 60 ms, while the fraction `delayed_fraction` of the
+/// calls to minions is unanswered and carried out seconds later.
+fn fraction_in_time(delayed_fraction: f64) -> f64 {
     const JOBS: usize = 60;
     let mut session = Session::new(1, 4);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     session.call_delay = Box::new(move |_, _| {
-        let is_delayed = rng.random::<f64>() < loss;
+        let is_delayed = rng.random::<f64>() < delayed_fraction;
         is_delayed.then(|| rng.random_range(2_000..12_000))
     });
     let jobs: Vec<usize> = (0..JOBS)
@@ -335,8 +335,11 @@
     few = { 0.06, 0.9 },
     half = { 0.5, 0.4 },
 )]
-fn few_jobs_miss_their_objective_because_of_unanswered_calls(loss: f64, min_fraction: f64) {
-    let fraction = fraction_in_time(loss);
+fn few_jobs_miss_their_objective_because_of_unanswered_calls(
+    delayed_fraction: f64,
+    min_fraction: f64,
+) {
+    let fraction = fraction_in_time(delayed_fraction);
     assert!(fraction >= min_fraction, "{fraction} of the jobs in time");
 }
 
--- a/crates/dispatch/tests/crashing.rs
+++ b/crates/dispatch/tests/crashing.rs
@@ -54,7 +54,7 @@
 }
 
 /// Guards against failing good jobs: their tasks lose their minion because of a crashing
-/// task beside them, and must not be treated as its cause.
+/// task beside them, and must not be treated as the cause of the crash themselves.
 #[test]
 fn tasks_beside_a_crashing_one_are_done_elsewhere() {
     let mut session = session(8, false);
@@ -73,8 +73,8 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// A rack of four of the twelve minions crashes at once, twice within seconds, while many
-/// tasks run.
+/// Four of the twelve minions crash at once, as in a rack that fails, twice within seconds
+/// while many tasks run.
 #[test]
 fn a_rack_that_crashes_fails_no_job() {
     let mut session = session(12, false);
@@ -258,8 +258,8 @@
 }
 
 /// Guards against failing jobs without cause: minions read nothing for a while and then
-/// crash, one after the other. A start that is sent meanwhile gets no answer but a broken
-/// connection.
+/// crash, one after the other. Starts and listing calls that are sent meanwhile get no
+/// answer but a broken connection.
 #[test]
 fn minions_that_are_unresponsive_before_they_crash_fail_no_job_without_cause() {
     let mut session = session(11, false);
@@ -392,6 +392,7 @@
 }
 
 /// All agents are killed at the first crash, so that nobody observes how the run ended.
+/// The crashes after it are observed.
 #[test]
 fn a_crash_together_with_its_agent_counts_beside_an_observed_one() {
     let (mut session, job) = crashing_stored(true);
--- a/crates/dispatch/tests/driver/mod.rs
+++ b/crates/dispatch/tests/driver/mod.rs
@@ -55,8 +55,8 @@
 }
 
 impl Driver {
-    /// Creates an agent that has greeted one entry, after an unanswered call for a
-    /// listing.
+    /// Creates an agent that has greeted one entry. One of its recent listing calls, the
+    /// first, was unanswered.
     pub fn new() -> Self {
         let identity = AgentIdentity {
             node: NodeId(1),
--- a/crates/dispatch/tests/interleavings.rs
+++ b/crates/dispatch/tests/interleavings.rs
@@ -51,7 +51,8 @@
     SameIdsWithoutDelayedCalls,
 }
 
-/// Makes minions report their start times, if they restart with the same ids.
+/// Makes minions report their start times if they restart with the same ids, and sets
+/// whether delayed calls are dropped with the incarnation that they were sent to.
 fn prepare(session: &mut Session, restarts: Restarts) {
     session.drops_calls_of_ended_incarnations = restarts == Restarts::SameIdsWithoutDelayedCalls;
     if restarts != Restarts::NewIds {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Restarts a random minion with the same id in one of twelve calls. `rng` is separate
+/// Restarts a random minion with the same id, with probability 1/12. `rng` is separate
 /// from the session's main generator, so that a seed injects the same other faults with
 /// and without restarts.
 fn restart_some_minion(session: &mut Session, rng: &mut ChaCha8Rng, restarts: Restarts) {
--- a/crates/dispatch/tests/session/crashes.rs
+++ b/crates/dispatch/tests/session/crashes.rs
@@ -115,8 +115,8 @@
         self.pending_crashes.unresponsive.push((agent, at_ms));
     }
 
-    /// Keeps a call to an unresponsive minion as unread; returns false if the minion
-    /// reads calls.
+    /// Keeps a start or listing call to an unresponsive minion as unread, and drops a
+    /// stop; returns false if the minion reads calls.
     pub(super) fn queue_if_unresponsive(&mut self, agent: usize, action: &AgentAction) -> bool {
         if !self.is_unresponsive(agent) {
             return false;
--- a/crates/dispatch/tests/session/log.rs
+++ b/crates/dispatch/tests/session/log.rs
@@ -41,7 +41,8 @@
     pub records: Vec<LogRecord>,
 }
 
-/// Newest record by key, epoch, next append number and end offset of a partition.
+/// State of a partition: the newest record of each key, the current epoch, the number of
+/// the next append, and the end offset.
 #[derive(Debug, Default)]
 struct FakePartition {
     newest: BTreeMap<Name, Vec<u8>>,
@@ -58,6 +59,7 @@
     delayed: Vec<(u64, Append)>,
     /// Number of calls to join the group.
     pub joins: usize,
+    /// Number of appends that reached the log, accepted or not.
     pub appends: usize,
 }
 
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -91,8 +91,7 @@
 const RESEND_DELAY_MS: u64 = 1_300;
 /// Delay after which a delayed stop is carried out, in milliseconds.
 const STOP_DELAY_MS: u64 = 9_000;
-/// Delay of a call that is never carried out, in milliseconds: it is longer than
-/// any session.
+/// Delay of a call that is meant never to be carried out, in milliseconds.
 const ENDLESS_DELAY_MS: u64 = 1_000_000;
 /// Interval between an agent's attempts to connect to an entry, in milliseconds.
 const DIAL_INTERVAL_MS: u64 = 25;
@@ -284,7 +283,8 @@
     /// other calls are answered.
     pub delays_stops: bool,
     pub callers: Vec<CallerState>,
-    /// Number of tasks that were started, by minion id.
+    /// Number of start calls that minions accepted, by minion id. A repeated call for
+    /// a run that is already active counts again.
     pub starts: BTreeMap<String, usize>,
     pub violations: Violations,
     /// Time of the last attempt of an agent to connect to an entry, by agent and
@@ -334,7 +334,7 @@
     /// Number of the last crash that an entry sent to another entry.
     sent_crashes: BTreeMap<(usize, usize), u64>,
     /// For each agent, its start number and the id of its minion at the last
-    /// report.
+    /// periodic report.
     reported: BTreeMap<usize, (u64, String)>,
     /// Positions of callers refused since the last call of
     /// `refused_despite_free_resources`.
@@ -698,7 +698,7 @@
         process.due_ms = self.now_ms;
     }
 
-    /// Returns the number of tasks that were started on a minion.
+    /// Returns the number of start calls that a minion accepted.
     pub fn starts_on(&self, instance: &str) -> usize {
         self.starts.get(instance).copied().unwrap_or(0)
     }
@@ -784,8 +784,8 @@
         }
     }
 
-    /// Whether the agent has had a report of its minion's current incarnation since
-    /// its own last start.
+    /// Whether a report with the current id of the minion was sent to the agent since
+    /// the agent's last start.
     fn is_reported(&self, agent: usize) -> bool {
         let (start_number, instance) = (
             self.agents[agent].start_number,
