--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -14,45 +14,45 @@
 use session::TASK_RESOURCES;
 use yare::parameterized;
 
-const NO_ROOM: Resources = Resources {
+const NO_CAPACITY: Resources = Resources {
     cpu_milli: 0,
     memory_mb: 0,
     accelerators: 0,
 };
 /// Room for two of a driver's tasks.
-const HALF: Resources = Resources {
+const HALF_CAPACITY: Resources = Resources {
     cpu_milli: 2_000,
     memory_mb: 1_024,
     accelerators: 0,
 };
 /// Time within which a caller hears of a refusal, in milliseconds.
-const AT_ONCE_MS: u64 = 5;
+const ANSWERED_WITHIN_MS: u64 = 5;
 
 #[test]
-fn nothing_is_started_that_does_not_fit_the_smaller_room() {
+fn no_task_starts_beyond_a_reduced_capacity() {
     let mut driver = Driver::new();
     driver.starts(&["a", "b"]);
-    driver.report_capacity(HALF, 2);
+    driver.report_capacity(HALF_CAPACITY, 2);
     assert_eq!(driver.start_of(3, "c"), 0, "it is full now");
-    driver.report_capacity(NO_ROOM, 3);
+    driver.report_capacity(NO_CAPACITY, 3);
     driver.report_capacity(driver::CAPACITY, 4);
     assert!(driver.start_of(4, "d") > 0, "it has grown again");
 }
 
 #[test]
-fn an_older_report_does_not_bring_the_room_back() {
+fn an_older_report_does_not_restore_the_capacity() {
     let mut driver = Driver::new();
-    driver.report_capacity(NO_ROOM, 7);
+    driver.report_capacity(NO_CAPACITY, 7);
     driver.report_capacity(driver::CAPACITY, 6);
     assert_eq!(driver.start(), 0);
 }
 
 /// A start that got no answer is sent again only while all runs fit.
 #[test]
-fn a_start_is_not_repeated_into_a_room_that_has_shrunk() {
+fn an_unanswered_start_is_not_retried_beyond_a_reduced_capacity() {
     let mut driver = Driver::new();
     driver.start();
-    driver.report_capacity(NO_ROOM, 2);
+    driver.report_capacity(NO_CAPACITY, 2);
     driver.answer(StartResult::NoAnswer);
     driver.answer(StartResult::NoAnswer);
     let mut actions = Vec::new();
@@ -65,20 +65,20 @@
     assert!(actions.iter().any(is_stop), "it may be carried out later");
 }
 
-fn resize_all(session: &mut Session, room: Resources) {
+fn resize_all(session: &mut Session, capacity: Resources) {
     for agent in 0..session.minions.len() {
-        session.resize_minion(agent, room);
+        session.resize_minion(agent, capacity);
     }
 }
 
 #[test]
-fn a_job_is_refused_at_once_while_no_minion_has_room_for_it() {
+fn jobs_are_refused_at_once_while_no_minion_has_capacity() {
     let mut session = Session::new(2, 3);
-    resize_all(&mut session, NO_ROOM);
-    session.run(AT_ONCE_MS);
+    resize_all(&mut session, NO_CAPACITY);
+    session.run(ANSWERED_WITHIN_MS);
     for entry in 0..2 {
         let job = session.submit(entry, &format!("job-{entry}"), 4, 100);
-        session.run(AT_ONCE_MS);
+        session.run(ANSWERED_WITHIN_MS);
         let outcome = session.outcome(job);
         let is_refused = matches!(
             outcome,
@@ -87,7 +87,7 @@
         assert!(is_refused, "{outcome:?}");
     }
     resize_all(&mut session, MINION_CAPACITY);
-    session.run(AT_ONCE_MS);
+    session.run(ANSWERED_WITHIN_MS);
     let job = session.submit(0, "after", 27, 100);
     session.run(150);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -97,14 +97,14 @@
 /// What waits for room hears of it as soon as there is none left anywhere, and
 /// what runs is let run.
 #[test]
-fn jobs_that_wait_are_refused_when_the_room_goes() {
+fn waiting_jobs_are_refused_when_all_capacity_is_gone() {
     let mut session = Session::new(1, 2);
     let first = session.submit(0, "first", 20, 200);
     let waiting = session.submit(0, "waiting", 4, 900);
     session.run(20);
     assert_eq!(session.outcome(waiting), None);
-    resize_all(&mut session, NO_ROOM);
-    session.run(AT_ONCE_MS);
+    resize_all(&mut session, NO_CAPACITY);
+    session.run(ANSWERED_WITHIN_MS);
     let outcome = session.outcome(waiting);
     assert!(
         matches!(outcome, Some(JobOutcome::Refused { .. })),
@@ -121,9 +121,9 @@
     to_a_third = { 3 },
     to_nothing = { 0 },
 )]
-fn no_minion_is_brought_over_a_room_that_changes(tasks: u32) {
+fn no_minion_is_overcommitted_while_capacities_change(tasks: u32) {
     let mut session = Session::new(3, 4);
-    let small = Resources {
+    let reduced = Resources {
         cpu_milli: TASK_RESOURCES.cpu_milli * tasks,
         ..MINION_CAPACITY
     };
@@ -133,17 +133,17 @@
             session.submit(number % 3, &id, 6, 90);
         }
         let agent = round % session.minions.len();
-        let room = if round % 3 == 0 {
+        let capacity = if round % 3 == 0 {
             MINION_CAPACITY
         } else {
-            small
+            reduced
         };
-        session.resize_minion(agent, room);
+        session.resize_minion(agent, capacity);
         session.run(40);
     }
     resize_all(&mut session, MINION_CAPACITY);
     session.run(3_000);
     assert!(session.violations.is_empty(), "{:?}", session.violations);
-    let open = session.callers.iter().filter(|c| c.outcome.is_none());
-    assert_eq!(open.count(), 0);
+    let unanswered = session.callers.iter().filter(|c| c.outcome.is_none());
+    assert_eq!(unanswered.count(), 0);
 }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -22,13 +22,13 @@
 const AGENTS: usize = 6;
 /// Time from an entry's word to the last start in a zone: a message to the
 /// agent, and an order that was on its way to the minion.
-const HEARD_MS: u64 = 5;
+const APPLIED_WITHIN_MS: u64 = 5;
 /// Seeds that every run plays.
 const SEEDS: std::ops::Range<u64> = 0..60;
 
 /// Submits a job of three short tasks at each entry, every 20 ms: half of what
 /// two zones get through.
-fn load(session: &mut Session, for_ms: u64) -> Vec<usize> {
+fn submit_load(session: &mut Session, for_ms: u64) -> Vec<usize> {
     let mut callers = Vec::new();
     for _ in 0..for_ms / 20 {
         for entry in 0..ENTRIES {
@@ -40,64 +40,67 @@
     callers
 }
 
-fn count(session: &Session, callers: &[usize], outcome: JobOutcome) -> usize {
+fn count_with_outcome(session: &Session, callers: &[usize], outcome: JobOutcome) -> usize {
     let has_ended = |caller: &&usize| session.outcome(**caller) == Some(outcome);
     callers.iter().filter(has_ended).count()
 }
 
-fn refused(reason: Refusal) -> impl Fn(Option<JobOutcome>) -> bool {
+fn is_refused_for(reason: Refusal) -> impl Fn(Option<JobOutcome>) -> bool {
     move |outcome| matches!(outcome, Some(JobOutcome::Refused { reason: of, .. }) if of == reason)
 }
 
 #[test]
-fn a_zone_gets_nothing_from_the_first_word_on_and_its_room_counts_as_gone() {
+fn an_evacuation_received_by_one_entry_stops_the_starts_of_all_entries() {
     let mut session = Session::new(ENTRIES, AGENTS);
-    load(&mut session, 400);
+    submit_load(&mut session, 400);
     assert!(session.starts_in("hella", 0) > 0);
     // The others have not heard of it yet.
     session.send_evacuations(0, &evacuations(7, &["hella"]));
-    let told_ms = session.now_ms;
-    let callers = load(&mut session, 1_000);
-    assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
+    let evacuated_at_ms = session.now_ms;
+    let callers = submit_load(&mut session, 1_000);
+    assert_eq!(
+        session.starts_in("hella", evacuated_at_ms + APPLIED_WITHIN_MS),
+        0
+    );
     session.run(500);
-    let done = count(&session, &callers, JobOutcome::Completed);
+    let done = count_with_outcome(&session, &callers, JobOutcome::Completed);
     assert_eq!(done, callers.len());
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
 #[test]
-fn what_runs_in_the_zone_ends() {
+fn runs_in_an_evacuated_zone_complete() {
     let mut session = Session::new(ENTRIES, AGENTS);
     let caller = session.submit(0, "long", 30, 800);
     session.run(200);
-    let begun = session.answered_starts.len();
+    let count_before = session.answered_starts.len();
     session.send_evacuations_to_all(&evacuations(7, &["hella"]));
     session.run_until_answered(caller, 2_000);
     assert_eq!(session.outcome(caller), Some(JobOutcome::Completed));
-    assert_eq!(session.answered_starts.len(), begun);
+    assert_eq!(session.answered_starts.len(), count_before);
 }
 
 #[test]
-fn a_zone_that_is_taken_back_gets_work_within_a_second() {
+fn a_zone_gets_starts_within_a_second_after_its_evacuation_ends() {
     let mut session = Session::new(ENTRIES, AGENTS);
     session.send_evacuations_to_all(&evacuations(7, &["hella"]));
-    load(&mut session, 1_000);
+    submit_load(&mut session, 1_000);
     session.send_evacuations(1, &evacuations(8, &[]));
     session.run(10);
     session.send_evacuations(0, &evacuations(8, &[]));
     session.send_evacuations(2, &evacuations(8, &[]));
-    let back_ms = session.now_ms;
-    load(&mut session, 1_000);
+    let evacuation_ended_ms = session.now_ms;
+    submit_load(&mut session, 1_000);
     let first = session.answered_starts.iter();
-    let first = first.filter(|start| start.at_ms > back_ms && start.agent % 3 == 1);
+    let first = first.filter(|start| start.at_ms > evacuation_ended_ms && start.agent % 3 == 1);
     let first_ms = first.map(|start| start.at_ms).min();
-    assert!(first_ms.is_some_and(|at_ms| at_ms < back_ms + 1_000));
+    assert!(first_ms.is_some_and(|at_ms| at_ms < evacuation_ended_ms + 1_000));
 }
 
 /// A task keeps away from hosts whose minions crashed under it, but not when all
 /// others are being emptied.
 #[test]
-fn a_task_goes_back_to_hosts_that_crashed_while_all_others_are_emptied() {
+fn a_task_returns_to_hosts_that_crashed_while_all_others_are_evacuated() {
     let mut session = Session::new(1, AGENTS);
     session.report_start_times();
     session.send_evacuations_to_all(&evacuations(7, &["hella", "thorlak"]));
@@ -122,20 +125,20 @@
 }
 
 #[test]
-fn an_older_picture_undoes_nothing() {
+fn an_older_record_does_not_undo_an_evacuation() {
     let mut session = Session::new(ENTRIES, AGENTS);
     session.send_evacuations_to_all(&evacuations(9, &["hella"]));
     session.run(10);
-    let told_ms = session.now_ms;
+    let evacuated_at_ms = session.now_ms;
     session.send_evacuations_to_all(&evacuations(8, &[]));
     session.send_evacuations(2, &evacuations(3, &["selfoss"]));
-    load(&mut session, 500);
-    assert_eq!(session.starts_in("hella", told_ms), 0);
-    assert!(session.starts_in("selfoss", told_ms) > 0);
+    submit_load(&mut session, 500);
+    assert_eq!(session.starts_in("hella", evacuated_at_ms), 0);
+    assert!(session.starts_in("selfoss", evacuated_at_ms) > 0);
 }
 
 #[test]
-fn when_all_zones_are_emptied_every_job_is_refused_at_once() {
+fn jobs_are_refused_at_once_while_all_zones_are_evacuated() {
     let mut session = Session::new(ENTRIES, AGENTS);
     // Their tasks are longer than the room is wide, so some wait.
     let waiting: Vec<usize> = (0..20)
@@ -143,39 +146,42 @@
         .collect();
     session.run(5);
     session.send_evacuations_to_all(&evacuations(7, &ZONES));
-    let told_ms = session.now_ms;
+    let evacuated_at_ms = session.now_ms;
     session.run(10);
-    let is_refused = refused(Refusal::Evacuated);
+    let is_refused = is_refused_for(Refusal::Evacuated);
     let early = waiting
         .iter()
         .filter(|caller| is_refused(session.outcome(**caller)));
     assert!(early.count() > 0);
-    let callers = load(&mut session, 500);
+    let callers = submit_load(&mut session, 500);
     for caller in &callers {
         let state = &session.callers[*caller];
         assert!(is_refused(state.outcome), "{state:?}");
-        assert!(state.answered_ms <= Some(state.sent_ms + HEARD_MS));
+        assert!(state.answered_ms <= Some(state.sent_ms + APPLIED_WITHIN_MS));
     }
-    assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
+    assert_eq!(
+        session.starts_in("hella", evacuated_at_ms + APPLIED_WITHIN_MS),
+        0
+    );
     session.send_evacuations_to_all(&evacuations(8, &["hella", "thorlak"]));
     session.run(2_000);
-    let callers = load(&mut session, 300);
+    let callers = submit_load(&mut session, 300);
     session.run(1_000);
-    assert!(count(&session, &callers, JobOutcome::Completed) > 0);
+    assert!(count_with_outcome(&session, &callers, JobOutcome::Completed) > 0);
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
 #[test]
-fn a_start_without_an_answer_is_not_sent_again_in_the_zone() {
+fn an_unanswered_start_is_not_retried_in_an_evacuated_zone() {
     let mut session = Session::new(1, 2);
     session.call_delay = Box::new(|_, _| Some(30));
     let caller = session.submit(0, "unheard", 1, 100);
     session.run(40);
-    let told = Evacuations {
+    let record = Evacuations {
         log_offset: 7,
         zones: ["selfoss".into(), "hella".into()].into(),
     };
-    session.send_evacuations_to_all(&told);
+    session.send_evacuations_to_all(&record);
     session.run(5);
     session.call_delay = Box::new(|_, _| None);
     session.run(3_000);
@@ -185,7 +191,7 @@
 }
 
 #[test]
-fn no_further_copies_of_a_start_are_sent_in_the_zone() {
+fn no_more_hedged_starts_are_sent_in_an_evacuated_zone() {
     let mut session = Session::new(1, 2);
     // Half of the calls stay without an answer, so starts are sent in copies.
     let mut calls = 0;
@@ -197,26 +203,26 @@
         session.submit(0, &format!("warm-up-{number}"), 4, 60);
         session.run(40);
     }
-    let mut copies = 0;
+    let mut hedged_calls = 0;
     for number in 0..30 {
         session.call_delay = Box::new(|_, _| Some(700));
         session.send_evacuations_to_all(&evacuations(2 * number + 7, &[]));
         session.submit(0, &format!("copied-{number}"), 8, 60);
         session.run(4);
-        let begun = session.start_calls.len();
+        let count_before = session.start_calls.len();
         session.send_evacuations_to_all(&evacuations(2 * number + 8, &["selfoss", "hella"]));
-        session.run(HEARD_MS);
-        let told_ms = session.now_ms;
+        session.run(APPLIED_WITHIN_MS);
+        let evacuated_at_ms = session.now_ms;
         session.run(60);
-        copies += session.start_calls_in("selfoss", told_ms);
-        copies += session.start_calls_in("hella", told_ms);
-        assert!(begun > 0);
+        hedged_calls += session.start_calls_in("selfoss", evacuated_at_ms);
+        hedged_calls += session.start_calls_in("hella", evacuated_at_ms);
+        assert!(count_before > 0);
     }
-    assert_eq!(copies, 0);
+    assert_eq!(hedged_calls, 0);
 }
 
 #[test]
-fn an_entry_that_has_heard_orders_nothing_in_the_zone() {
+fn an_entry_orders_no_starts_in_an_evacuated_zone() {
     let mut session = Session::new(1, AGENTS);
     for number in 0..20 {
         session.send_evacuations_to_all(&evacuations(2 * number + 7, &["hella"]));
@@ -230,33 +236,39 @@
 }
 
 #[test]
-fn an_agent_that_starts_anew_hears_of_it_before_any_order() {
+fn a_restarted_agent_gets_the_evacuation_before_any_order() {
     let mut session = Session::new(ENTRIES, AGENTS);
     session.send_evacuations_to_all(&evacuations(7, &["hella"]));
-    let told_ms = session.now_ms;
+    let evacuated_at_ms = session.now_ms;
     session.kill_agent(1, 300);
     session.kill_agent(4, 500);
-    let callers = load(&mut session, 2_500);
+    let callers = submit_load(&mut session, 2_500);
     session.run(500);
-    assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
-    let done = count(&session, &callers, JobOutcome::Completed);
+    assert_eq!(
+        session.starts_in("hella", evacuated_at_ms + APPLIED_WITHIN_MS),
+        0
+    );
+    let done = count_with_outcome(&session, &callers, JobOutcome::Completed);
     assert!(done * 10 > callers.len() * 9, "{done} of {}", callers.len());
 }
 
 #[test]
-fn stored_jobs_start_nothing_in_the_zone() {
+fn stored_jobs_start_no_tasks_in_an_evacuated_zone() {
     let mut session = Session::new(ENTRIES, AGENTS);
     session.store("00000000000000f0", 1, 20);
     session.run(4_000);
     session.send_evacuations_to_all(&evacuations(7, &["hella"]));
-    let told_ms = session.now_ms;
+    let evacuated_at_ms = session.now_ms;
     for number in 0..30 {
         session.store(&format!("{number:016x}"), 6, 50);
         session.run(20);
     }
     session.run(3_000);
-    assert_eq!(session.starts_in("hella", told_ms + HEARD_MS), 0);
-    assert!(session.starts_in("selfoss", told_ms) > 0);
+    assert_eq!(
+        session.starts_in("hella", evacuated_at_ms + APPLIED_WITHIN_MS),
+        0
+    );
+    assert!(session.starts_in("selfoss", evacuated_at_ms) > 0);
 }
 
 /// Plays a series of evacuations that reach entries late, in any order and more
@@ -273,22 +285,22 @@
         history.push(evacuations(log_offset, &zones));
     }
     // When the first entry heard of each record, and when all had.
-    let mut heard = vec![(u64::MAX, [false; ENTRIES], u64::MAX); history.len()];
+    let mut delivered = vec![(u64::MAX, [false; ENTRIES], u64::MAX); history.len()];
     let mut killed_ms = [0; AGENTS];
     for newest in 0..history.len() {
         for step in 0..30 {
-            let told = if step < 20 {
+            let record = if step < 20 {
                 newest
             } else {
                 rng.random_range(0..=newest)
             };
             if rng.random::<f64>() < 0.4 {
                 let entry = rng.random_range(0..ENTRIES);
-                session.send_evacuations(entry, &history[told]);
-                let (first_ms, entries, all_ms) = &mut heard[told];
+                session.send_evacuations(entry, &history[record]);
+                let (first_ms, entries, all_ms) = &mut delivered[record];
                 *first_ms = session.now_ms.min(*first_ms);
                 entries[entry] = true;
-                if entries.iter().all(|is_told| *is_told) {
+                if entries.iter().all(|is_delivered| *is_delivered) {
                     *all_ms = session.now_ms.min(*all_ms);
                 }
             }
@@ -319,16 +331,20 @@
     // there until somebody hears of a later one that does not.
     for start in &session.answered_starts {
         let zone = ZONES[start.agent % 3];
-        let known =
-            (0..history.len()).filter(|at| heard[*at].2.saturating_add(FROZEN_MS) < start.at_ms);
-        let Some(known) = known.max() else {
+        let evacuated_since = (0..history.len())
+            .filter(|at| delivered[*at].2.saturating_add(MAX_SUSPENSION_MS) < start.at_ms);
+        let Some(evacuated_since) = evacuated_since.max() else {
             continue;
         };
-        let heard_since = (known..history.len()).filter(|at| heard[*at].0 <= start.at_ms);
-        let may_start = heard_since
+        let delivered_since =
+            (evacuated_since..history.len()).filter(|at| delivered[*at].0 <= start.at_ms);
+        let may_start = delivered_since
             .into_iter()
             .any(|at| !history[at].contains(&zone.into()));
-        assert!(may_start, "seed {seed}: {start:?} in {zone} as of {known}");
+        assert!(
+            may_start,
+            "seed {seed}: {start:?} in {zone} as of {evacuated_since}"
+        );
     }
     assert!(
         session.violations.is_empty(),
@@ -339,10 +355,10 @@
 
 /// Longest time for which an entry of a play stands still, so that its word
 /// comes later.
-const FROZEN_MS: u64 = 900;
+const MAX_SUSPENSION_MS: u64 = 900;
 
 #[test]
-fn no_interleaving_starts_anything_where_all_entries_know_better() {
+fn no_interleaving_starts_tasks_in_a_zone_that_all_entries_have_evacuated() {
     for seed in seeds(SEEDS, &[]) {
         play(seed);
     }
--- a/crates/dispatch/tests/frames.rs
+++ b/crates/dispatch/tests/frames.rs
@@ -41,14 +41,14 @@
         at: proptest::sample::Index,
         flip in 1_u8..,
     ) {
-        let told = Evacuations {
+        let evacuations = Evacuations {
             log_offset,
             zones: zones.iter().map(|zone| zone.as_str().into()).collect(),
         };
         let frame = EntryFrame {
             grant_until_ms: log_offset,
             demand: gannetvane_dispatch::Demand::default(),
-            orders: vec![Order::Evacuations(told)],
+            orders: vec![Order::Evacuations(evacuations)],
         };
         let mut bytes = encode(&frame).expect("it has an encoding");
         prop_assert_eq!(decode::<EntryFrame>(&bytes).ok(), Some(frame));
--- a/crates/dispatch/tests/gossip.rs
+++ b/crates/dispatch/tests/gossip.rs
@@ -12,9 +12,9 @@
 use gannetvane_dispatch::SeenEntry;
 use gannetvane_dispatch::TaskId;
 
-const BEGIN_MS: u64 = 100_000;
+const START_MS: u64 = 100_000;
 /// Pause between two frames, in milliseconds.
-const KEEPALIVE_MS: u64 = 1_000;
+const KEEPALIVE_INTERVAL_MS: u64 = 1_000;
 
 fn addr(number: u8) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(10, 1, 0, number), 7_720))
@@ -28,48 +28,55 @@
 }
 
 /// The entries in the next frame of a process that knows `numbers`.
-fn told(sender: &mut GossipSender, now_ms: u64, numbers: &[u8]) -> Vec<SocketAddr> {
+fn sent_entries(sender: &mut GossipSender, now_ms: u64, numbers: &[u8]) -> Vec<SocketAddr> {
     let gossip = gossip(numbers);
-    let known = |addr: &SocketAddr| SeenEntry {
+    let seen = |addr: &SocketAddr| SeenEntry {
         addr: *addr,
         age_ms: 0,
     };
-    let known = || gossip.entries.iter().map(known).collect();
+    let known = || gossip.entries.iter().map(seen).collect();
     let frame = sender.next_frame(now_ms, &gossip, known);
     frame.entries.into_iter().map(|entry| entry.addr).collect()
 }
 
 #[test]
-fn the_first_frame_tells_all_and_later_ones_what_became_known() {
+fn the_first_frame_lists_all_entries_and_later_frames_list_new_ones() {
     let mut sender = GossipSender::default();
-    assert_eq!(told(&mut sender, BEGIN_MS, &[1, 3]), [addr(1), addr(3)]);
-    let now_ms = BEGIN_MS + KEEPALIVE_MS;
-    assert_eq!(told(&mut sender, now_ms, &[1, 3]), []);
-    assert_eq!(told(&mut sender, now_ms, &[1, 2, 3]), [addr(2)]);
-    assert_eq!(told(&mut sender, now_ms, &[1, 2]), []);
-    assert_eq!(told(&mut sender, now_ms, &[1, 2, 3]), [addr(3)]);
+    assert_eq!(
+        sent_entries(&mut sender, START_MS, &[1, 3]),
+        [addr(1), addr(3)]
+    );
+    let now_ms = START_MS + KEEPALIVE_INTERVAL_MS;
+    assert_eq!(sent_entries(&mut sender, now_ms, &[1, 3]), []);
+    assert_eq!(sent_entries(&mut sender, now_ms, &[1, 2, 3]), [addr(2)]);
+    assert_eq!(sent_entries(&mut sender, now_ms, &[1, 2]), []);
+    assert_eq!(sent_entries(&mut sender, now_ms, &[1, 2, 3]), [addr(3)]);
 }
 
 #[test]
-fn all_are_told_with_every_fifth_frame() {
+fn every_fifth_frame_lists_all_entries() {
     let mut sender = GossipSender::default();
     let all = [addr(1), addr(2)];
     for frame in 0..20 {
-        let now_ms = BEGIN_MS + frame * KEEPALIVE_MS;
+        let now_ms = START_MS + frame * KEEPALIVE_INTERVAL_MS;
         let expected = if frame % 5 == 0 { &all[..] } else { &[] };
-        assert_eq!(told(&mut sender, now_ms, &[1, 2]), expected, "{frame}");
+        assert_eq!(
+            sent_entries(&mut sender, now_ms, &[1, 2]),
+            expected,
+            "{frame}"
+        );
     }
 }
 
 #[test]
-fn a_set_that_changes_all_the_time_does_not_keep_ages_back() {
+fn full_lists_are_sent_although_the_set_changes_constantly() {
     let mut sender = GossipSender::default();
-    let pause_ms = KEEPALIVE_MS / 10;
+    let interval_ms = KEEPALIVE_INTERVAL_MS / 10;
     let mut listed = 0;
     for frame in 0..200 {
         let extra = if frame % 2 == 0 { 8 } else { 9 };
-        let told = told(&mut sender, BEGIN_MS + frame * pause_ms, &[1, 2, extra]);
-        listed += usize::from(told.contains(&addr(1)));
+        let sent = sent_entries(&mut sender, START_MS + frame * interval_ms, &[1, 2, extra]);
+        listed += usize::from(sent.contains(&addr(1)));
     }
     assert!((4..=6).contains(&listed), "{listed} lists in 20 s");
 }
@@ -97,7 +104,7 @@
 }
 
 /// Numbers of the crashes in the next frame of an entry, with their ages.
-fn crashes_told(sender: &mut GossipSender, now_ms: u64, entry: &Dispatcher) -> Vec<(u64, u64)> {
+fn sent_crashes(sender: &mut GossipSender, now_ms: u64, entry: &Dispatcher) -> Vec<(u64, u64)> {
     let gossip = GossipState {
         crashes: entry.crashes().clone(),
         ..GossipState::default()
@@ -108,32 +115,32 @@
 }
 
 #[test]
-fn a_crash_is_told_once_on_a_connection_and_with_its_age() {
-    let mut entry = entry(BEGIN_MS);
+fn a_crash_is_sent_once_on_a_connection_with_its_age() {
+    let mut entry = entry(START_MS);
     let mut sender = GossipSender::default();
-    entry.learn_crashes(BEGIN_MS, vec![crash(1), crash(2), crash(1)]);
-    let told = crashes_told(&mut sender, BEGIN_MS + 50, &entry);
-    assert_eq!(told, [(1, 1_050), (2, 1_050)]);
-    entry.learn_crashes(BEGIN_MS + 60, vec![crash(2), crash(3)]);
+    entry.learn_crashes(START_MS, vec![crash(1), crash(2), crash(1)]);
+    let sent = sent_crashes(&mut sender, START_MS + 50, &entry);
+    assert_eq!(sent, [(1, 1_050), (2, 1_050)]);
+    entry.learn_crashes(START_MS + 60, vec![crash(2), crash(3)]);
     assert_eq!(
-        crashes_told(&mut sender, BEGIN_MS + 60, &entry),
+        sent_crashes(&mut sender, START_MS + 60, &entry),
         [(3, 1_000)]
     );
     let mut next = GossipSender::default();
-    assert_eq!(crashes_told(&mut next, BEGIN_MS + 60, &entry).len(), 3);
+    assert_eq!(sent_crashes(&mut next, START_MS + 60, &entry).len(), 3);
 }
 
 #[test]
-fn crashes_are_forgotten_by_age_and_number() {
-    let mut entry = entry(BEGIN_MS);
-    entry.learn_crashes(BEGIN_MS, (0..2_000).map(crash).collect());
-    let told = crashes_told(&mut GossipSender::default(), BEGIN_MS, &entry);
-    assert_eq!(told.first(), Some(&(976, 1_000)));
-    assert_eq!(told.len(), 1_024);
-    let later_ms = BEGIN_MS + 29_000;
+fn known_crashes_are_limited_by_age_and_count() {
+    let mut entry = entry(START_MS);
+    entry.learn_crashes(START_MS, (0..2_000).map(crash).collect());
+    let sent = sent_crashes(&mut GossipSender::default(), START_MS, &entry);
+    assert_eq!(sent.first(), Some(&(976, 1_000)));
+    assert_eq!(sent.len(), 1_024);
+    let later_ms = START_MS + 29_000;
     entry.tick(later_ms);
     assert_eq!(
-        crashes_told(&mut GossipSender::default(), later_ms, &entry),
+        sent_crashes(&mut GossipSender::default(), later_ms, &entry),
         []
     );
     let old = Crash {
@@ -142,7 +149,7 @@
     };
     entry.learn_crashes(later_ms, vec![old]);
     assert_eq!(
-        crashes_told(&mut GossipSender::default(), later_ms, &entry),
+        sent_crashes(&mut GossipSender::default(), later_ms, &entry),
         []
     );
 }
--- a/crates/dispatch/tests/grey.rs
+++ b/crates/dispatch/tests/grey.rs
@@ -21,7 +21,7 @@
 
 /// Twelve entries in front of six minions, the first of which is in this mood
 /// for a second in which each entry submits ten jobs of two tasks.
-fn serve_beside(behavior: Behavior) -> (Session, Vec<usize>) {
+fn serve_with_faulty_minion(behavior: Behavior) -> (Session, Vec<usize>) {
     let mut session = Session::new(ENTRIES, 6);
     session.has_prompt_minions = true;
     session.minions[0].behavior = behavior;
@@ -35,24 +35,24 @@
     (session, jobs)
 }
 
-fn assert_comes_back(mut session: Session) {
+fn assert_recovers(mut session: Session) {
     session.minions[0].behavior = Behavior::Sound;
     session.run(3_000);
-    let before = session.starts_on(FIRST_MINION);
+    let starts_before = session.starts_on(FIRST_MINION);
     for number in 0..10 {
         for entry in 0..ENTRIES {
             session.submit(entry, &format!("later-{entry}-{number}"), 2, WORK_MS);
         }
         session.run(100);
     }
-    let starts = session.starts_on(FIRST_MINION) - before;
+    let starts = session.starts_on(FIRST_MINION) - starts_before;
     assert!(starts >= 20, "{starts} starts after it recovered");
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
 #[test]
-fn a_minion_that_fails_everything_is_closed_for_all_entries() {
-    let (session, jobs) = serve_beside(Behavior::Failing);
+fn a_minion_that_fails_all_runs_is_ejected_for_all_entries() {
+    let (session, jobs) = serve_with_faulty_minion(Behavior::Failing);
     let starts = session.starts_on(FIRST_MINION);
     assert!(starts <= 16, "{starts} starts on the failing minion");
     let is_late = |job: &&usize| {
@@ -64,12 +64,12 @@
     };
     let late = jobs.iter().filter(is_late).count();
     assert_eq!(late, 0, "jobs that were not in time");
-    assert_comes_back(session);
+    assert_recovers(session);
 }
 
 #[test]
-fn a_minion_that_stands_still_is_closed_for_all_entries() {
-    let (session, jobs) = serve_beside(Behavior::Hanging);
+fn a_stalled_minion_is_ejected_for_all_entries() {
+    let (session, jobs) = serve_with_faulty_minion(Behavior::Hanging);
     let starts = session.starts_on(FIRST_MINION);
     assert!(starts <= 16, "{starts} starts on the hanging minion");
     let took_ms = |job: &usize| {
@@ -80,11 +80,11 @@
     };
     let longest_ms = jobs.iter().map(took_ms).max().unwrap();
     assert!(longest_ms <= 330, "{longest_ms} ms");
-    assert_comes_back(session);
+    assert_recovers(session);
 }
 
 #[test]
-fn two_jobs_that_fail_close_a_minion() {
+fn two_failed_jobs_eject_a_minion() {
     let mut driver = Driver::new();
     assert!(driver.is_accepting_starts());
     driver.start_of(1, "a");
@@ -97,7 +97,7 @@
 }
 
 /// Runs that are to stop; a stop may go out in copies.
-fn stops(actions: &[AgentAction]) -> usize {
+fn stopped_runs(actions: &[AgentAction]) -> usize {
     let stopped = actions.iter().filter_map(|action| match action {
         AgentAction::Stop { key, .. } => Some(key),
         _ => None,
@@ -110,22 +110,22 @@
     let mut driver = Driver::new();
     driver.starts(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
-    assert_eq!(stops(&driver.list_running(&["a", "b"], 100, 0)), 2);
+    assert_eq!(stopped_runs(&driver.list_running(&["a", "b"], 100, 0)), 2);
     assert!(!driver.is_accepting_starts());
 }
 
 #[test]
-fn an_old_listing_does_not_show_that_runs_stand_still() {
+fn an_outdated_listing_does_not_show_stalled_runs() {
     let mut driver = Driver::new();
     driver.starts(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
     // As when the agent's host stood still.
-    assert_eq!(stops(&driver.list_running(&["a", "b"], 5, 100)), 0);
+    assert_eq!(stopped_runs(&driver.list_running(&["a", "b"], 5, 100)), 0);
     assert!(driver.is_accepting_starts());
 }
 
 #[test]
-fn a_pardon_says_nothing_of_a_minion_that_stands_still() {
+fn discounted_failures_do_not_readmit_a_stalled_minion() {
     let mut driver = Driver::new();
     driver.starts(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn jobs_that_fail_everywhere_do_not_close_a_minion() {
+fn jobs_that_fail_everywhere_do_not_eject_a_minion() {
     let mut driver = Driver::new();
     for (order, job) in [(1, "a"), (2, "b")] {
         driver.start_of(order, job);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_good_end_shows_that_a_minion_has_recovered() {
+fn a_successful_half_open_trial_readmits_a_minion() {
     let mut driver = Driver::new();
     for (order, job) in [(1, "a"), (2, "b")] {
         driver.start_of(order, job);
--- a/crates/dispatch/tests/growth/change.rs
+++ b/crates/dispatch/tests/growth/change.rs
@@ -14,14 +14,14 @@
 use crate::tally::Tally;
 
 /// Hosts for each entry.
-const HOSTS_AN_ENTRY: usize = 5;
+const HOSTS_PER_ENTRY: usize = 5;
 /// Time that is counted after a change, in milliseconds.
-const COUNTED_MS: u64 = 2_000;
+const CHANGE_WINDOW_MS: u64 = 2_000;
 /// Time that is counted in calm, in milliseconds: several lists.
-const CALM_MS: u64 = 10_000;
+const CALM_WINDOW_MS: u64 = 10_000;
 /// Time after which an entry that is lost must have been forgotten, in
 /// milliseconds.
-const FORGOTTEN_MS: u64 = 42_000;
+const FORGOTTEN_WITHIN_MS: u64 = 42_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
@@ -42,16 +42,16 @@
     pub all: Tally,
     pub busiest_bytes: u64,
     pub busiest_messages: u64,
-    pub busiest_work: Duration,
-    pub counted_ms: u64,
+    pub busiest_time: Duration,
+    pub window_ms: u64,
 }
 
 impl Change {
-    fn counted_ms(self) -> RangeInclusive<u64> {
+    fn window_ms(self) -> RangeInclusive<u64> {
         match self {
-            Self::Calm => 0..=CALM_MS,
-            Self::LostEntry => 29_000..=FORGOTTEN_MS,
-            _ => 0..=COUNTED_MS,
+            Self::Calm => 0..=CALM_WINDOW_MS,
+            Self::LostEntry => 29_000..=FORGOTTEN_WITHIN_MS,
+            _ => 0..=CHANGE_WINDOW_MS,
         }
     }
 }
@@ -69,13 +69,13 @@
 
 /// Plays a change in a settled fleet.
 pub fn play(change: Change, hosts: usize) -> Findings {
-    let entries = hosts / HOSTS_AN_ENTRY;
-    let mut fleet = Fleet::settled(entries, hosts - entries);
+    let entries = hosts / HOSTS_PER_ENTRY;
+    let mut fleet = Fleet::connected(entries, hosts - entries);
     let changed = match change {
         Change::NewEntry => entries,
         _ => entries / 2,
     };
-    let mut waiting = Waiting::new(&fleet, change, changed);
+    let mut pending = PendingProcesses::new(&fleet, change, changed);
     fleet.clear_tallies();
     match change {
         Change::Calm => {}
@@ -83,21 +83,21 @@
         Change::LostEntry => fleet.remove_entry(changed),
         Change::Configuration => fleet.configure(changed),
     }
-    let begin_ms = fleet.now_ms;
-    let counted = change.counted_ms();
+    let start_ms = fleet.now_ms;
+    let counted = change.window_ms();
     let mut known_ms = Vec::new();
-    while fleet.now_ms < begin_ms + counted.end() {
-        let for_ms = fleet.now_ms - begin_ms;
-        if for_ms < *counted.start() {
-            fleet.run(counted.start() - for_ms);
+    while fleet.now_ms < start_ms + counted.end() {
+        let elapsed_ms = fleet.now_ms - start_ms;
+        if elapsed_ms < *counted.start() {
+            fleet.run(counted.start() - elapsed_ms);
             fleet.clear_tallies();
         } else {
             fleet.run(1);
         }
-        let now_known = waiting.take_known(&fleet);
-        known_ms.extend(vec![fleet.now_ms - begin_ms; now_known]);
+        let informed = pending.remove_informed(&fleet);
+        known_ms.extend(vec![fleet.now_ms - start_ms; informed]);
     }
-    assert!(waiting.is_over(), "{change:?} at {hosts}: {waiting:?}");
+    assert!(pending.is_empty(), "{change:?} at {hosts}: {pending:?}");
     findings(change, hosts, known_ms, &fleet)
 }
 
@@ -106,28 +106,28 @@
     let agents = fleet.agents.iter().map(|agent| &agent.tally);
     let tallies: Vec<&Tally> = entries.chain(agents).collect();
     let sum = |sum: Tally, tally: &&Tally| sum.plus(tally);
-    let most =
+    let max_of =
         |figure: fn(&Tally) -> u64| tallies.iter().map(|tally| figure(tally)).max().unwrap_or(0);
-    let counted = change.counted_ms();
+    let counted = change.window_ms();
     Findings {
         change,
         hosts,
         known_ms,
         all: tallies.iter().fold(Tally::default(), sum),
-        busiest_bytes: most(|tally| tally.bytes),
-        busiest_messages: most(|tally| tally.messages),
-        busiest_work: tallies
+        busiest_bytes: max_of(|tally| tally.bytes),
+        busiest_messages: max_of(|tally| tally.messages),
+        busiest_time: tallies
             .iter()
             .map(|tally| tally.work())
             .max()
             .unwrap_or_default(),
-        counted_ms: counted.end() - counted.start(),
+        window_ms: counted.end() - counted.start(),
     }
 }
 
 /// The processes that have not heard of a change.
 #[derive(Debug)]
-struct Waiting {
+struct PendingProcesses {
     change: Change,
     changed: usize,
     version: u64,
@@ -135,9 +135,9 @@
     agents: BTreeSet<usize>,
 }
 
-impl Waiting {
+impl PendingProcesses {
     fn new(fleet: &Fleet, change: Change, changed: usize) -> Self {
-        let concerns = |agent: &usize| match change {
+        let is_affected = |agent: &usize| match change {
             Change::NewEntry => chosen(*agent, changed + 1).contains(&addr(changed)),
             Change::LostEntry => fleet.agents[*agent].links.contains(&changed),
             Change::Calm | Change::Configuration => false,
@@ -151,16 +151,16 @@
             changed,
             version: fleet.entries[0].gossip.table.version,
             entries: entries.filter(|entry| *entry != changed).collect(),
-            agents: (0..fleet.agents.len()).filter(concerns).collect(),
+            agents: (0..fleet.agents.len()).filter(is_affected).collect(),
         }
     }
 
-    fn is_over(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.entries.is_empty() && self.agents.is_empty()
     }
 
     /// Passes over those that know now; their number.
-    fn take_known(&mut self, fleet: &Fleet) -> usize {
+    fn remove_informed(&mut self, fleet: &Fleet) -> usize {
         let before = self.entries.len() + self.agents.len();
         let (change, changed, version) = (self.change, self.changed, self.version);
         self.entries.retain(|entry| {
--- a/crates/dispatch/tests/growth/entry.rs
+++ b/crates/dispatch/tests/growth/entry.rs
@@ -32,7 +32,7 @@
     /// Agents with a link.
     pub agents: BTreeSet<usize>,
     pub is_up: bool,
-    pub is_woken: bool,
+    pub is_wake_scheduled: bool,
     pub tally: Tally,
 }
 
@@ -53,7 +53,7 @@
             connections: BTreeMap::new(),
             agents: BTreeSet::new(),
             is_up: true,
-            is_woken: false,
+            is_wake_scheduled: false,
             tally: Tally::default(),
         }
     }
@@ -64,7 +64,7 @@
     }
 
     /// Takes over what another entry told; whether the configuration is newer.
-    pub fn received(&mut self, now_ms: u64, from: SocketAddr, frame: PeerFrame) -> bool {
+    pub fn apply_frame(&mut self, now_ms: u64, from: SocketAddr, frame: PeerFrame) -> bool {
         let directory = &mut self.directory;
         self.tally.learn.measure(|| {
             directory.mark_seen(now_ms, from);
@@ -80,7 +80,7 @@
     }
 
     /// Whether the set of entries changed since others were told.
-    pub fn has_changed(&mut self, now_ms: u64) -> bool {
+    pub fn refresh_entries(&mut self, now_ms: u64) -> bool {
         self.sent_discoveries = self.directory.discoveries();
         let entries = self.directory.recent_addrs(now_ms);
         let has_changed = entries != self.gossip.entries;
@@ -95,7 +95,7 @@
         let known = || self.directory.known(now_ms);
         let frame = connection.sender.next_frame(now_ms, &self.gossip, known);
         let bytes = encode(&frame).expect("it has an encoding");
-        self.tally.sent(&bytes);
+        self.tally.count_frame(&bytes);
         Some(bytes)
     }
 
@@ -115,10 +115,10 @@
         let frames: Vec<(usize, Vec<u8>)> = dispatcher
             .take_actions()
             .into_iter()
-            .filter_map(order)
+            .filter_map(encode_orders)
             .collect();
         for (_, frame) in &frames {
-            self.tally.sent(frame);
+            self.tally.count_frame(frame);
         }
         frames
     }
@@ -147,7 +147,7 @@
     }
 }
 
-fn order(action: DispatcherAction) -> Option<(usize, Vec<u8>)> {
+fn encode_orders(action: DispatcherAction) -> Option<(usize, Vec<u8>)> {
     let DispatcherAction::Send(LinkId(agent), frame) = action else {
         return None;
     };
--- a/crates/dispatch/tests/growth/fleet.rs
+++ b/crates/dispatch/tests/growth/fleet.rs
@@ -18,36 +18,36 @@
 use crate::entry;
 use crate::entry::Connection;
 use crate::entry::Entry;
-use crate::queue::Queue;
+use crate::queue::EventQueue;
 use crate::tally::Tally;
 
 /// Time that a frame takes from one process to another, in milliseconds.
-const DELAY_MS: u64 = 1;
+const FRAME_DELAY_MS: u64 = 1;
 /// Pause between two looks of a process at its directory, in milliseconds.
-const REFRESH_MS: u64 = 500;
+const REFRESH_INTERVAL_MS: u64 = 500;
 /// Pause between two frames to another entry, in milliseconds.
-const KEEPALIVE_MS: u64 = 1_000;
+const KEEPALIVE_INTERVAL_MS: u64 = 1_000;
 /// Time between two lists of all entries, in milliseconds.
 const FULL_LIST_INTERVAL_MS: u64 = 5_000;
 const SEEDS: usize = 3;
-const BEGIN_MS: u64 = 100_000;
+const START_MS: u64 = 100_000;
 
 #[derive(Debug)]
 enum Event {
     /// An entry looks at its directory.
-    EntryLook(usize),
+    EntryRefresh(usize),
     /// An agent looks at its directory.
-    AgentLook(usize),
+    AgentRefresh(usize),
     /// An entry has taken in all that came at this moment.
     Wake(usize),
     /// A connection between two entries, by the one that opened it, is open.
-    Open(usize, usize),
+    ConnectionOpen(usize, usize),
     /// The pause after this frame is over.
-    Beat(usize, usize, u64),
+    KeepaliveDue(usize, usize, u64),
     Frame(usize, usize, Rc<Vec<u8>>),
     Ack(usize, usize),
     /// An agent's link to an entry is open.
-    Link(usize, usize),
+    LinkOpen(usize, usize),
     /// An entry's frame to an agent.
     Orders(usize, usize, Vec<u8>),
 }
@@ -57,7 +57,7 @@
     pub now_ms: u64,
     pub entries: Vec<Entry>,
     pub agents: Vec<Agent>,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
 }
 
 pub fn addr(entry: usize) -> SocketAddr {
@@ -65,7 +65,7 @@
     SocketAddr::from((Ipv4Addr::new(10, 1, high, low), 7_720))
 }
 
-fn number(addr: SocketAddr) -> usize {
+fn entry_number(addr: SocketAddr) -> usize {
     let SocketAddr::V4(addr) = addr else {
         unreachable!("all addresses are of version 4");
     };
@@ -75,30 +75,30 @@
 
 impl Fleet {
     /// So many entries and agents that know each other, connected as they choose.
-    pub fn settled(entries: usize, agents: usize) -> Self {
+    pub fn connected(entries: usize, agents: usize) -> Self {
         let seeds: Vec<SocketAddr> = (0..SEEDS).map(addr).collect();
         let mut fleet = Self {
-            now_ms: BEGIN_MS,
+            now_ms: START_MS,
             entries: (0..entries)
                 .map(|entry| Entry::new(addr(entry), &seeds))
                 .collect(),
             agents: (0..agents).map(|agent| Agent::new(agent, &seeds)).collect(),
-            queue: Queue::new(),
+            queue: EventQueue::new(),
         };
-        fleet.introduce();
+        fleet.learn_all();
         for entry in 0..entries {
-            fleet.start_entry(entry);
+            fleet.schedule_refresh(entry);
         }
         for agent in 0..agents {
-            fleet.settle_agent(agent);
-            let at_ms = BEGIN_MS + agent as u64 % REFRESH_MS;
-            fleet.queue.add(at_ms, Event::AgentLook(agent));
+            fleet.connect_agent(agent);
+            let at_ms = START_MS + agent as u64 % REFRESH_INTERVAL_MS;
+            fleet.queue.add(at_ms, Event::AgentRefresh(agent));
         }
-        fleet.run(FULL_LIST_INTERVAL_MS + KEEPALIVE_MS);
+        fleet.run(FULL_LIST_INTERVAL_MS + KEEPALIVE_INTERVAL_MS);
         fleet
     }
 
-    fn introduce(&mut self) {
+    fn learn_all(&mut self) {
         let known = |entry| SeenEntry {
             addr: addr(entry),
             age_ms: 0,
@@ -106,30 +106,30 @@
         let known: Vec<SeenEntry> = (0..self.entries.len()).map(known).collect();
         let table = Arc::new(entry::table(1));
         for entry in &mut self.entries {
-            entry.directory.merge_seen(BEGIN_MS, &known);
+            entry.directory.merge_seen(START_MS, &known);
             entry.gossip.table = Arc::clone(&table);
-            entry.has_changed(BEGIN_MS);
+            entry.refresh_entries(START_MS);
         }
         let addrs: Vec<SocketAddr> = known.iter().map(|known| known.addr).collect();
         for agent in &mut self.agents {
-            agent.learn(BEGIN_MS, &addrs);
+            agent.learn(START_MS, &addrs);
         }
     }
 
     /// Opens the links that an agent chooses.
-    fn settle_agent(&mut self, agent: usize) {
+    fn connect_agent(&mut self, agent: usize) {
         let state = &mut self.agents[agent];
-        for target in state.targets(BEGIN_MS) {
-            state.directory.mark_seen(BEGIN_MS, target);
-            state.links.insert(number(target));
-            self.entries[number(target)].agents.insert(agent);
+        for target in state.targets(START_MS) {
+            state.directory.mark_seen(START_MS, target);
+            state.links.insert(entry_number(target));
+            self.entries[entry_number(target)].agents.insert(agent);
         }
         state.dialed_discoveries = state.directory.discoveries();
     }
 
-    fn start_entry(&mut self, entry: usize) {
-        let at_ms = self.now_ms + entry as u64 * 7 % REFRESH_MS;
-        self.queue.add(at_ms, Event::EntryLook(entry));
+    fn schedule_refresh(&mut self, entry: usize) {
+        let at_ms = self.now_ms + entry as u64 * 7 % REFRESH_INTERVAL_MS;
+        self.queue.add(at_ms, Event::EntryRefresh(entry));
     }
 
     /// One more entry, which the store told of the others.
@@ -140,7 +140,7 @@
         let others: Vec<SocketAddr> = (0..number).map(addr).collect();
         new.directory.learn(self.now_ms, &others);
         self.entries.push(new);
-        self.queue.add(self.now_ms, Event::EntryLook(number));
+        self.queue.add(self.now_ms, Event::EntryRefresh(number));
     }
 
     /// An entry is gone, and its connections with it.
@@ -158,7 +158,7 @@
     pub fn configure(&mut self, entry: usize) {
         let version = self.entries[entry].gossip.table.version + 1;
         self.entries[entry].gossip.table = Arc::new(entry::table(version));
-        self.tell_peers(entry);
+        self.send_to_peers(entry);
     }
 
     /// Plays this long.
@@ -166,7 +166,7 @@
         let until_ms = self.now_ms + for_ms;
         while let Some((at_ms, event)) = self.queue.next(until_ms) {
             self.now_ms = at_ms;
-            self.play(event);
+            self.handle_event(event);
         }
         self.now_ms = until_ms;
     }
@@ -180,66 +180,72 @@
         }
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::EntryLook(entry) => self.entry_looks(entry),
-            Event::AgentLook(agent) => {
-                self.agent_dials(agent);
-                self.queue
-                    .add(self.now_ms + REFRESH_MS, Event::AgentLook(agent));
+            Event::EntryRefresh(entry) => self.refresh_entry(entry),
+            Event::AgentRefresh(agent) => {
+                self.dial_entries(agent);
+                self.queue.add(
+                    self.now_ms + REFRESH_INTERVAL_MS,
+                    Event::AgentRefresh(agent),
+                );
             }
             Event::Wake(entry) => self.wake(entry),
-            Event::Open(from, to) => self.open(from, to),
-            Event::Beat(from, to, frames) => {
+            Event::ConnectionOpen(from, to) => self.on_connection_open(from, to),
+            Event::KeepaliveDue(from, to, frames) => {
                 let connection = self.entries[from].connections.get(&to);
                 if connection.is_some_and(|connection| connection.frames == frames) {
-                    self.tell_peer(from, to);
+                    self.send_to_peer(from, to);
                 }
             }
-            Event::Frame(from, to, frame) => self.frame(from, to, &frame),
+            Event::Frame(from, to, frame) => self.receive_frame(from, to, &frame),
             Event::Ack(from, to) => {
                 self.entries[to]
                     .directory
                     .mark_seen(self.now_ms, addr(from));
-                self.note_input(to);
+                self.schedule_wake(to);
             }
-            Event::Link(agent, entry) => self.link(agent, entry),
-            Event::Orders(entry, agent, frame) => self.orders(entry, agent, &frame),
+            Event::LinkOpen(agent, entry) => self.on_link_open(agent, entry),
+            Event::Orders(entry, agent, frame) => self.receive_orders(entry, agent, &frame),
         }
     }
 
-    fn entry_looks(&mut self, entry: usize) {
+    fn refresh_entry(&mut self, entry: usize) {
         if !self.entries[entry].is_up {
             return;
         }
-        self.spread(entry);
-        self.entry_dials(entry);
-        self.queue
-            .add(self.now_ms + REFRESH_MS, Event::EntryLook(entry));
+        self.send_changes(entry);
+        self.dial_peers(entry);
+        self.queue.add(
+            self.now_ms + REFRESH_INTERVAL_MS,
+            Event::EntryRefresh(entry),
+        );
     }
 
-    fn entry_dials(&mut self, entry: usize) {
+    fn dial_peers(&mut self, entry: usize) {
         for target in self.entries[entry].targets(self.now_ms) {
-            let to = number(target);
+            let to = entry_number(target);
             if !self.entries[entry].connections.contains_key(&to) && self.is_up(to) {
                 let connection = Connection::default();
                 self.entries[entry].connections.insert(to, connection);
-                self.queue
-                    .add(self.now_ms + 2 * DELAY_MS, Event::Open(entry, to));
+                self.queue.add(
+                    self.now_ms + 2 * FRAME_DELAY_MS,
+                    Event::ConnectionOpen(entry, to),
+                );
             }
         }
     }
 
-    fn agent_dials(&mut self, agent: usize) {
+    fn dial_entries(&mut self, agent: usize) {
         let now_ms = self.now_ms;
         let targets = self.agents[agent].targets(now_ms);
-        for entry in targets.into_iter().map(number) {
+        for entry in targets.into_iter().map(entry_number) {
             if !self.is_up(entry) {
                 continue;
             }
             if self.agents[agent].links.insert(entry) {
                 self.queue
-                    .add(now_ms + 3 * DELAY_MS, Event::Link(agent, entry));
+                    .add(now_ms + 3 * FRAME_DELAY_MS, Event::LinkOpen(agent, entry));
             } else {
                 // Frames on the link come far more often than looks.
                 let directory = &mut self.agents[agent].directory;
@@ -264,58 +270,58 @@
     }
 
     /// What came is looked at once all of this moment is there.
-    fn note_input(&mut self, entry: usize) {
+    fn schedule_wake(&mut self, entry: usize) {
         let state = &mut self.entries[entry];
-        if state.directory.discoveries() != state.sent_discoveries && !state.is_woken {
-            state.is_woken = true;
+        if state.directory.discoveries() != state.sent_discoveries && !state.is_wake_scheduled {
+            state.is_wake_scheduled = true;
             self.queue.add(self.now_ms, Event::Wake(entry));
         }
     }
 
     fn wake(&mut self, entry: usize) {
-        self.entries[entry].is_woken = false;
-        self.spread(entry);
-        self.entry_dials(entry);
+        self.entries[entry].is_wake_scheduled = false;
+        self.send_changes(entry);
+        self.dial_peers(entry);
     }
 
     /// Tells entries and agents when the set of entries changed.
-    fn spread(&mut self, entry: usize) {
+    fn send_changes(&mut self, entry: usize) {
         let now_ms = self.now_ms;
-        if !self.entries[entry].has_changed(now_ms) {
+        if !self.entries[entry].refresh_entries(now_ms) {
             return;
         }
         let agents = self.entries[entry].agents.clone();
-        self.tell_agents(entry, &agents);
-        self.tell_peers(entry);
+        self.send_to_agents(entry, &agents);
+        self.send_to_peers(entry);
     }
 
-    fn tell_agents(&mut self, entry: usize, agents: &BTreeSet<usize>) {
+    fn send_to_agents(&mut self, entry: usize, agents: &BTreeSet<usize>) {
         let frames = self.entries[entry].frames_to(self.now_ms, agents);
         for (agent, frame) in frames {
-            let at_ms = self.now_ms + DELAY_MS;
+            let at_ms = self.now_ms + FRAME_DELAY_MS;
             self.queue.add(at_ms, Event::Orders(entry, agent, frame));
         }
     }
 
-    fn tell_peers(&mut self, entry: usize) {
+    fn send_to_peers(&mut self, entry: usize) {
         let connections = self.entries[entry].connections.iter();
         // One that is not open yet tells everything once it is.
         let open = connections.filter(|(_, connection)| connection.frames > 0);
         let open: Vec<usize> = open.map(|(to, _)| *to).collect();
         for to in open {
-            self.tell_peer(entry, to);
+            self.send_to_peer(entry, to);
         }
     }
 
-    fn open(&mut self, from: usize, to: usize) {
+    fn on_connection_open(&mut self, from: usize, to: usize) {
         if self.is_up(to) {
-            self.tell_peer(from, to);
+            self.send_to_peer(from, to);
         } else {
             self.entries[from].connections.remove(&to);
         }
     }
 
-    fn tell_peer(&mut self, from: usize, to: usize) {
+    fn send_to_peer(&mut self, from: usize, to: usize) {
         let now_ms = self.now_ms;
         let is_target = self.entries[from].targets(now_ms).contains(&addr(to));
         if !self.entries[from].is_up || !is_target {
@@ -327,36 +333,39 @@
         };
         let frames = self.entries[from].connections[&to].frames;
         let frame = Event::Frame(from, to, Rc::new(frame));
-        self.queue.add(now_ms + DELAY_MS, frame);
-        self.queue
-            .add(now_ms + KEEPALIVE_MS, Event::Beat(from, to, frames));
+        self.queue.add(now_ms + FRAME_DELAY_MS, frame);
+        self.queue.add(
+            now_ms + KEEPALIVE_INTERVAL_MS,
+            Event::KeepaliveDue(from, to, frames),
+        );
     }
 
-    fn frame(&mut self, from: usize, to: usize, frame: &[u8]) {
+    fn receive_frame(&mut self, from: usize, to: usize, frame: &[u8]) {
         if !self.is_up(to) {
             return;
         }
         let frame: PeerFrame = decode(frame).expect("it was encoded");
-        let is_newer = self.entries[to].received(self.now_ms, addr(from), frame);
+        let is_newer = self.entries[to].apply_frame(self.now_ms, addr(from), frame);
         let ack = encode(&PeerAck).expect("it has an encoding");
-        self.entries[to].tally.sent(&ack);
-        self.queue.add(self.now_ms + DELAY_MS, Event::Ack(to, from));
+        self.entries[to].tally.count_frame(&ack);
+        self.queue
+            .add(self.now_ms + FRAME_DELAY_MS, Event::Ack(to, from));
         if is_newer {
-            self.tell_peers(to);
+            self.send_to_peers(to);
         }
-        self.note_input(to);
+        self.schedule_wake(to);
     }
 
-    fn link(&mut self, agent: usize, entry: usize) {
+    fn on_link_open(&mut self, agent: usize, entry: usize) {
         if self.is_up(entry) && self.agents[agent].links.contains(&entry) {
             self.entries[entry].agents.insert(agent);
-            self.tell_agents(entry, &BTreeSet::from([agent]));
+            self.send_to_agents(entry, &BTreeSet::from([agent]));
         } else {
             self.agents[agent].links.remove(&entry);
         }
     }
 
-    fn orders(&mut self, entry: usize, agent: usize, frame: &[u8]) {
+    fn receive_orders(&mut self, entry: usize, agent: usize, frame: &[u8]) {
         let now_ms = self.now_ms;
         let frame: EntryFrame = decode(frame).expect("it was encoded");
         let state = &mut self.agents[agent];
@@ -367,7 +376,7 @@
             }
         }
         if state.directory.discoveries() != state.dialed_discoveries {
-            self.agent_dials(agent);
+            self.dial_entries(agent);
         }
     }
 }
--- a/crates/dispatch/tests/growth/gossip.rs
+++ b/crates/dispatch/tests/growth/gossip.rs
@@ -17,7 +17,7 @@
 
 /// Processor time to choose for all agents after one more entry became known, in
 /// microseconds.
-pub fn change_us(entries: usize) -> f64 {
+pub fn mean_change_us(entries: usize) -> f64 {
     let settings = DispatcherSettings {
         zone: "selfoss".into(),
         remote_factor: 1.0,
@@ -29,9 +29,9 @@
     }
     let all: Vec<SocketAddr> = (0..entries + CHANGES).map(addr).collect();
     dispatcher.send_entries(&all[..entries]);
-    let began = Instant::now();
+    let started = Instant::now();
     for known in entries..entries + CHANGES {
         dispatcher.send_entries(&all[..=known]);
     }
-    began.elapsed().as_secs_f64() * 1e6 / CHANGES as f64
+    started.elapsed().as_secs_f64() * 1e6 / CHANGES as f64
 }
--- a/crates/dispatch/tests/growth/main.rs
+++ b/crates/dispatch/tests/growth/main.rs
@@ -31,7 +31,7 @@
 const ALL_SIZES: [usize; 5] = [100, 300, 1_000, 2_000, 4_000];
 
 #[test]
-fn a_new_entry_is_known_within_a_second() {
+fn a_new_entry_is_known_everywhere_within_a_second() {
     for hosts in SMALL_SIZES {
         let findings = change::play(Change::NewEntry, hosts);
         assert!(findings.last_ms() <= 1_000, "{findings:?}");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_changed_configuration_is_known_within_a_second() {
+fn a_changed_configuration_is_known_everywhere_within_a_second() {
     for hosts in SMALL_SIZES {
         let findings = change::play(Change::Configuration, hosts);
         assert!(findings.last_ms() <= 1_000, "{findings:?}");
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn agents_are_told_of_the_entries_that_they_choose() {
+fn agents_are_sent_the_entries_that_they_choose() {
     for entries in [8, 200] {
-        let mut fleet = Fleet::settled(entries, 20);
+        let mut fleet = Fleet::connected(entries, 20);
         let now_ms = fleet.now_ms;
         let agents: BTreeSet<usize> = (0..20).collect();
         let frames = fleet.entries[0].frames_to(now_ms, &agents);
@@ -103,10 +103,10 @@
 
 #[test]
 #[ignore = "prints a table"]
-fn telling_at_all_sizes() {
+fn sending_at_all_sizes() {
     println!("hosts,tell_us");
     for hosts in ALL_SIZES {
-        println!("{hosts},{:.0}", gossip::change_us(hosts / 5));
+        println!("{hosts},{:.0}", gossip::mean_change_us(hosts / 5));
     }
 }
 
--- a/crates/dispatch/tests/growth/queue.rs
+++ b/crates/dispatch/tests/growth/queue.rs
@@ -4,12 +4,12 @@
 
 /// Events in the order of their time and, at the same time, of their addition.
 #[derive(Debug)]
-pub struct Queue<T> {
+pub struct EventQueue<T> {
     events: BTreeMap<(u64, u64), T>,
     added: u64,
 }
 
-impl<T> Queue<T> {
+impl<T> EventQueue<T> {
     pub fn new() -> Self {
         Self {
             events: BTreeMap::new(),
--- a/crates/dispatch/tests/growth/report.rs
+++ b/crates/dispatch/tests/growth/report.rs
@@ -4,20 +4,20 @@
 
 use crate::change::Findings;
 
-const HEADER: &str = "change,hosts,median_ms,last_ms,messages,bytes,\
+const CSV_HEADER: &str = "change,hosts,median_ms,last_ms,messages,bytes,\
     busiest_messages,busiest_bytes,targets_us,targets_per_s,learn_us,learn_per_s,busiest_ms_per_s";
 
 /// One line for each size, and the powers with which the figures grow.
 pub fn table(findings: &[Findings]) -> String {
     let lines = findings.iter().map(ToString::to_string);
-    let lines = std::iter::once(HEADER.to_owned()).chain(lines);
-    let lines: Vec<String> = lines.chain([power(findings)]).collect();
+    let lines = std::iter::once(CSV_HEADER.to_owned()).chain(lines);
+    let lines: Vec<String> = lines.chain([growth_exponents(findings)]).collect();
     lines.join("\n")
 }
 
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seconds = self.counted_ms as f64 / 1e3;
+        let seconds = self.window_ms as f64 / 1e3;
         let (targets, learn) = (self.all.targets, self.all.learn);
         write!(
             f,
@@ -30,19 +30,19 @@
             self.all.bytes,
             self.busiest_messages,
             self.busiest_bytes,
-            targets.each_us(),
+            targets.mean_us(),
             targets.calls as f64 / seconds,
-            learn.each_us(),
+            learn.mean_us(),
             learn.calls as f64 / seconds,
-            self.busiest_work.as_secs_f64() * 1e3 / seconds,
+            self.busiest_time.as_secs_f64() * 1e3 / seconds,
         )
     }
 }
 
 /// The powers of the number of hosts with which the figures grow, by their
 /// logarithms over all sizes.
-fn power(findings: &[Findings]) -> String {
-    let of = |figure: fn(&Findings) -> f64| slope(findings, figure);
+fn growth_exponents(findings: &[Findings]) -> String {
+    let of = |figure: fn(&Findings) -> f64| log_log_slope(findings, figure);
     format!(
         "power,,,{:.2},{:.2},{:.2},{:.2},{:.2},{:.2},,{:.2},,{:.2}",
         of(|findings| findings.last_ms() as f64),
@@ -50,13 +50,13 @@
         of(|findings| findings.all.bytes as f64),
         of(|findings| findings.busiest_messages as f64),
         of(|findings| findings.busiest_bytes as f64),
-        of(|findings| findings.all.targets.each_us()),
-        of(|findings| findings.all.learn.each_us()),
-        of(|findings| findings.busiest_work.as_secs_f64()),
+        of(|findings| findings.all.targets.mean_us()),
+        of(|findings| findings.all.learn.mean_us()),
+        of(|findings| findings.busiest_time.as_secs_f64()),
     )
 }
 
-fn slope(findings: &[Findings], figure: fn(&Findings) -> f64) -> f64 {
+fn log_log_slope(findings: &[Findings], figure: fn(&Findings) -> f64) -> f64 {
     let points = findings.iter().map(|findings| {
         let hosts = findings.hosts as f64;
         (hosts.ln(), figure(findings).max(f64::MIN_POSITIVE).ln())
--- a/crates/dispatch/tests/growth/tally.rs
+++ b/crates/dispatch/tests/growth/tally.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 /// Bytes before each frame on a connection.
-const LENGTH_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
@@ -22,9 +22,9 @@
 }
 
 impl Tally {
-    pub fn sent(&mut self, frame: &[u8]) {
+    pub fn count_frame(&mut self, frame: &[u8]) {
         self.messages += 1;
-        self.bytes += (frame.len() + LENGTH_BYTES) as u64;
+        self.bytes += (frame.len() + LENGTH_PREFIX_BYTES) as u64;
     }
 
     pub fn plus(&self, other: &Self) -> Self {
@@ -44,14 +44,14 @@
 
 impl Work {
     pub fn measure<T>(&mut self, call: impl FnOnce() -> T) -> T {
-        let began = Instant::now();
+        let started = Instant::now();
         let result = call();
-        self.time += began.elapsed();
+        self.time += started.elapsed();
         self.calls += 1;
         result
     }
 
-    pub fn each_us(self) -> f64 {
+    pub fn mean_us(self) -> f64 {
         self.time.as_secs_f64() * 1e6 / self.calls.max(1) as f64
     }
 
--- a/crates/dispatch/tests/late_binding.rs
+++ b/crates/dispatch/tests/late_binding.rs
@@ -19,21 +19,21 @@
 use session::table;
 
 /// Tasks that a minion of the session runs at one time.
-const PLACES: u32 = 10;
+const TASKS_PER_MINION: u32 = 10;
 
 /// Like [`FairShare`], but refuses nothing.
 #[derive(Debug, Default)]
-struct Patient {
-    rest: FairShare,
+struct AdmitsAll {
+    fair_share: FairShare,
 }
 
-impl OverloadPolicy for Patient {
+impl OverloadPolicy for AdmitsAll {
     fn admits(&mut self, _: u64, _: &Arrival<'_>, _: &ServiceView) -> bool {
         true
     }
 
     fn offered_milli(&self, now_ms: u64, service: &Name) -> f64 {
-        self.rest.offered_milli(now_ms, service)
+        self.fair_share.offered_milli(now_ms, service)
     }
 
     fn note_shed(&mut self, _: u64, _: &Name, _: u64) {}
@@ -43,17 +43,17 @@
     }
 
     fn rank(&self, now_ms: u64, job: &WaitingJob) -> Rank {
-        self.rest.rank(now_ms, job)
+        self.fair_share.rank(now_ms, job)
     }
 
     fn retry_after_ms(&self, view: &ServiceView, spread: f64) -> u64 {
-        self.rest.retry_after_ms(view, spread)
+        self.fair_share.retry_after_ms(view, spread)
     }
 }
 
 /// Two entries in front of one minion.
 fn session() -> Session {
-    let policy = || -> BoxedPolicy { Box::new(Patient::default()) };
+    let policy = || -> BoxedPolicy { Box::new(AdmitsAll::default()) };
     let kind = MinionKind {
         capacity: MINION_CAPACITY,
         speed: 1.0,
@@ -64,12 +64,12 @@
 }
 
 #[test]
-fn room_that_comes_up_goes_to_the_most_urgent_task_of_any_entry() {
+fn freed_resources_go_to_the_most_urgent_task_of_any_entry() {
     let mut session = session();
-    session.submit(0, "first", PLACES, 300);
+    session.submit(0, "first", TASKS_PER_MINION, 300);
     session.run(50);
     // The entry whose tasks end hears of the room first, and could use it all.
-    session.submit(0, "long", PLACES, 300);
+    session.submit(0, "long", TASKS_PER_MINION, 300);
     session.run(200);
     let urgent = session.submit(1, "urgent", 4, 60);
     session.run_until_answered(urgent, 1_000);
@@ -82,16 +82,16 @@
 }
 
 #[test]
-fn an_offer_that_is_of_no_use_does_not_keep_room_from_others() {
+fn an_unused_offer_does_not_withhold_resources_from_others() {
     let mut session = session();
-    let first = session.submit(0, "first", PLACES, 300);
+    let first = session.submit(0, "first", TASKS_PER_MINION, 300);
     session.run(100);
-    let left = session.submit(0, "left", PLACES, 100);
+    let abandoned = session.submit(0, "left", TASKS_PER_MINION, 100);
     session.run(50);
-    let waiting = session.submit(1, "waiting", PLACES, 300);
+    let waiting = session.submit(1, "waiting", TASKS_PER_MINION, 300);
     session.run(20);
-    session.break_caller(left);
-    session.forget_caller(left);
+    session.break_caller(abandoned);
+    session.forget_caller(abandoned);
     session.run_until_answered(first, 1_000);
     let ended_ms = session.now_ms;
     session.run_until_answered(waiting, 1_000);
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn while_entries_are_few_all_are_chosen_and_the_seeds_too() {
+fn all_entries_and_seeds_are_chosen_while_entries_are_few() {
     let few = entries(MAX_LINKED_ENTRIES - 1);
     assert_eq!(chosen(1, &few).len(), MAX_LINKED_ENTRIES);
 }
 
 #[test]
-fn at_the_target_size_each_entry_is_chosen_by_a_like_number_of_agents() {
+fn at_the_target_size_entries_are_chosen_by_similar_numbers_of_agents() {
     const AGENTS: usize = 671;
     let entries = entries(183);
     let mut counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
@@ -51,15 +51,15 @@
         }
     }
     let mean = AGENTS * MAX_LINKED_ENTRIES / entries.len();
-    let least = entries.iter().map(|entry| counts.get(entry).copied());
-    let least = least.map(Option::unwrap_or_default).min();
+    let fewest = entries.iter().map(|entry| counts.get(entry).copied());
+    let fewest = fewest.map(Option::unwrap_or_default).min();
     let most = counts.values().max().copied();
-    assert!(least >= Some(mean / 2), "{least:?} of {mean}");
+    assert!(fewest >= Some(mean / 2), "{fewest:?} of {mean}");
     assert!(most <= Some(mean * 2), "{most:?} of {mean}");
 }
 
 #[test]
-fn an_entry_that_goes_moves_one_link_of_those_that_chose_it() {
+fn removing_an_entry_moves_one_link_of_each_agent_that_chose_it() {
     let before = entries(60);
     let after = &before[1..];
     for agent in 0..50 {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_link_that_is_not_chosen_ends_with_its_last_run() {
+fn a_link_that_is_not_chosen_closes_after_its_last_run() {
     let mut session = Session::new(2, 1);
     let job = session.submit(0, "a", 4, 400);
     session.run(100);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_link_that_is_let_go_loses_no_end_of_its_runs() {
+fn a_retired_link_delivers_the_ends_of_its_runs() {
     let mut session = Session::new(2, 1);
     let job = session.submit(0, "a", 4, 400);
     session.run(100);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn no_link_is_let_go_while_a_chosen_entry_has_none() {
+fn no_link_is_retired_while_a_chosen_entry_has_none() {
     let mut session = Session::new(2, 1);
     session.agent_mut(0).keep_links(&BTreeSet::from([entry(7)]));
     session.run(200);
--- a/crates/dispatch/tests/long_tasks.rs
+++ b/crates/dispatch/tests/long_tasks.rs
@@ -22,17 +22,17 @@
     seven_times = { 7 },
     ten_times = { 10 },
 )]
-fn a_task_that_is_longer_than_declared_is_not_given_up_at_work(times: u64) {
+fn a_running_task_that_takes_longer_than_declared_is_not_given_up(factor: u64) {
     let mut session = Session::new(2, 3);
-    let job = session.submit_declared(0, "long", 3, DECLARED_MS * times, DECLARED_MS);
-    session.run(objective_ms(DECLARED_MS * times));
+    let job = session.submit_declared(0, "long", 3, DECLARED_MS * factor, DECLARED_MS);
+    session.run(objective_ms(DECLARED_MS * factor));
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
 /// Progress alone makes a job longer: one that stands still ends as before.
 #[test]
-fn a_task_that_stands_still_does_not_make_its_job_longer() {
+fn a_stalled_task_does_not_extend_its_job() {
     let mut session = Session::new(1, 3);
     let job = session.submit_declared(0, "hanging", 3, DECLARED_MS, DECLARED_MS);
     for minion in &mut session.minions {
@@ -44,7 +44,7 @@
 
 /// Nothing outlasts its caller.
 #[test]
-fn a_job_ends_when_its_caller_waits_no_longer() {
+fn a_job_ends_with_the_wait_time_of_its_caller() {
     let mut session = Session::new(1, 3);
     let job = session.submit_declared(0, "longer", 1, 20_000, DECLARED_MS);
     session.run(6_100);
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -50,12 +50,12 @@
                 continue;
             }
             for target in self.directories[number].targets(self.now_ms) {
-                self.tell(number, target);
+                self.send_list(number, target);
             }
         }
     }
 
-    fn tell(&mut self, number: usize, target: SocketAddr) {
+    fn send_list(&mut self, number: usize, target: SocketAddr) {
         let Some(other) = (0..ENTRIES).find(|other| addr(*other) == target) else {
             return;
         };
@@ -68,49 +68,53 @@
         self.directories[other].merge_seen(self.now_ms, &list);
     }
 
-    fn know(&self, number: usize) -> usize {
+    fn count_entries_that_know(&self, number: usize) -> usize {
         let up = (0..ENTRIES).filter(|other| self.is_up[*other]);
-        let know = |other: &usize| {
+        let has_addr = |other: &usize| {
             self.directories[*other]
                 .recent_addrs(self.now_ms)
                 .contains(&addr(number))
         };
-        up.filter(know).count()
+        up.filter(has_addr).count()
     }
 }
 
 #[test]
-fn all_entries_know_each_other_after_a_few_lists() {
+fn all_entries_know_each_other_after_four_lists() {
     let mut fleet = Fleet::new();
     for _ in 0..4 {
         fleet.exchange();
     }
     for number in 0..ENTRIES {
-        assert_eq!(fleet.know(number), ENTRIES, "of entry {number}");
+        assert_eq!(
+            fleet.count_entries_that_know(number),
+            ENTRIES,
+            "of entry {number}"
+        );
         let targets = fleet.directories[number].targets(fleet.now_ms).len();
         assert_eq!(targets, MAX_LINKED_PEERS);
     }
 }
 
 #[test]
-fn an_entry_that_is_gone_is_forgotten_everywhere() {
+fn a_removed_entry_is_forgotten_everywhere() {
     let mut fleet = Fleet::new();
     for _ in 0..4 {
         fleet.exchange();
     }
     fleet.is_up[17] = false;
-    let gone_ms = fleet.now_ms;
+    let removed_at_ms = fleet.now_ms;
     fleet.exchange();
-    assert_eq!(fleet.know(17), ENTRIES - 1);
-    while fleet.now_ms < gone_ms + FORGOTTEN_WITHIN_MS {
+    assert_eq!(fleet.count_entries_that_know(17), ENTRIES - 1);
+    while fleet.now_ms < removed_at_ms + FORGOTTEN_WITHIN_MS {
         fleet.exchange();
     }
-    assert_eq!(fleet.know(17), 0);
-    assert_eq!(fleet.know(18), ENTRIES - 1);
+    assert_eq!(fleet.count_entries_that_know(17), 0);
+    assert_eq!(fleet.count_entries_that_know(18), ENTRIES - 1);
 }
 
 #[test]
-fn what_the_store_tells_is_tried_and_not_passed_on() {
+fn addresses_from_the_store_are_dialed_but_not_gossiped() {
     let mut directory = Directory::new(Some(addr(1)), []);
     directory.learn(1_000, &[addr(9)]);
     assert!(directory.targets(1_000).contains(&addr(9)));
--- a/crates/dispatch/tests/overload.rs
+++ b/crates/dispatch/tests/overload.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_overload_is_refused_early_and_the_rest_is_in_time() {
+fn excess_jobs_are_refused_early_and_the_rest_are_in_time() {
     let (session, jobs) = overload();
     let violations = &session.violations;
     assert!(violations.is_empty(), "{violations:?}");
@@ -51,15 +51,15 @@
         let caller = &session.callers[job];
         caller.answered_ms.unwrap() - caller.sent_ms
     };
-    let with = |holds: &dyn Fn(JobOutcome) -> bool| -> Vec<u64> {
+    let took_ms_with = |is_counted: &dyn Fn(JobOutcome) -> bool| -> Vec<u64> {
         let ends = jobs
             .iter()
-            .filter(|job| holds(session.outcome(**job).unwrap()));
+            .filter(|job| is_counted(session.outcome(**job).unwrap()));
         ends.map(|job| took_ms(*job)).collect()
     };
-    let completed = with(&|outcome| outcome == JobOutcome::Completed);
-    let refused = with(&|outcome| matches!(outcome, JobOutcome::Refused { .. }));
-    let given_up = with(&|outcome| outcome == JobOutcome::TooLate);
+    let completed = took_ms_with(&|outcome| outcome == JobOutcome::Completed);
+    let refused = took_ms_with(&|outcome| matches!(outcome, JobOutcome::Refused { .. }));
+    let given_up = took_ms_with(&|outcome| outcome == JobOutcome::TooLate);
     let in_time = completed
         .iter()
         .filter(|took_ms| **took_ms <= OBJECTIVE_MS)
@@ -136,7 +136,7 @@
     }
 }
 
-fn greet(dispatcher: &mut Dispatcher, now_ms: u64, link: LinkId, service: &str) {
+fn agent_up(dispatcher: &mut Dispatcher, now_ms: u64, link: LinkId, service: &str) {
     let hello = AgentHello {
         node: NodeId(link.0),
         host: format!("host-{}", link.0).into(),
@@ -154,7 +154,7 @@
 
 /// An agent without any room greets.
 fn full_agent_up(dispatcher: &mut Dispatcher, now_ms: u64, link: LinkId, service: &str) {
-    greet(dispatcher, now_ms, link, service);
+    agent_up(dispatcher, now_ms, link, service);
     let frame = AgentFrame {
         clock_ms: now_ms,
         starts_received: 0,
@@ -169,9 +169,9 @@
 }
 
 #[test]
-fn a_job_is_not_refused_before_the_agents_have_told_their_room() {
+fn no_job_is_refused_before_agents_report_free_resources() {
     let (mut dispatcher, now_ms) = dispatcher();
-    greet(&mut dispatcher, now_ms, LinkId(1), "other");
+    agent_up(&mut dispatcher, now_ms, LinkId(1), "other");
     dispatcher.submit(now_ms, CallerId(1), job(1, "other", 400));
     dispatcher.tick(now_ms + 10);
     let answers = dispatcher.take_actions();
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_full_service_does_not_refuse_jobs_of_another() {
+fn a_full_service_does_not_cause_refusals_in_another() {
     let (mut dispatcher, now_ms) = dispatcher();
     full_agent_up(&mut dispatcher, now_ms, LinkId(1), "full");
     for link in 2..6 {
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_entry_that_stood_still_refuses_nothing_before_it_has_heard_its_agents() {
+fn a_suspended_entry_refuses_no_job_before_its_agents_report() {
     let (mut dispatcher, now_ms) = dispatcher();
     full_agent_up(&mut dispatcher, now_ms, LinkId(1), "other");
     dispatcher.tick(now_ms);
--- a/crates/dispatch/tests/policy.rs
+++ b/crates/dispatch/tests/policy.rs
@@ -11,7 +11,7 @@
 
 const SERVICE: &str = "desk";
 /// Room of all minions, in thousandths of a core.
-const ROOM_MILLI: f64 = 400_000.0;
+const CAPACITY_MILLI: f64 = 400_000.0;
 /// Work of a job: two cores for 200 ms.
 const WORK: f64 = 2_000.0 * 200.0;
 
@@ -41,73 +41,73 @@
 /// The service while this many times its room comes and this much waits.
 fn view(load: f64, waiting_ms: f64) -> ServiceView {
     ServiceView {
-        capacity_milli: ROOM_MILLI,
-        offered_milli: ROOM_MILLI * load,
-        waiting_core_ms: ROOM_MILLI / 1_000.0 * waiting_ms,
+        capacity_milli: CAPACITY_MILLI,
+        offered_milli: CAPACITY_MILLI * load,
+        waiting_core_ms: CAPACITY_MILLI / 1_000.0 * waiting_ms,
         is_capacity_known: true,
     }
 }
 
 /// Parts of the jobs of each queue that are taken in, when they come by turns
 /// for two seconds.
-fn taken(view: &ServiceView, rare: usize) -> (f64, f64) {
+fn admitted_fractions(view: &ServiceView, rare_interval: usize) -> (f64, f64) {
     let mut policy = FairShare::default();
-    let (often, seldom) = (queue("often"), queue("seldom"));
+    let (frequent, rare) = (queue("often"), queue("seldom"));
     let mut counts = [(0, 0); 2];
     for number in 0..2_000 {
-        let is_seldom = number % rare == 0;
-        let queue = if is_seldom { &seldom } else { &often };
+        let is_rare = number % rare_interval == 0;
+        let queue = if is_rare { &rare } else { &frequent };
         let arrival = arrival(queue);
-        let (asked, taken) = &mut counts[usize::from(is_seldom)];
-        *asked += 1;
-        *taken += usize::from(policy.admits(1_000 + number as u64, &arrival, view));
+        let (submitted, admitted) = &mut counts[usize::from(is_rare)];
+        *submitted += 1;
+        *admitted += usize::from(policy.admits(1_000 + number as u64, &arrival, view));
     }
-    let share = |(asked, taken): (usize, usize)| taken as f64 / asked as f64;
-    (share(counts[0]), share(counts[1]))
+    let fraction = |(submitted, admitted): (usize, usize)| admitted as f64 / submitted as f64;
+    (fraction(counts[0]), fraction(counts[1]))
 }
 
 #[test]
-fn all_is_taken_in_while_there_is_room() {
-    assert_eq!(taken(&view(0.9, 10.0), 20), (1.0, 1.0));
+fn all_jobs_are_admitted_below_capacity() {
+    assert_eq!(admitted_fractions(&view(0.9, 10.0), 20), (1.0, 1.0));
 }
 
 #[test]
-fn the_same_share_of_each_queue_is_taken_in_under_overload() {
-    let (often, seldom) = taken(&view(2.0, 25.0), 20);
-    assert!((0.4..0.7).contains(&often), "{often}");
-    assert!((often - seldom).abs() < 0.03, "{often} and {seldom}");
+fn the_same_fraction_of_each_queue_is_admitted_under_overload() {
+    let (frequent, rare) = admitted_fractions(&view(2.0, 25.0), 20);
+    assert!((0.4..0.7).contains(&frequent), "{frequent}");
+    assert!((frequent - rare).abs() < 0.03, "{frequent} and {rare}");
 }
 
 #[test]
-fn a_backlog_lessens_the_share_and_an_empty_one_fills() {
-    let (full, _) = taken(&view(1.2, 150.0), 20);
-    let (empty, _) = taken(&view(1.2, 0.0), 20);
+fn a_backlog_lowers_the_admitted_fraction_and_an_empty_one_raises_it() {
+    let (full, _) = admitted_fractions(&view(1.2, 150.0), 20);
+    let (empty, _) = admitted_fractions(&view(1.2, 0.0), 20);
     assert!(full < 0.63, "{full}");
     assert!(empty > 0.85, "{empty}");
 }
 
 #[test]
-fn nothing_is_refused_before_the_room_is_known() {
+fn no_job_is_refused_before_the_capacity_is_known() {
     let unknown = ServiceView {
         is_capacity_known: false,
         ..view(5.0, 300.0)
     };
-    assert_eq!(taken(&unknown, 20), (1.0, 1.0));
+    assert_eq!(admitted_fractions(&unknown, 20), (1.0, 1.0));
 }
 
 #[test]
-fn callers_are_told_to_come_back_later_the_less_is_taken_in() {
+fn the_retry_delay_grows_with_the_overload() {
     let policy = FairShare::default();
-    let busy_ms = policy.retry_after_ms(&view(1.2, 20.0), 0.5);
-    let flooded_ms = policy.retry_after_ms(&view(4.0, 100.0), 0.5);
-    assert!((500..1_000).contains(&busy_ms), "{busy_ms}");
-    assert!(flooded_ms > 3 * busy_ms, "{flooded_ms}");
-    let longest_ms = policy.retry_after_ms(&view(1_000.0, 10_000.0), 1.0);
-    assert_eq!(longest_ms, 10_000);
+    let loaded_ms = policy.retry_after_ms(&view(1.2, 20.0), 0.5);
+    let overloaded_ms = policy.retry_after_ms(&view(4.0, 100.0), 0.5);
+    assert!((500..1_000).contains(&loaded_ms), "{loaded_ms}");
+    assert!(overloaded_ms > 3 * loaded_ms, "{overloaded_ms}");
+    let max_ms = policy.retry_after_ms(&view(1_000.0, 10_000.0), 1.0);
+    assert_eq!(max_ms, 10_000);
 }
 
 #[test]
-fn callers_do_not_come_back_together() {
+fn retry_delays_are_spread() {
     let policy = FairShare::default();
     let view = view(2.0, 50.0);
     let first_ms = policy.retry_after_ms(&view, 0.0);
@@ -124,21 +124,21 @@
 }
 
 #[test]
-fn what_has_begun_goes_first_and_what_will_be_late_last() {
+fn started_jobs_rank_first_and_late_ones_last() {
     let policy = FairShare::default();
     let now_ms = 1_000;
-    let begun = waiting(900, 200.0, true);
+    let started = waiting(900, 200.0, true);
     let urgent = waiting(1_150, 60.0, false);
-    let patient = waiting(2_500, 900.0, false);
+    let with_slack = waiting(2_500, 900.0, false);
     let late = waiting(1_100, 200.0, false);
-    let mut jobs = [late, patient, begun, urgent];
+    let mut jobs = [late, with_slack, started, urgent];
     jobs.sort_by_key(|job| policy.rank(now_ms, job));
     let objectives_ms = jobs.map(|job| job.objective_ms);
     assert_eq!(objectives_ms, [900, 1_150, 2_500, 1_100]);
 }
 
 #[test]
-fn a_job_that_would_only_just_be_in_time_has_no_prospect() {
+fn a_job_without_margin_cannot_meet_its_objective() {
     let policy = FairShare::default();
     let job = waiting(3_200, 200.0, false);
     assert!(policy.can_meet_objective(2_900, &job, 30.0));
@@ -147,23 +147,23 @@
 
 /// The part of the jobs that is taken in while this much work waits, after as
 /// many jobs waited in vain, 50 ms apart, and a pause.
-fn taken_after(waiting_ms: f64, in_vain: u64, pause_ms: u64) -> f64 {
+fn admitted_fraction_after(waiting_ms: f64, shed_jobs: u64, pause_ms: u64) -> f64 {
     let mut policy = FairShare::default();
     let queue = queue("often");
     let arrival = arrival(&queue);
     let mut now_ms = 1_000;
     policy.admits(now_ms, &arrival, &view(1.2, waiting_ms));
-    for _ in 0..in_vain {
+    for _ in 0..shed_jobs {
         now_ms += 50;
         policy.note_shed(now_ms, &SERVICE.into(), 1_000);
     }
     now_ms += pause_ms;
-    let taken = (0..400).filter(|_| policy.admits(now_ms, &arrival, &view(1.2, waiting_ms)));
-    taken.count() as f64 / 400.0
+    let admitted = (0..400).filter(|_| policy.admits(now_ms, &arrival, &view(1.2, waiting_ms)));
+    admitted.count() as f64 / 400.0
 }
 
 #[test]
-fn what_was_taken_in_before_the_room_was_known_tells_nothing_of_the_backlog() {
+fn jobs_admitted_before_the_capacity_was_known_do_not_lower_the_backlog_limit() {
     let mut policy = FairShare::default();
     let queue = queue("often");
     let arrival = arrival(&queue);
@@ -173,16 +173,22 @@
         policy.note_shed(now_ms, &SERVICE.into(), 1_000);
     }
     let view = view(1.2, 60.0);
-    let taken = (0..400).filter(|_| policy.admits(1_700, &arrival, &view));
-    assert!(taken.count() > 380);
+    let admitted = (0..400).filter(|_| policy.admits(1_700, &arrival, &view));
+    assert!(admitted.count() > 380);
 }
 
 #[test]
-fn less_may_wait_once_jobs_waited_in_vain_and_more_again_when_none_do() {
-    let (fresh, lasting) = (taken_after(60.0, 0, 0), taken_after(60.0, 12, 0));
+fn the_backlog_limit_falls_after_shed_jobs_and_recovers_without_them() {
+    let (fresh, lasting) = (
+        admitted_fraction_after(60.0, 0, 0),
+        admitted_fraction_after(60.0, 12, 0),
+    );
     assert!(fresh > 0.95 && lasting < 0.75, "{fresh} and {lasting}");
-    let (soon, later) = (taken_after(60.0, 12, 500), taken_after(60.0, 12, 3_000));
+    let (soon, later) = (
+        admitted_fraction_after(60.0, 12, 500),
+        admitted_fraction_after(60.0, 12, 3_000),
+    );
     assert!(soon < 0.85 && later > 0.95, "{soon} and {later}");
-    let long = taken_after(150.0, 12, 0);
+    let long = admitted_fraction_after(150.0, 12, 0);
     assert!(long < 0.35, "{long}");
 }
--- a/crates/dispatch/tests/replay/admits_all.rs
+++ b/crates/dispatch/tests/replay/admits_all.rs
@@ -11,36 +11,36 @@
 
 /// Like [`FairShare`], but for what is taken in.
 #[derive(Debug, Default)]
-struct TakesAll {
-    rest: FairShare,
+struct AdmitsAll {
+    fair_share: FairShare,
 }
 
-pub fn takes_all() -> BoxedPolicy {
-    Box::new(TakesAll::default())
+pub fn admits_all() -> BoxedPolicy {
+    Box::new(AdmitsAll::default())
 }
 
-impl OverloadPolicy for TakesAll {
+impl OverloadPolicy for AdmitsAll {
     fn admits(&mut self, _: u64, _: &Arrival<'_>, _: &ServiceView) -> bool {
         true
     }
 
     fn offered_milli(&self, now_ms: u64, service: &Name) -> f64 {
-        self.rest.offered_milli(now_ms, service)
+        self.fair_share.offered_milli(now_ms, service)
     }
 
     fn note_shed(&mut self, now_ms: u64, service: &Name, received_ms: u64) {
-        self.rest.note_shed(now_ms, service, received_ms);
+        self.fair_share.note_shed(now_ms, service, received_ms);
     }
 
     fn can_meet_objective(&self, now_ms: u64, job: &WaitingJob, wait_ms: f64) -> bool {
-        self.rest.can_meet_objective(now_ms, job, wait_ms)
+        self.fair_share.can_meet_objective(now_ms, job, wait_ms)
     }
 
     fn rank(&self, now_ms: u64, job: &WaitingJob) -> Rank {
-        self.rest.rank(now_ms, job)
+        self.fair_share.rank(now_ms, job)
     }
 
     fn retry_after_ms(&self, view: &ServiceView, spread: f64) -> u64 {
-        self.rest.retry_after_ms(view, spread)
+        self.fair_share.retry_after_ms(view, spread)
     }
 }
--- a/crates/dispatch/tests/replay/central.rs
+++ b/crates/dispatch/tests/replay/central.rs
@@ -5,7 +5,7 @@
 
 use crate::pattern::Arrival;
 use crate::pattern::Pattern;
-use crate::report::Fate;
+use crate::report::Outcome;
 use crate::session::MinionKind;
 use crate::session::zone_number;
 
@@ -16,77 +16,77 @@
     job: usize,
     task: usize,
     minion: usize,
-    left_ms: f64,
+    remaining_ms: f64,
 }
 
 struct Waiting {
     job: usize,
     /// Tasks that no minion runs or has done.
     tasks: Vec<usize>,
-    left: usize,
+    unfinished: usize,
     has_started: bool,
 }
 
 /// How each job ends at the central queue.
-pub fn play(pattern: &Pattern, arrivals: &[Arrival]) -> Vec<Fate> {
+pub fn play(pattern: &Pattern, arrivals: &[Arrival]) -> Vec<Outcome> {
     let mut queue = Central {
         kinds: pattern.kinds(),
         arrivals,
         running: Vec::new(),
         waiting: Vec::new(),
-        fates: vec![Fate::Refused; arrivals.len()],
+        outcomes: vec![Outcome::Refused; arrivals.len()],
     };
-    let mut coming: Vec<(u64, usize)> = Vec::new();
+    let mut upcoming: Vec<(u64, usize)> = Vec::new();
     for (job, arrival) in arrivals.iter().enumerate() {
-        coming.push((pattern.sent_ms(arrival.at_ms), job));
+        upcoming.push((pattern.received_ms(arrival.at_ms), job));
     }
-    coming.sort_unstable();
-    let mut coming = coming.into_iter().peekable();
+    upcoming.sort_unstable();
+    let mut upcoming = upcoming.into_iter().peekable();
     let mut now_ms = 0;
-    while coming.peek().is_some() || !queue.waiting.is_empty() {
+    while upcoming.peek().is_some() || !queue.waiting.is_empty() {
         now_ms += 1;
-        queue.work(now_ms, pattern);
-        while let Some((_, job)) = coming.next_if(|(at_ms, _)| *at_ms <= now_ms) {
+        queue.advance(now_ms, pattern);
+        while let Some((_, job)) = upcoming.next_if(|(at_ms, _)| *at_ms <= now_ms) {
             let tasks = arrivals[job].shape.work_ms.len();
             queue.waiting.push(Waiting {
                 job,
                 tasks: (0..tasks).collect(),
-                left: tasks,
+                unfinished: tasks,
                 has_started: false,
             });
         }
-        queue.place(now_ms, pattern);
+        queue.start_tasks(now_ms, pattern);
     }
-    queue.fates
+    queue.outcomes
 }
 
 impl Pattern {
     /// When a job that comes now reaches an entry.
-    fn sent_ms(&self, at_ms: u64) -> u64 {
-        let is_gone = self.outages.iter().any(|outage| {
+    fn received_ms(&self, at_ms: u64) -> u64 {
+        let is_down = self.outages.iter().any(|outage| {
             outage.with_entries && (outage.at_ms..outage.at_ms + outage.for_ms).contains(&at_ms)
         });
-        if is_gone { at_ms + RESEND_MS } else { at_ms }
+        if is_down { at_ms + RESEND_MS } else { at_ms }
     }
 
     /// Whether a minion does no work; the central queue knows the grey ones.
-    fn is_away(&self, minion: usize, now_ms: u64) -> bool {
+    fn is_unusable(&self, minion: usize, now_ms: u64) -> bool {
         let is_grey = self
             .grey
             .iter()
-            .any(|grey| grey.is_present(now_ms) && grey.minions().contains(&minion));
-        is_grey || self.is_gone(minion, now_ms)
+            .any(|grey| grey.is_active(now_ms) && grey.minions().contains(&minion));
+        is_grey || self.is_down(minion, now_ms)
     }
 
     /// Whether nothing more is started on a minion.
-    fn is_closed(&self, minion: usize, now_ms: u64) -> bool {
+    fn takes_no_starts(&self, minion: usize, now_ms: u64) -> bool {
         let zone = zone_number(minion);
         let here = self.evacuations.iter().filter(|one| one.zone == zone);
-        let mut present = here.filter(|one| one.is_present(now_ms));
-        self.is_away(minion, now_ms) || present.next().is_some()
+        let mut present = here.filter(|one| one.is_active(now_ms));
+        self.is_unusable(minion, now_ms) || present.next().is_some()
     }
 
-    fn is_gone(&self, minion: usize, now_ms: u64) -> bool {
+    fn is_down(&self, minion: usize, now_ms: u64) -> bool {
         self.outages.iter().any(|outage| {
             minion < outage.minions
                 && (outage.at_ms..outage.at_ms + outage.for_ms).contains(&now_ms)
@@ -99,28 +99,35 @@
     arrivals: &'a [Arrival],
     running: Vec<Running>,
     waiting: Vec<Waiting>,
-    fates: Vec<Fate>,
+    outcomes: Vec<Outcome>,
 }
 
 impl Central<'_> {
     /// Lets what runs go on for a millisecond.
-    fn work(&mut self, now_ms: u64, pattern: &Pattern) {
+    fn advance(&mut self, now_ms: u64, pattern: &Pattern) {
         for run in std::mem::take(&mut self.running) {
-            let left_ms = run.left_ms - self.kinds[run.minion].speed;
+            let remaining_ms = run.remaining_ms - self.kinds[run.minion].speed;
             let position = self.waiting.iter().position(|one| one.job == run.job);
             let Some(position) = position else {
                 continue;
             };
-            if pattern.is_away(run.minion, now_ms) {
+            if pattern.is_unusable(run.minion, now_ms) {
                 self.waiting[position].tasks.push(run.task);
-            } else if left_ms > 0.0 {
-                self.running.push(Running { left_ms, ..run });
+            } else if remaining_ms > 0.0 {
+                self.running.push(Running {
+                    remaining_ms,
+                    ..run
+                });
             } else {
-                self.waiting[position].left -= 1;
-                if self.waiting[position].left == 0 {
+                self.waiting[position].unfinished -= 1;
+                if self.waiting[position].unfinished == 0 {
                     let arrival = &self.arrivals[run.job];
                     let is_late = now_ms > arrival.at_ms + arrival.objective_ms;
-                    self.fates[run.job] = if is_late { Fate::Late } else { Fate::InTime };
+                    self.outcomes[run.job] = if is_late {
+                        Outcome::Late
+                    } else {
+                        Outcome::InTime
+                    };
                     self.waiting.remove(position);
                 }
             }
@@ -129,14 +136,14 @@
 
     /// Starts what there is room for: jobs that have begun, then the one that
     /// must start soonest; drops what has not begun and would be late.
-    fn place(&mut self, now_ms: u64, pattern: &Pattern) {
+    fn start_tasks(&mut self, now_ms: u64, pattern: &Pattern) {
         let arrivals = self.arrivals;
         self.waiting
-            .retain(|one| one.has_started || now_ms as f64 <= latest_ms(&arrivals[one.job]));
+            .retain(|one| one.has_started || now_ms as f64 <= latest_start_ms(&arrivals[one.job]));
         self.waiting.sort_by(|one, other| {
-            let latest = |one: &Waiting| latest_ms(&arrivals[one.job]);
-            let begun = other.has_started.cmp(&one.has_started);
-            begun.then(latest(one).total_cmp(&latest(other)))
+            let latest = |one: &Waiting| latest_start_ms(&arrivals[one.job]);
+            let started = other.has_started.cmp(&one.has_started);
+            started.then(latest(one).total_cmp(&latest(other)))
         });
         let mut free: Vec<Resources> = self.kinds.iter().map(|kind| kind.capacity).collect();
         for run in &self.running {
@@ -147,7 +154,7 @@
             while let Some(task) = one.tasks.last().copied() {
                 let fits = (0..self.kinds.len())
                     .filter(|minion| free[*minion].can_fit(&shape.needs))
-                    .filter(|minion| !pattern.is_closed(*minion, now_ms));
+                    .filter(|minion| !pattern.takes_no_starts(*minion, now_ms));
                 let speed = |minion: &usize| self.kinds[*minion].speed;
                 let Some(minion) = fits.max_by(|a, b| speed(a).total_cmp(&speed(b))) else {
                     return;
@@ -159,7 +166,7 @@
                     job: one.job,
                     task,
                     minion,
-                    left_ms: shape.work_ms[task],
+                    remaining_ms: shape.work_ms[task],
                 });
             }
         }
@@ -167,7 +174,7 @@
 }
 
 /// When a job must start to be in time on an ordinary minion.
-fn latest_ms(arrival: &Arrival) -> f64 {
+fn latest_start_ms(arrival: &Arrival) -> f64 {
     let longest_ms = arrival.shape.work_ms.iter().copied().fold(0.0, f64::max);
     (arrival.at_ms + arrival.objective_ms) as f64 - longest_ms
 }
--- a/crates/dispatch/tests/replay/main.rs
+++ b/crates/dispatch/tests/replay/main.rs
@@ -16,7 +16,7 @@
 use pattern::Evacuation;
 use pattern::GreyMood;
 use pattern::Pattern;
-use report::Fate;
+use report::Outcome;
 use report::Row;
 use session::Behavior;
 use session::Session;
@@ -36,14 +36,14 @@
 const OTHER_LARGE_SEEDS: [u64; 4] = [22, 23, 24, 25];
 /// How much further from the central queue other seeds may be: some of them bring
 /// as much work as there is room, and 2% of it is refused.
-const OF_CENTRAL_CHANCE: f64 = 0.02;
+const OF_CENTRAL_MARGIN: f64 = 0.02;
 
 /// Jobs from which on their share is told from chance.
-const TELLING_JOBS: usize = 20;
+const MIN_COMPARED_JOBS: usize = 20;
 
 /// What a replay showed.
 struct Replay {
-    fates: Vec<Fate>,
+    outcomes: Vec<Outcome>,
     /// Room that stood idle while a task waited for it, in parts of all room
     /// at the times at which some task waited.
     idle: f64,
@@ -52,7 +52,7 @@
     /// Median and largest time that refused jobs waited, in milliseconds.
     refused_ms: (u64, u64),
     /// Part of the refused jobs for which there was room when they were refused.
-    refused_with_room: f64,
+    refused_with_free_resources: f64,
 }
 
 fn replay(pattern: &Pattern, arrivals: &[Arrival], policy: fn() -> BoxedPolicy) -> Replay {
@@ -60,54 +60,64 @@
     let mut session = Session::with_minions(entries, pattern.kinds(), pattern.queues(), policy);
     session.has_prompt_minions = true;
     let start_ms = session.now_ms;
-    let mut idle = Idle::default();
+    let mut idle = IdleCapacity::default();
     let mut next = 0;
-    for passed_ms in 0..pattern.length_ms + DRAIN_MS {
-        begin_outages(&mut session, pattern, passed_ms);
-        change_moods(&mut session, pattern, passed_ms);
-        change_zones(&mut session, pattern, passed_ms);
-        while let Some(arrival) = arrivals.get(next).filter(|one| one.at_ms <= passed_ms) {
+    for elapsed_ms in 0..pattern.length_ms + DRAIN_MS {
+        begin_outages(&mut session, pattern, elapsed_ms);
+        change_behaviors(&mut session, pattern, elapsed_ms);
+        change_evacuations(&mut session, pattern, elapsed_ms);
+        while let Some(arrival) = arrivals.get(next).filter(|one| one.at_ms <= elapsed_ms) {
             let id = format!("job-{next}");
             session.submit_shape(arrival.entry, &id, arrival.shape.clone());
             next += 1;
         }
         session.run(1);
-        idle.note(&mut session, passed_ms < pattern.length_ms);
+        idle.add_sample(&mut session, elapsed_ms < pattern.length_ms);
     }
     assert!(session.violations.is_empty(), "{:?}", session.violations);
-    let fates: Vec<Fate> = (0..arrivals.len())
-        .map(|job| fate(&session, start_ms, job, &arrivals[job]))
+    let outcomes: Vec<Outcome> = (0..arrivals.len())
+        .map(|job| outcome(&session, start_ms, job, &arrivals[job]))
         .collect();
-    summary(&session, arrivals, fates, &idle)
+    summary(&session, arrivals, outcomes, &idle)
 }
 
-fn summary(session: &Session, arrivals: &[Arrival], fates: Vec<Fate>, idle: &Idle) -> Replay {
+fn summary(
+    session: &Session,
+    arrivals: &[Arrival],
+    outcomes: Vec<Outcome>,
+    idle: &IdleCapacity,
+) -> Replay {
     let mut refused_ms: Vec<u64> = Vec::new();
     let (mut wasted, mut worked) = (0.0, 0.0);
-    for (job, fate) in fates.iter().enumerate() {
+    for (job, outcome) in outcomes.iter().enumerate() {
         let work = session.worked(&session.callers[job].id);
         worked += work;
-        wasted += if *fate == Fate::InTime { 0.0 } else { work };
-        if *fate == Fate::Refused {
+        wasted += if *outcome == Outcome::InTime {
+            0.0
+        } else {
+            work
+        };
+        if *outcome == Outcome::Refused {
             let caller = &session.callers[job];
             refused_ms.extend(caller.answered_ms.map(|at_ms| at_ms - caller.sent_ms));
         }
     }
-    assert_eq!(arrivals.len(), fates.len());
+    assert_eq!(arrivals.len(), outcomes.len());
     refused_ms.sort_unstable();
     let median_ms = refused_ms.get(refused_ms.len() / 2).copied();
-    let longest_ms = refused_ms.last().copied();
+    let max_ms = refused_ms.last().copied();
     Replay {
-        fates,
-        idle: idle.share(),
+        outcomes,
+        idle: idle.fraction(),
         wasted: wasted / f64::max(worked, 1.0),
-        refused_with_room: idle.refused_with_room as f64 / refused_ms.len().max(1) as f64,
-        refused_ms: (median_ms.unwrap_or(0), longest_ms.unwrap_or(0)),
+        refused_with_free_resources: idle.refused_with_free_resources as f64
+            / refused_ms.len().max(1) as f64,
+        refused_ms: (median_ms.unwrap_or(0), max_ms.unwrap_or(0)),
     }
 }
 
-fn begin_outages(session: &mut Session, pattern: &Pattern, passed_ms: u64) {
-    for outage in pattern.outages.iter().filter(|one| one.at_ms == passed_ms) {
+fn begin_outages(session: &mut Session, pattern: &Pattern, elapsed_ms: u64) {
+    for outage in pattern.outages.iter().filter(|one| one.at_ms == elapsed_ms) {
         for agent in 0..outage.minions {
             session.kill_agent(agent, outage.for_ms);
             session.crash_minion(agent);
@@ -120,67 +130,67 @@
     }
 }
 
-fn change_moods(session: &mut Session, pattern: &Pattern, passed_ms: u64) {
+fn change_behaviors(session: &mut Session, pattern: &Pattern, elapsed_ms: u64) {
     for grey in &pattern.grey {
-        let mood = match grey.mood {
-            _ if passed_ms == grey.until_ms => Behavior::Sound,
-            _ if passed_ms != grey.from_ms => continue,
+        let behavior = match grey.mood {
+            _ if elapsed_ms == grey.until_ms => Behavior::Sound,
+            _ if elapsed_ms != grey.from_ms => continue,
             GreyMood::Failing => Behavior::Failing,
             GreyMood::Hanging => Behavior::Hanging,
         };
         for minion in grey.minions() {
-            session.minions[minion].behavior = mood;
+            session.minions[minion].behavior = behavior;
         }
     }
 }
 
 /// Operators empty zones and take them back.
-fn change_zones(session: &mut Session, pattern: &Pattern, passed_ms: u64) {
+fn change_evacuations(session: &mut Session, pattern: &Pattern, elapsed_ms: u64) {
     let zones = pattern.evacuations.iter();
-    let is_change = |one: &Evacuation| [one.from_ms, one.until_ms].contains(&passed_ms);
+    let is_change = |one: &Evacuation| [one.from_ms, one.until_ms].contains(&elapsed_ms);
     if zones.clone().any(is_change) {
-        let present = zones.filter(|one| one.is_present(passed_ms));
+        let present = zones.filter(|one| one.is_active(elapsed_ms));
         let names: Vec<&str> = present.map(|one| ZONES[one.zone]).collect();
-        session.send_evacuations_to_all(&evacuations(passed_ms + 1, &names));
+        session.send_evacuations_to_all(&evacuations(elapsed_ms + 1, &names));
     }
 }
 
-fn fate(session: &Session, start_ms: u64, job: usize, arrival: &Arrival) -> Fate {
+fn outcome(session: &Session, start_ms: u64, job: usize, arrival: &Arrival) -> Outcome {
     let caller = &session.callers[job];
     match (caller.outcome, caller.answered_ms) {
         (Some(JobOutcome::Completed), Some(answered_ms)) => {
             let due_ms = start_ms + arrival.at_ms + arrival.objective_ms;
             if answered_ms <= due_ms {
-                Fate::InTime
+                Outcome::InTime
             } else {
-                Fate::Late
+                Outcome::Late
             }
         }
-        (Some(JobOutcome::Refused { .. }), _) => Fate::Refused,
-        _ => Fate::Lost,
+        (Some(JobOutcome::Refused { .. }), _) => Outcome::Refused,
+        _ => Outcome::Lost,
     }
 }
 
 /// Room without use while there was a use for it.
 #[derive(Default)]
-struct Idle {
+struct IdleCapacity {
     idle_milli: f64,
     all_milli: f64,
-    refused_with_room: usize,
+    refused_with_free_resources: usize,
 }
 
-impl Idle {
-    fn note(&mut self, session: &mut Session, is_loaded: bool) {
+impl IdleCapacity {
+    fn add_sample(&mut self, session: &mut Session, is_loaded: bool) {
         if !is_loaded {
             return;
         }
-        self.refused_with_room += session.refused_with_room();
+        self.refused_with_free_resources += session.refused_with_room();
         let (idle_milli, all_milli) = session.idle_milli();
         self.idle_milli += idle_milli;
         self.all_milli += all_milli;
     }
 
-    fn share(&self) -> f64 {
+    fn fraction(&self) -> f64 {
         self.idle_milli / self.all_milli.max(1.0)
     }
 }
@@ -192,7 +202,7 @@
     room_goes_and_comes = { "room-goes-and-comes" },
     restart = { "restart" },
 )]
-fn a_load_pattern_is_served_as_well_as_its_bounds_say(name: &str) {
+fn a_load_pattern_is_served_within_its_bounds(name: &str) {
     let pattern = Pattern::read(name);
     let plays = SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
     println!("-- {name}");
@@ -204,7 +214,7 @@
     long_lasting = { "shifted-long-lasting" },
     evacuated = { "shifted-evacuated" },
 )]
-fn a_fleet_of_long_jobs_serves_a_pattern_as_well_as_its_bounds_say(name: &str) {
+fn a_fleet_of_long_jobs_serves_a_pattern_within_its_bounds(name: &str) {
     let pattern = Pattern::read(name);
     let plays = SHIFTED_SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
     println!("-- {name}");
@@ -217,7 +227,7 @@
     long_burst = { "large-long-burst" },
     grey = { "large-grey" },
 )]
-fn a_large_fleet_serves_a_pattern_as_well_as_its_bounds_say(name: &str) {
+fn a_large_fleet_serves_a_pattern_within_its_bounds(name: &str) {
     let pattern = Pattern::read(name);
     let plays = LARGE_SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
     println!("-- {name}");
@@ -232,40 +242,40 @@
 )]
 #[test_macro(test)]
 #[ignore = "cargo test --release -p gannetvane-dispatch --test replay -- --ignored"]
-fn a_large_fleet_serves_a_pattern_as_well_on_other_seeds(name: &str) {
+fn a_large_fleet_serves_a_pattern_within_its_bounds_on_other_seeds(name: &str) {
     let mut pattern = Pattern::read(name);
     let plays = OTHER_LARGE_SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
     println!("-- {name}");
-    pattern.bounds.of_central -= OF_CENTRAL_CHANCE;
+    pattern.bounds.of_central -= OF_CENTRAL_MARGIN;
     check(&pattern, &Plays::new(&plays));
 }
 
 /// Two policies on the same load: one takes in everything and refuses what has
 /// waited too long, which tells callers late and starves the largest jobs.
 #[test]
-fn a_share_of_each_queue_serves_large_jobs_better_than_to_take_in_everything() {
+fn fair_share_serves_large_jobs_better_than_admitting_all() {
     let pattern = Pattern::read("lasting");
     let shared = SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
-    let whole = SEEDS.map(|seed| play(&pattern, seed, admits_all::takes_all));
-    let (shared, whole) = (Plays::new(&shared), Plays::new(&whole));
+    let unlimited = SEEDS.map(|seed| play(&pattern, seed, admits_all::admits_all));
+    let (shared, unlimited) = (Plays::new(&shared), Plays::new(&unlimited));
     let worst_large = |plays: &Plays<'_>| {
         let queues = 0..pattern.queues.len();
         let worths = queues.map(|queue| {
             let large = plays.row(|one| one.queue == queue && one.is_large);
-            large.worth()
+            large.worth_fraction()
         });
         worths.fold(f64::INFINITY, f64::min)
     };
     let refused_ms = |plays: &Plays<'_>| plays.mean(|replay| replay.refused_ms.0 as f64);
-    assert!(worst_large(&shared) >= worst_large(&whole) + 0.05);
-    assert!(refused_ms(&shared) * 10.0 < refused_ms(&whole));
+    assert!(worst_large(&shared) >= worst_large(&unlimited) + 0.05);
+    assert!(refused_ms(&shared) * 10.0 < refused_ms(&unlimited));
 }
 
 /// One play of a pattern, beside the central queue.
 struct Play {
     arrivals: Vec<Arrival>,
     replay: Replay,
-    central: Vec<Fate>,
+    central: Vec<Outcome>,
 }
 
 fn play(pattern: &Pattern, seed: u64, policy: fn() -> BoxedPolicy) -> Play {
@@ -282,29 +292,29 @@
 struct Plays<'a> {
     plays: &'a [Play],
     arrivals: Vec<Arrival>,
-    fates: Vec<Fate>,
-    central: Vec<Fate>,
+    outcomes: Vec<Outcome>,
+    central: Vec<Outcome>,
 }
 
 impl<'a> Plays<'a> {
     fn new(plays: &'a [Play]) -> Self {
         let arrivals = plays.iter().flat_map(|play| play.arrivals.clone());
-        let fates = plays.iter().flat_map(|play| play.replay.fates.clone());
+        let outcomes = plays.iter().flat_map(|play| play.replay.outcomes.clone());
         let central = plays.iter().flat_map(|play| play.central.clone());
         Self {
             plays,
             arrivals: arrivals.collect(),
-            fates: fates.collect(),
+            outcomes: outcomes.collect(),
             central: central.collect(),
         }
     }
 
-    fn row(&self, is_in: impl Fn(&Arrival) -> bool) -> Row {
-        report::row(&self.arrivals, &self.fates, is_in)
+    fn row(&self, is_included: impl Fn(&Arrival) -> bool) -> Row {
+        report::row(&self.arrivals, &self.outcomes, is_included)
     }
 
-    fn central_row(&self, is_in: impl Fn(&Arrival) -> bool) -> Row {
-        report::row(&self.arrivals, &self.central, is_in)
+    fn central_row(&self, is_included: impl Fn(&Arrival) -> bool) -> Row {
+        report::row(&self.arrivals, &self.central, is_included)
     }
 
     fn mean(&self, figure: impl Fn(&Replay) -> f64) -> f64 {
@@ -315,28 +325,28 @@
 
 fn check(pattern: &Pattern, plays: &Plays<'_>) {
     let all = plays.row(|_| true);
-    let at_best = plays.central_row(|_| true);
+    let central = plays.central_row(|_| true);
     report::print("all", &all);
-    report::print("all, central queue", &at_best);
+    report::print("all, central queue", &central);
     let queue_gap = queue_gap(pattern, plays, &all);
     let mut entry_gap: f64 = 0.0;
     for entry in 0..pattern.entries.len() {
         let row = plays.row(|one| one.entry == entry);
         // Some entries of a large fleet have no callers, or too few to tell.
-        if row.asked >= TELLING_JOBS {
+        if row.submitted >= MIN_COMPARED_JOBS {
             report::print(&format!("entry {entry}"), &row);
-            entry_gap = entry_gap.max(all.worth() - row.worth());
+            entry_gap = entry_gap.max(all.worth_fraction() - row.worth_fraction());
         }
     }
     let idle = plays.mean(|replay| replay.idle);
-    let of_central = all.worth() / at_best.worth();
-    let late = all.late as f64 / all.asked as f64;
+    let of_central = all.worth_fraction() / central.worth_fraction();
+    let late = all.late as f64 / all.submitted as f64;
     let refused_ms = plays.mean(|replay| replay.refused_ms.0 as f64);
     println!(
         "idle {idle:.3} of central {of_central:.3} late {late:.3} queue gap {queue_gap:.3} \
          entry gap {entry_gap:.3} wasted {:.3} refused after {refused_ms:.0} ms, with room {:.3}",
         plays.mean(|replay| replay.wasted),
-        plays.mean(|replay| replay.refused_with_room),
+        plays.mean(|replay| replay.refused_with_free_resources),
     );
     let bounds = &pattern.bounds;
     assert!(
@@ -360,16 +370,16 @@
         let is_own = |arrival: &Arrival| arrival.queue == number;
         let row = plays.row(is_own);
         report::print(&queue.name, &row);
-        queue_gap = queue_gap.max(all.worth() - row.worth());
+        queue_gap = queue_gap.max(all.worth_fraction() - row.worth_fraction());
         let central = plays.central_row(is_own);
         report::print(&format!("{}, central queue", queue.name), &central);
         let is_large = |arrival: &Arrival| arrival.queue == number && arrival.is_large;
         let large = plays.row(is_large);
         report::print(&format!("{}, largest tenth", queue.name), &large);
-        let served = |row: &Row| (row.in_time + row.late) as f64 / row.asked.max(1) as f64;
-        let is_telling = large.asked >= TELLING_JOBS;
+        let served = |row: &Row| (row.in_time + row.late) as f64 / row.submitted.max(1) as f64;
+        let is_comparable = large.submitted >= MIN_COMPARED_JOBS;
         assert!(
-            !is_telling || served(&large) * 2.0 >= served(&row),
+            !is_comparable || served(&large) * 2.0 >= served(&row),
             "large jobs starve"
         );
     }
--- a/crates/dispatch/tests/replay/pattern.rs
+++ b/crates/dispatch/tests/replay/pattern.rs
@@ -25,9 +25,9 @@
 const STRETCH: f64 = 1.6;
 const TARGET_LATENCY_MS: u64 = 60;
 /// Part of the worth of a job that its size does not change.
-const FIXED_WORTH: f64 = 0.3;
+const FIXED_WORTH_FRACTION: f64 = 0.3;
 /// Largest number of tasks and longest work, in means of their queue.
-const LARGEST: f64 = 4.0;
+const MAX_FACTOR: f64 = 4.0;
 
 /// A load pattern.
 #[derive(Clone, Debug, Deserialize)]
@@ -111,7 +111,7 @@
 }
 
 impl Evacuation {
-    pub fn is_present(&self, at_ms: u64) -> bool {
+    pub fn is_active(&self, at_ms: u64) -> bool {
         (self.from_ms..self.until_ms).contains(&at_ms)
     }
 }
@@ -134,7 +134,7 @@
         self.first..self.first + self.minions
     }
 
-    pub fn is_present(&self, at_ms: u64) -> bool {
+    pub fn is_active(&self, at_ms: u64) -> bool {
         (self.from_ms..self.until_ms).contains(&at_ms)
     }
 }
@@ -242,13 +242,13 @@
 
     fn factor(&self, at_ms: u64, queue: &str) -> f64 {
         let during = |burst: &&Burst| {
-            let is_meant = burst.queue.as_ref().is_none_or(|name| name == queue);
-            is_meant && (burst.from_ms..burst.until_ms).contains(&at_ms)
+            let is_affected = burst.queue.as_ref().is_none_or(|name| name == queue);
+            is_affected && (burst.from_ms..burst.until_ms).contains(&at_ms)
         };
         let bursts = self.bursts.iter().filter(during);
         let swing = self.swing.map_or(1.0, |swing| {
-            let turns = at_ms as f64 / swing.period_ms as f64;
-            1.0 + swing.part * (turns * std::f64::consts::TAU).sin()
+            let periods = at_ms as f64 / swing.period_ms as f64;
+            1.0 + swing.part * (periods * std::f64::consts::TAU).sin()
         });
         swing * bursts.map(|burst| burst.factor).product::<f64>()
     }
@@ -266,8 +266,8 @@
                 if at_ms >= self.length_ms as f64 {
                     break;
                 }
-                let (shape, mean_ms) = self.shape(&mut rng, load, &queues[number]);
-                let entry = self.entry(&mut rng);
+                let (shape, mean_ms) = self.draw_shape(&mut rng, load, &queues[number]);
+                let entry = self.draw_entry(&mut rng);
                 arrivals.push(Arrival {
                     at_ms: at_ms as u64,
                     entry,
@@ -285,11 +285,18 @@
     }
 
     /// A job and the mean work of its tasks, in milliseconds.
-    fn shape(&self, rng: &mut ChaCha8Rng, load: &QueueLoad, queue: &Arc<Queue>) -> (JobShape, f64) {
-        let tasks = (load.tasks * spread(rng, 0.4)).round().max(1.0) as usize;
-        let mean_ms = load.work_ms * spread(rng, 0.4);
-        let cpu_milli = (load.cpu_milli * spread(rng, 0.2)).min(load.cpu_milli * 1.5);
-        let work_ms = (0..tasks).map(|_| mean_ms * spread(rng, 0.15)).collect();
+    fn draw_shape(
+        &self,
+        rng: &mut ChaCha8Rng,
+        load: &QueueLoad,
+        queue: &Arc<Queue>,
+    ) -> (JobShape, f64) {
+        let tasks = (load.tasks * random_factor(rng, 0.4)).round().max(1.0) as usize;
+        let mean_ms = load.work_ms * random_factor(rng, 0.4);
+        let cpu_milli = (load.cpu_milli * random_factor(rng, 0.2)).min(load.cpu_milli * 1.5);
+        let work_ms = (0..tasks)
+            .map(|_| mean_ms * random_factor(rng, 0.15))
+            .collect();
         let shape = JobShape {
             queue: Arc::clone(queue),
             needs: Resources {
@@ -297,18 +304,18 @@
                 memory_mb: TASK_MEMORY_MB,
                 accelerators: 0,
             },
-            declared_ms: (mean_ms * spread(rng, 0.4)).max(1.0) as u64,
+            declared_ms: (mean_ms * random_factor(rng, 0.4)).max(1.0) as u64,
             work_ms,
         };
         (shape, mean_ms)
     }
 
-    fn entry(&self, rng: &mut ChaCha8Rng) -> usize {
+    fn draw_entry(&self, rng: &mut ChaCha8Rng) -> usize {
         let all: f64 = self.entries.iter().sum();
-        let mut left = rng.random::<f64>() * all;
+        let mut remaining = rng.random::<f64>() * all;
         for (entry, share) in self.entries.iter().enumerate() {
-            left -= share;
-            if left < 0.0 {
+            remaining -= share;
+            if remaining < 0.0 {
                 return entry;
             }
         }
@@ -322,22 +329,23 @@
             let mut works: Vec<f64> = own.map(Arrival::work).collect();
             works.sort_by(f64::total_cmp);
             let mean = works.iter().sum::<f64>() / works.len().max(1) as f64;
-            let Some(large) = works.get(works.len() * 9 / 10).copied() else {
+            let Some(min_large_work) = works.get(works.len() * 9 / 10).copied() else {
                 continue;
             };
             let count = works.len() as f64;
             for arrival in arrivals.iter_mut().filter(|one| one.queue == queue) {
                 let work = arrival.work();
-                arrival.is_large = work >= large;
-                arrival.worth = (FIXED_WORTH + (1.0 - FIXED_WORTH) * work / mean) / count;
+                arrival.is_large = work >= min_large_work;
+                arrival.worth =
+                    (FIXED_WORTH_FRACTION + (1.0 - FIXED_WORTH_FRACTION) * work / mean) / count;
             }
         }
     }
 }
 
 /// A factor with mean 1 and about this spread, at most [`LARGEST`].
-fn spread(rng: &mut ChaCha8Rng, sigma: f64) -> f64 {
+fn random_factor(rng: &mut ChaCha8Rng, sigma: f64) -> f64 {
     // The sum of twelve even numbers is close to a normal one.
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
-    (sigma * normal - sigma * sigma / 2.0).exp().min(LARGEST)
+    (sigma * normal - sigma * sigma / 2.0).exp().min(MAX_FACTOR)
 }
--- a/crates/dispatch/tests/replay/report.rs
+++ b/crates/dispatch/tests/replay/report.rs
@@ -7,7 +7,7 @@
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     InTime,
     Late,
     Refused,
@@ -18,45 +18,49 @@
 /// Jobs that belong together.
 #[derive(Clone, Debug, Default)]
 pub struct Row {
-    pub asked: usize,
+    pub submitted: usize,
     pub in_time: usize,
     pub late: usize,
     pub refused: usize,
     pub lost: usize,
-    owed: f64,
-    earned: f64,
+    total_worth: f64,
+    earned_worth: f64,
 }
 
 impl Row {
-    fn add(&mut self, arrival: &Arrival, fate: Fate) {
-        self.asked += 1;
-        self.owed += arrival.worth;
-        match fate {
-            Fate::InTime => {
+    fn add(&mut self, arrival: &Arrival, outcome: Outcome) {
+        self.submitted += 1;
+        self.total_worth += arrival.worth;
+        match outcome {
+            Outcome::InTime => {
                 self.in_time += 1;
-                self.earned += arrival.worth;
+                self.earned_worth += arrival.worth;
             }
-            Fate::Late => {
+            Outcome::Late => {
                 self.late += 1;
-                self.earned += arrival.worth * LATE_WORTH;
+                self.earned_worth += arrival.worth * LATE_WORTH;
             }
-            Fate::Refused => self.refused += 1,
-            Fate::Lost => self.lost += 1,
+            Outcome::Refused => self.refused += 1,
+            Outcome::Lost => self.lost += 1,
         }
     }
 
     /// Worth earned, in parts of what is owed.
-    pub fn worth(&self) -> f64 {
-        self.earned / self.owed.max(f64::MIN_POSITIVE)
+    pub fn worth_fraction(&self) -> f64 {
+        self.earned_worth / self.total_worth.max(f64::MIN_POSITIVE)
     }
 }
 
 /// The jobs that satisfy a condition.
-pub fn row(arrivals: &[Arrival], fates: &[Fate], is_in: impl Fn(&Arrival) -> bool) -> Row {
+pub fn row(
+    arrivals: &[Arrival],
+    outcomes: &[Outcome],
+    is_included: impl Fn(&Arrival) -> bool,
+) -> Row {
     let mut row = Row::default();
-    for (arrival, fate) in arrivals.iter().zip(fates) {
-        if is_in(arrival) {
-            row.add(arrival, *fate);
+    for (arrival, outcome) in arrivals.iter().zip(outcomes) {
+        if is_included(arrival) {
+            row.add(arrival, *outcome);
         }
     }
     row
@@ -66,11 +70,11 @@
 pub fn print(label: &str, row: &Row) {
     println!(
         "{label:24} asked {:5} in time {:5} late {:4} refused {:5} lost {:4} worth {:.3}",
-        row.asked,
+        row.submitted,
         row.in_time,
         row.late,
         row.refused,
         row.lost,
-        row.worth()
+        row.worth_fraction()
     );
 }
--- a/crates/dispatch/tests/same_id_restarts.rs
+++ b/crates/dispatch/tests/same_id_restarts.rs
@@ -51,15 +51,15 @@
 }
 
 #[parameterized(
-    own_birth = { None },
-    birth_of_the_former_life = { Some(true) },
-    no_birth = { Some(false) },
+    own_start_time = { None },
+    start_time_of_the_former_incarnation = { Some(true) },
+    no_start_time = { Some(false) },
 )]
-fn a_minion_that_starts_again_under_its_id_is_served(unseen: Option<bool>) {
+fn a_minion_that_restarts_with_the_same_id_is_served(hidden_start_time: Option<bool>) {
     let mut session = session();
     let before = session.submit(0, "before", 9, 100);
     session.run_until_answered(before, 1_000);
-    match unseen {
+    match hidden_start_time {
         None => session.restart_with_same_id(1, 700),
         Some(reports_start_time) => {
             session.restart_with_hidden_start_time(1, 700, reports_start_time);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_report_of_the_former_life_changes_nothing() {
+fn a_report_of_the_former_incarnation_is_ignored() {
     let mut session = session();
     session.restart_with_same_id(0, 400);
     session.run(400);
@@ -96,7 +96,7 @@
 
 /// The former life's report comes while the next life is not heard yet.
 #[test]
-fn a_late_report_while_nothing_is_served_delays_the_next_life_by_no_report() {
+fn a_delayed_report_of_the_former_incarnation_does_not_delay_the_next() {
     let mut session = session();
     let job = session.submit(0, "job", 9, 2_000);
     session.run(100);
@@ -116,13 +116,16 @@
     later = { 900, 1_500 },
     much_later = { 1_500, 4_000 },
 )]
-fn a_start_that_the_next_life_carries_out_runs_beside_no_other(down_ms: u64, late_ms: u64) {
+fn a_start_carried_out_by_the_next_incarnation_causes_no_duplicate_run(
+    down_ms: u64,
+    delay_ms: u64,
+) {
     for seed in 0..20 {
         let mut session = session();
         let from_ms = session.now_ms;
         session.call_delay = Box::new(move |now_ms, agent| {
             let is_lost = agent == 0 && now_ms < from_ms + 60;
-            is_lost.then_some(late_ms + seed * 7)
+            is_lost.then_some(delay_ms + seed * 7)
         });
         let job = session.submit(0, "job", 24, 1_000);
         session.run(20 + seed);
@@ -136,14 +139,14 @@
 /// A call that was meant for the former life showed the next one a higher epoch
 /// than that of an agent which knows nothing of it.
 #[test]
-fn an_agent_that_is_fenced_raises_its_epoch() {
+fn a_fenced_agent_raises_its_epoch() {
     let mut session = session();
     session.restart_with_same_id(0, 300);
     session.kill_agent(0, 250);
     session.run(320);
-    let ahead = session.minions[0].epoch() + 10_000_000_000;
+    let higher_epoch = session.minions[0].epoch() + 10_000_000_000;
     let now_ms = session.now_ms;
-    session.minions[0].extend(now_ms, ahead, 0, None);
+    session.minions[0].extend(now_ms, higher_epoch, 0, None);
     let instance = session.minions[0].instance.clone();
     let starts = session.starts_on(&instance);
     session.submit(0, "refused-there", 27, 100);
@@ -176,7 +179,7 @@
 
 /// Calls that were meant for the former life have its epoch.
 #[test]
-fn the_next_life_is_shown_a_higher_epoch_though_the_time_of_day_was_set_back() {
+fn the_next_incarnation_gets_a_higher_epoch_although_the_wall_clock_was_set_back() {
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     let own = highest_epoch(&mut driver, &listing(Some(1_000), 5_000));
@@ -188,7 +191,7 @@
 }
 
 #[test]
-fn a_refusal_for_a_higher_epoch_raises_it_ever_faster() {
+fn repeated_fencing_raises_the_epoch_in_growing_steps() {
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     let mut highest = 0;
@@ -203,7 +206,7 @@
 }
 
 #[test]
-fn a_clock_that_ran_back_tells_of_another_life() {
+fn a_clock_that_ran_back_shows_another_incarnation() {
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     driver.answer_with(&listing(Some(1_000), 5_000));
@@ -219,7 +222,7 @@
 }
 
 #[test]
-fn a_late_report_of_a_life_that_ended_is_not_adopted() {
+fn a_delayed_report_of_an_ended_incarnation_is_not_adopted() {
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     driver.answer_with(&listing(Some(2_000), 900));
@@ -231,7 +234,7 @@
 
 /// Numbers of ends begin anew: none of the next life may be taken for told.
 #[test]
-fn no_end_of_the_next_life_is_forgotten_unseen() {
+fn no_end_of_the_next_incarnation_is_lost() {
     let mut session = session();
     for round in 0..3 {
         for number in 0..4 {
@@ -250,7 +253,7 @@
 }
 
 #[test]
-fn a_departure_told_for_a_minion_that_stays_is_checked() {
+fn a_reported_departure_of_a_minion_is_verified() {
     let mut driver = Driver::new();
     driver.agent.minion_left("minion-1");
     assert!(!driver.is_accepting_starts(), "it may be gone");
@@ -259,7 +262,7 @@
 }
 
 #[test]
-fn a_listing_of_another_life_ends_the_one_that_is_served() {
+fn a_listing_of_another_incarnation_ends_the_served_one() {
     let mut driver = Driver::new();
     driver.starts(&["a"]);
     driver.answer_with(&listing(Some(2_000), 900));
@@ -272,9 +275,12 @@
 /// A candidate under the same id takes over only by its own answer.
 #[parameterized(
     own = { Some(2_000), true },
-    of_the_life_that_is_served = { Some(1_000), false },
+    of_the_served_incarnation = { Some(1_000), false },
 )]
-fn the_birth_in_a_listing_tells_who_answered(started_unix_ms: Option<u64>, takes_over: bool) {
+fn the_start_time_in_a_listing_identifies_the_incarnation_that_answered(
+    started_unix_ms: Option<u64>,
+    takes_over: bool,
+) {
     let mut driver = Driver::new();
     let asked = driver.report_incarnation(&incarnation_at(2_000));
     let [
--- a/crates/dispatch/tests/sent_entries.rs
+++ b/crates/dispatch/tests/sent_entries.rs
@@ -51,7 +51,7 @@
 }
 
 /// What the agent on this link was told in the last frames.
-fn told(dispatcher: &mut Dispatcher, link: LinkId) -> Option<Vec<SocketAddr>> {
+fn last_sent_entries(dispatcher: &mut Dispatcher, link: LinkId) -> Option<Vec<SocketAddr>> {
     dispatcher.tick(NOW_MS);
     let orders = dispatcher.take_actions().into_iter().filter_map(|action| {
         let DispatcherAction::Send(to, frame) = action else {
@@ -75,7 +75,7 @@
     })]
 
     #[test]
-    fn it_is_its_choice_of_all(
+    fn an_agent_is_sent_its_selection_of_all_entries(
         changes in proptest::collection::vec((0_u8..40, 0_u8..8), 1..60),
     ) {
         let mut dispatcher = Dispatcher::new(
@@ -93,13 +93,13 @@
                 // One that greets before the others are told of the change.
                 dispatcher.agent_up(NOW_MS, LATE_AGENT, hello("late"));
                 dispatcher.send_entries_to(LATE_AGENT, &list);
-                prop_assert_eq!(told(&mut dispatcher, LATE_AGENT), Some(chosen("late", &list)));
+                prop_assert_eq!(last_sent_entries(&mut dispatcher, LATE_AGENT), Some(chosen("late", &list)));
             } else {
                 dispatcher.send_entries(&list);
                 let link = if kind % 2 == 0 { LATE_AGENT } else { AGENT };
                 let host = if link == AGENT { "early" } else { "late" };
-                if let Some(told) = told(&mut dispatcher, link) {
-                    prop_assert_eq!(told, chosen(host, &list));
+                if let Some(sent) = last_sent_entries(&mut dispatcher, link) {
+                    prop_assert_eq!(sent, chosen(host, &list));
                 }
             }
         }
--- a/crates/dispatch/tests/starts.rs
+++ b/crates/dispatch/tests/starts.rs
@@ -9,13 +9,13 @@
 use driver::Driver;
 
 #[test]
-fn a_start_goes_out_twice_after_a_lost_call() {
+fn a_start_is_hedged_after_an_unanswered_call() {
     let mut driver = Driver::new();
     assert_eq!(driver.start(), 2);
 }
 
 #[test]
-fn a_run_that_is_being_stopped_keeps_its_room_though_a_copy_was_refused() {
+fn a_run_being_stopped_keeps_its_resources_when_a_hedged_call_is_refused() {
     let mut driver = Driver::new();
     driver.start();
     driver.answer(StartResult::Started);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_run_is_refused_when_every_copy_was() {
+fn a_run_is_refused_when_every_hedged_call_is_refused() {
     let mut driver = Driver::new();
     driver.start();
     driver.answer(StartResult::Unhealthy);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_run_one_of_whose_copies_got_no_answer_is_not_refused() {
+fn a_run_is_not_refused_when_a_hedged_call_was_unanswered() {
     let mut driver = Driver::new();
     driver.start();
     driver.answer(StartResult::NoAnswer);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_run_one_of_whose_copies_got_no_answer_is_not_told_as_never_started_for_an_epoch() {
+fn a_run_is_not_reported_as_never_started_when_a_hedged_call_was_unanswered() {
     let mut driver = Driver::new();
     driver.start();
     driver.answer(StartResult::NoAnswer);
--- a/crates/dispatch/tests/targets.rs
+++ b/crates/dispatch/tests/targets.rs
@@ -12,7 +12,7 @@
 use proptest::test_runner::RngAlgorithm;
 use proptest::test_runner::RngSeed;
 
-const BEGIN_MS: u64 = 100_000;
+const START_MS: u64 = 100_000;
 
 fn addr(number: u8) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(10, 1, 0, number), 7_720))
@@ -27,21 +27,21 @@
     })]
 
     #[test]
-    fn they_are_the_same_after_whatever_was_learned_and_forgotten(
-        news in proptest::collection::vec((0_u8..24, 0_u32..32_000, 0_u64..4_000), 1..120),
+    fn cached_targets_equal_newly_chosen_targets(
+        updates in proptest::collection::vec((0_u8..24, 0_u32..32_000, 0_u64..4_000), 1..120),
     ) {
         let seeds = [addr(1), addr(100), addr(101)];
         let own = addr(0);
-        let never_asked = Directory::new(Some(own), seeds);
-        let mut never_asked = never_asked.with_max_targets("chooser".into(), MAX_LINKED_PEERS);
-        let mut directory = never_asked.clone();
-        let mut now_ms = BEGIN_MS;
-        for (number, age_ms, pause_ms) in news {
+        let uncached = Directory::new(Some(own), seeds);
+        let mut uncached = uncached.with_max_targets("chooser".into(), MAX_LINKED_PEERS);
+        let mut directory = uncached.clone();
+        let mut now_ms = START_MS;
+        for (number, age_ms, pause_ms) in updates {
             now_ms += pause_ms;
             let known = [SeenEntry { addr: addr(number), age_ms }];
             directory.merge_seen(now_ms, &known);
-            never_asked.merge_seen(now_ms, &known);
-            let chosen = never_asked.clone().targets(now_ms);
+            uncached.merge_seen(now_ms, &known);
+            let chosen = uncached.clone().targets(now_ms);
             prop_assert_eq!(directory.targets(now_ms), chosen);
         }
     }
--- a/crates/dispatch/tests/unasked.rs
+++ b/crates/dispatch/tests/unasked.rs
@@ -7,33 +7,33 @@
 use yare::parameterized;
 
 /// Time after which nothing of a cancelled job may run, in milliseconds.
-const CANCEL_MS: u64 = 3_000;
+const CANCELLED_WITHIN_MS: u64 = 3_000;
 /// Longest time after which a call that got no answer is carried out.
-const LATEST_MS: u64 = 12_000;
+const MAX_CALL_DELAY_MS: u64 = 12_000;
 /// Long enough for a process never to come back.
-const FOR_GOOD_MS: u64 = 1_000_000;
+const FOREVER_MS: u64 = 1_000_000;
 /// Work of tasks that would outlast the test.
 const WORK_MS: u64 = 60_000;
 
 /// How a job came.
 #[derive(Clone, Copy)]
-enum Kind {
+enum JobKind {
     /// Its caller waits at the first entry.
-    WaitedFor,
+    CallerWaits,
     Stored,
 }
 
-fn submit(session: &mut Session, kind: Kind) -> usize {
+fn submit(session: &mut Session, kind: JobKind) -> usize {
     match kind {
-        Kind::WaitedFor => session.submit(0, "00000000000000b1", 6, WORK_MS),
-        Kind::Stored => session.store("00000000000000b1", 6, WORK_MS),
+        JobKind::CallerWaits => session.submit(0, "00000000000000b1", 6, WORK_MS),
+        JobKind::Stored => session.store("00000000000000b1", 6, WORK_MS),
     }
 }
 
-fn cancel(session: &mut Session, kind: Kind, job: usize) {
+fn cancel(session: &mut Session, kind: JobKind, job: usize) {
     match kind {
         // At an entry that lives: the first one may be gone.
-        Kind::WaitedFor => {
+        JobKind::CallerWaits => {
             let now_ms = session.now_ms;
             for entry in 0..2 {
                 session
@@ -41,33 +41,33 @@
                     .cancel(now_ms, &"00000000000000b1".into());
             }
         }
-        Kind::Stored => session.cancel_stored(job),
+        JobKind::Stored => session.cancel_stored(job),
     }
 }
 
-fn running(session: &Session) -> usize {
+fn count_running_tasks(session: &Session) -> usize {
     let minions = session.minions.iter();
     minions.map(|minion| minion.running().count()).sum()
 }
 
 /// Runs for as long as a late call may take, and looks at each moment.
-fn assert_nothing_runs_on(session: &mut Session) {
-    session.run(CANCEL_MS);
-    for _ in 0..LATEST_MS {
-        assert_eq!(running(session), 0, "at {} ms", session.now_ms);
+fn assert_all_runs_end(session: &mut Session) {
+    session.run(CANCELLED_WITHIN_MS);
+    for _ in 0..MAX_CALL_DELAY_MS {
+        assert_eq!(count_running_tasks(session), 0, "at {} ms", session.now_ms);
         session.run(1);
     }
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
 #[parameterized(
-    waited_for = { Kind::WaitedFor },
-    stored = { Kind::Stored },
+    caller_waits = { JobKind::CallerWaits },
+    stored = { JobKind::Stored },
 )]
-fn a_start_that_is_carried_out_late_does_not_outlive_its_cancelled_job(kind: Kind) {
-    for late_ms in [2_000, 5_000, LATEST_MS - 1_000] {
+fn a_delayed_start_does_not_outlive_its_cancelled_job(kind: JobKind) {
+    for delay_ms in [2_000, 5_000, MAX_CALL_DELAY_MS - 1_000] {
         let mut session = Session::new(2, 2);
-        if matches!(kind, Kind::Stored) {
+        if matches!(kind, JobKind::Stored) {
             let warm = session.store("0000000000000001", 1, 10);
             session.run_until_ended(warm, 5_000);
             session.run(1_500);
@@ -75,40 +75,40 @@
         let from_ms = session.now_ms;
         session.call_delay = Box::new(move |now_ms, agent| {
             let is_lost = agent == 0 && (from_ms..from_ms + 40).contains(&now_ms);
-            is_lost.then_some(late_ms)
+            is_lost.then_some(delay_ms)
         });
         let job = submit(&mut session, kind);
         session.run(300);
-        assert!(running(&session) > 0, "it has begun");
+        assert!(count_running_tasks(&session) > 0, "it has begun");
         cancel(&mut session, kind, job);
-        assert_nothing_runs_on(&mut session);
+        assert_all_runs_end(&mut session);
     }
 }
 
 #[parameterized(
-    waited_for = { Kind::WaitedFor },
-    stored = { Kind::Stored },
+    caller_waits = { JobKind::CallerWaits },
+    stored = { JobKind::Stored },
 )]
-fn tasks_of_an_agent_that_was_removed_end_with_their_cancelled_job(kind: Kind) {
+fn tasks_of_a_removed_agent_end_with_their_cancelled_job(kind: JobKind) {
     let mut session = Session::new(2, 2);
     let job = submit(&mut session, kind);
     session.run(2_000);
-    assert!(running(&session) > 0, "it has begun");
-    session.kill_agent(0, FOR_GOOD_MS);
+    assert!(count_running_tasks(&session) > 0, "it has begun");
+    session.kill_agent(0, FOREVER_MS);
     session.run(100);
     cancel(&mut session, kind, job);
-    assert_nothing_runs_on(&mut session);
+    assert_all_runs_end(&mut session);
 }
 
 #[test]
-fn tasks_of_an_entry_that_was_removed_end_with_their_cancelled_job() {
+fn tasks_of_a_removed_entry_end_with_their_cancelled_job() {
     let mut session = Session::new(2, 2);
-    let job = submit(&mut session, Kind::WaitedFor);
+    let job = submit(&mut session, JobKind::CallerWaits);
     session.run(500);
-    assert!(running(&session) > 0, "it has begun");
-    session.kill_entry(0, FOR_GOOD_MS);
+    assert!(count_running_tasks(&session) > 0, "it has begun");
+    session.kill_entry(0, FOREVER_MS);
     // The caller does not come again: it cancels at the other entry.
     session.forget_caller(job);
-    cancel(&mut session, Kind::WaitedFor, job);
-    assert_nothing_runs_on(&mut session);
+    cancel(&mut session, JobKind::CallerWaits, job);
+    assert_all_runs_end(&mut session);
 }
