--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The room of a minion shrinks and grows while it runs.
+//! Tests of minions whose capacity shrinks and grows while they run tasks.
 
 mod driver;
 mod session;
@@ -19,13 +19,13 @@
     memory_mb: 0,
     accelerators: 0,
 };
-/// Room for two of a driver's tasks.
+/// Capacity for two of the driver's tasks.
 const HALF_CAPACITY: Resources = Resources {
     cpu_milli: 2_000,
     memory_mb: 1_024,
     accelerators: 0,
 };
-/// Time within which a caller hears of a refusal, in milliseconds.
+/// Time within which a refusal reaches the caller, in milliseconds.
 const ANSWERED_WITHIN_MS: u64 = 5;
 
 #[test]
@@ -47,7 +47,8 @@
     assert_eq!(driver.start(), 0);
 }
 
-/// A start that got no answer is sent again only while all runs fit.
+/// The agent retries an unanswered start only while all its runs fit into the capacity.
+/// Otherwise it stops the run, as a call without an answer can still be carried out.
 #[test]
 fn an_unanswered_start_is_not_retried_beyond_a_reduced_capacity() {
     let mut driver = Driver::new();
@@ -94,8 +95,8 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// What waits for room hears of it as soon as there is none left anywhere, and
-/// what runs is let run.
+/// When the last capacity is gone, waiting jobs are refused at once and running tasks go
+/// on.
 #[test]
 fn waiting_jobs_are_refused_when_all_capacity_is_gone() {
     let mut session = Session::new(1, 2);
@@ -115,8 +116,8 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// All room shrinks and grows amid more work than there is room for; starts and
-/// reports cross.
+/// Capacities shrink and grow under overload, so that starts and capacity reports cross on
+/// their way.
 #[parameterized(
     to_a_third = { 3 },
     to_nothing = { 0 },
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -1,6 +1,7 @@
-//! Zones that operators empty get no starts, whichever entry has heard of it,
-//! and get them again soon after they are taken back. `GANNETVANE_SEEDS=from..to`
-//! plays other seeds by hand.
+//! Tests of evacuated availability zones: they get no starts once one entry has the
+//! evacuation, and get starts again soon after the evacuation ends.
+//!
+//! `GANNETVANE_SEEDS=from..to` replaces the seeds of the random test.
 
 mod session;
 
@@ -18,16 +19,16 @@
 use session::seeds;
 
 const ENTRIES: usize = 3;
-/// Two in each of three zones.
+/// Number of agents: two in each of the three availability zones.
 const AGENTS: usize = 6;
-/// Time from an entry's word to the last start in a zone: a message to the
-/// agent, and an order that was on its way to the minion.
+/// Time from an entry's receipt of an evacuation to the last start in the zone, in
+/// milliseconds: a message to the agent, and an order that was on its way to the minion.
 const APPLIED_WITHIN_MS: u64 = 5;
-/// Seeds that every run plays.
+/// Seeds of the random test.
 const SEEDS: std::ops::Range<u64> = 0..60;
 
-/// Submits a job of three short tasks at each entry, every 20 ms: half of what
-/// two zones get through.
+/// Submits a job of three short tasks at each entry every 20 ms, which is half of what two
+/// zones can complete. Returns the positions of the callers.
 fn submit_load(session: &mut Session, for_ms: u64) -> Vec<usize> {
     let mut callers = Vec::new();
     for _ in 0..for_ms / 20 {
@@ -54,7 +55,7 @@
     let mut session = Session::new(ENTRIES, AGENTS);
     submit_load(&mut session, 400);
     assert!(session.starts_in("hella", 0) > 0);
-    // The others have not heard of it yet.
+    // The other entries don't have the evacuation yet.
     session.send_evacuations(0, &evacuations(7, &["hella"]));
     let evacuated_at_ms = session.now_ms;
     let callers = submit_load(&mut session, 1_000);
@@ -97,8 +98,8 @@
     assert!(first_ms.is_some_and(|at_ms| at_ms < evacuation_ended_ms + 1_000));
 }
 
-/// A task keeps away from hosts whose minions crashed under it, but not when all
-/// others are being emptied.
+/// A task avoids hosts whose minions crashed under it, unless all other hosts are
+/// evacuated.
 #[test]
 fn a_task_returns_to_hosts_that_crashed_while_all_others_are_evacuated() {
     let mut session = Session::new(1, AGENTS);
@@ -140,7 +141,7 @@
 #[test]
 fn jobs_are_refused_at_once_while_all_zones_are_evacuated() {
     let mut session = Session::new(ENTRIES, AGENTS);
-    // Their tasks are longer than the room is wide, so some wait.
+    // Their tasks need more than the capacity of all minions, so some jobs wait.
     let waiting: Vec<usize> = (0..20)
         .map(|number| session.submit(0, &format!("early-{number}"), 6, 300))
         .collect();
@@ -193,7 +194,7 @@
 #[test]
 fn no_more_hedged_starts_are_sent_in_an_evacuated_zone() {
     let mut session = Session::new(1, 2);
-    // Half of the calls stay without an answer, so starts are sent in copies.
+    // Half of the calls get no answer, so agents send hedged calls for each start.
     let mut calls = 0;
     session.call_delay = Box::new(move |_, _| {
         calls += 1;
@@ -226,7 +227,7 @@
     let mut session = Session::new(1, AGENTS);
     for number in 0..20 {
         session.send_evacuations_to_all(&evacuations(2 * number + 7, &["hella"]));
-        // All of the other zones' room, before agents have said anything.
+        // Takes all capacity of the other zones before any agent has reported.
         session.submit(0, &format!("wide-{number}"), 40, 20);
         session.run(60);
         session.send_evacuations_to_all(&evacuations(2 * number + 8, &[]));
@@ -271,8 +272,9 @@
     assert!(session.starts_in("selfoss", evacuated_at_ms) > 0);
 }
 
-/// Plays a series of evacuations that reach entries late, in any order and more
-/// than once, beside freezes, cuts, kills of agents and lost calls.
+/// Delivers a series of evacuation records to entries with delays, in any order and more
+/// than once, while entries are suspended, connections are cut, agents are killed and calls
+/// get no answer.
 fn play(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut session = Session::new(ENTRIES, AGENTS);
@@ -284,7 +286,7 @@
             .collect();
         history.push(evacuations(log_offset, &zones));
     }
-    // When the first entry heard of each record, and when all had.
+    // For each record: when the first entry got it, which entries got it, and when all had.
     let mut delivered = vec![(u64::MAX, [false; ENTRIES], u64::MAX); history.len()];
     let mut killed_ms = [0; AGENTS];
     for newest in 0..history.len() {
@@ -327,8 +329,8 @@
     session.heal();
     session.call_delay = Box::new(|_, _| None);
     session.run(6_000);
-    // From when all entries knew a record that empties a zone, nothing starts
-    // there until somebody hears of a later one that does not.
+    // Once all entries have a record that evacuates a zone, nothing may start in the zone
+    // until some entry gets a later record that does not evacuate it.
     for start in &session.answered_starts {
         let zone = ZONES[start.agent % 3];
         let evacuated_since = (0..history.len())
@@ -353,8 +355,8 @@
     );
 }
 
-/// Longest time for which an entry of a play stands still, so that its word
-/// comes later.
+/// Longest suspension of an entry in [`play`], in milliseconds. A suspended entry sends
+/// its agents the evacuations that much later.
 const MAX_SUSPENSION_MS: u64 = 900;
 
 #[test]
--- a/crates/dispatch/tests/frames.rs
+++ b/crates/dispatch/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames of any bytes are decoded or refused, with bounded memory.
+//! Property tests of the frame codec: any bytes are decoded or rejected, with bounded
+//! memory.
 
 use gannetvane_dispatch::AgentFrame;
 use gannetvane_dispatch::EntryFrame;
--- a/crates/dispatch/tests/gossip.rs
+++ b/crates/dispatch/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! What an entry tells another one of the entries that it knows.
+//! Tests of the gossip between entries: known entries and crashes.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use gannetvane_dispatch::TaskId;
 
 const START_MS: u64 = 100_000;
-/// Pause between two frames, in milliseconds.
+/// Interval between two frames on a connection, in milliseconds.
 const KEEPALIVE_INTERVAL_MS: u64 = 1_000;
 
 fn addr(number: u8) -> SocketAddr {
@@ -27,7 +27,7 @@
     }
 }
 
-/// The entries in the next frame of a process that knows `numbers`.
+/// Returns the entries in the next frame of an entry whose known entries are `numbers`.
 fn sent_entries(sender: &mut GossipSender, now_ms: u64, numbers: &[u8]) -> Vec<SocketAddr> {
     let gossip = gossip(numbers);
     let seen = |addr: &SocketAddr| SeenEntry {
@@ -103,7 +103,8 @@
     }
 }
 
-/// Numbers of the crashes in the next frame of an entry, with their ages.
+/// Returns number and age of each crash in the next frame of an entry, ages in
+/// milliseconds.
 fn sent_crashes(sender: &mut GossipSender, now_ms: u64, entry: &Dispatcher) -> Vec<(u64, u64)> {
     let gossip = GossipState {
         crashes: entry.crashes().clone(),
--- a/crates/dispatch/tests/grey.rs
+++ b/crates/dispatch/tests/grey.rs
@@ -1,5 +1,5 @@
-//! Minions that answer calls and are good for nothing else are closed by their
-//! agents, for all entries, and come back.
+//! Tests of grey failures: agents eject minions that answer calls but whose runs all fail
+//! or stall, for all entries, and readmit them after they recover.
 
 mod driver;
 mod session;
@@ -19,8 +19,9 @@
 const WORK_MS: u64 = 60;
 const FIRST_MINION: &str = "minion-0-1";
 
-/// Twelve entries in front of six minions, the first of which is in this mood
-/// for a second in which each entry submits ten jobs of two tasks.
+/// Runs twelve entries in front of six minions for a second, in which each entry submits ten
+/// jobs of two tasks. The first minion behaves as given. Returns the positions of the callers
+/// too.
 fn serve_with_faulty_minion(behavior: Behavior) -> (Session, Vec<usize>) {
     let mut session = Session::new(ENTRIES, 6);
     session.has_prompt_minions = true;
@@ -96,7 +97,8 @@
     assert_eq!(driver.start_of(3, "c"), 0);
 }
 
-/// Runs that are to stop; a stop may go out in copies.
+/// Returns the number of runs that are stopped. The agent may send hedged calls for one
+/// stop.
 fn stopped_runs(actions: &[AgentAction]) -> usize {
     let stopped = actions.iter().filter_map(|action| match action {
         AgentAction::Stop { key, .. } => Some(key),
@@ -119,7 +121,7 @@
     let mut driver = Driver::new();
     driver.starts(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
-    // As when the agent's host stood still.
+    // The listing arrives late, as it does when the agent's host was suspended.
     assert_eq!(stopped_runs(&driver.list_running(&["a", "b"], 5, 100)), 0);
     assert!(driver.is_accepting_starts());
 }
--- a/crates/dispatch/tests/growth/agent.rs
+++ b/crates/dispatch/tests/growth/agent.rs
@@ -1,4 +1,4 @@
-//! One agent, as far as it knows entries.
+//! Model of an agent: its directory of entries and its links to them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,7 +14,9 @@
 #[derive(Debug)]
 pub struct Agent {
     pub directory: Directory,
+    /// Numbers of the entries with a link.
     pub links: BTreeSet<usize>,
+    /// Discoveries of the directory when the agent last dialed its targets.
     pub dialed_discoveries: u64,
     pub tally: Tally,
 }
@@ -43,10 +45,12 @@
     }
 }
 
+/// Returns the name of the host of an agent.
 pub fn host(agent: usize) -> String {
     format!("host-{agent}")
 }
 
+/// Returns the first message of an agent on a link.
 pub fn hello(agent: usize) -> AgentHello {
     AgentHello {
         node: NodeId(agent as u64),
--- a/crates/dispatch/tests/growth/change.rs
+++ b/crates/dispatch/tests/growth/change.rs
@@ -1,4 +1,4 @@
-//! The changes that are played, and when who knew of them.
+//! The simulated changes of a fleet, and the measurements of how they spread.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,40 +13,51 @@
 use crate::fleet::addr;
 use crate::tally::Tally;
 
-/// Hosts for each entry.
+/// Number of hosts for each entry.
 const HOSTS_PER_ENTRY: usize = 5;
-/// Time that is counted after a change, in milliseconds.
+/// Time after a change in which messages are counted, in milliseconds.
 const CHANGE_WINDOW_MS: u64 = 2_000;
-/// Time that is counted in calm, in milliseconds: several lists.
+/// Time without a change in which messages are counted, in milliseconds: several full
+/// lists.
 const CALM_WINDOW_MS: u64 = 10_000;
-/// Time after which an entry that is lost must have been forgotten, in
-/// milliseconds.
+/// Time within which all processes must have forgotten a lost entry, in milliseconds.
 const FORGOTTEN_WITHIN_MS: u64 = 42_000;
 
+/// A change of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing; what is sent all the time.
+    /// No change: only the regular messages are counted.
     Calm,
+    /// One more entry starts.
     NewEntry,
+    /// An entry is gone for good.
     LostEntry,
+    /// One entry reads a newer configuration.
     Configuration,
 }
 
-/// What was counted for one change at one size.
+/// The measurements of one change at one fleet size.
 #[derive(Clone, Debug)]
 pub struct Findings {
     pub change: Change,
     pub hosts: usize,
-    /// When each process that the change concerns knew, after it.
+    /// For each affected process, the time from the change until it knew it, in
+    /// milliseconds and ascending.
     known_ms: Vec<u64>,
+    /// Sums over all processes.
     pub all: Tally,
+    /// Most bytes that one process sent.
     pub busiest_bytes: u64,
+    /// Most messages that one process sent.
     pub busiest_messages: u64,
+    /// Most processor time that the directory of one process took.
     pub busiest_time: Duration,
+    /// Length of the time that was counted, in milliseconds.
     pub window_ms: u64,
 }
 
 impl Change {
+    /// Returns the time that is counted, in milliseconds after the change.
     fn window_ms(self) -> RangeInclusive<u64> {
         match self {
             Self::Calm => 0..=CALM_WINDOW_MS,
@@ -57,17 +68,23 @@
 }
 
 impl Findings {
+    /// Returns the time until the last affected process knew the change, in milliseconds.
     pub fn last_ms(&self) -> u64 {
         self.known_ms.last().copied().unwrap_or_default()
     }
 
+    /// Returns the median time until an affected process knew the change, in milliseconds.
     pub fn median_ms(&self) -> u64 {
         let middle = self.known_ms.len() / 2;
         self.known_ms.get(middle).copied().unwrap_or_default()
     }
 }
 
-/// Plays a change in a settled fleet.
+/// Simulates a change in a fleet whose processes know each other, and measures it.
+///
+/// # Panics
+///
+/// If a process doesn't know the change at the end of the counted time.
 pub fn play(change: Change, hosts: usize) -> Findings {
     let entries = hosts / HOSTS_PER_ENTRY;
     let mut fleet = Fleet::connected(entries, hosts - entries);
@@ -125,7 +142,7 @@
     }
 }
 
-/// The processes that have not heard of a change.
+/// The affected processes that don't know a change yet.
 #[derive(Debug)]
 struct PendingProcesses {
     change: Change,
@@ -136,6 +153,7 @@
 }
 
 impl PendingProcesses {
+    /// Returns the processes that a change of the entry `changed` affects.
     fn new(fleet: &Fleet, change: Change, changed: usize) -> Self {
         let is_affected = |agent: &usize| match change {
             Change::NewEntry => chosen(*agent, changed + 1).contains(&addr(changed)),
@@ -159,7 +177,7 @@
         self.entries.is_empty() && self.agents.is_empty()
     }
 
-    /// Passes over those that know now; their number.
+    /// Removes the processes that know the change now and returns their number.
     fn remove_informed(&mut self, fleet: &Fleet) -> usize {
         let before = self.entries.len() + self.agents.len();
         let (change, changed, version) = (self.change, self.changed, self.version);
@@ -183,7 +201,7 @@
     }
 }
 
-/// The entries that an agent chooses of so many.
+/// Returns the entries that an agent chooses among the first `entries` ones.
 pub fn chosen(agent: usize, entries: usize) -> BTreeSet<SocketAddr> {
     let all: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
--- a/crates/dispatch/tests/growth/entry.rs
+++ b/crates/dispatch/tests/growth/entry.rs
@@ -1,4 +1,4 @@
-//! One entry, as far as it knows others.
+//! Model of an entry: its directory, its gossip and its connections.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,25 +21,28 @@
 use crate::agent::hello;
 use crate::tally::Tally;
 
-/// An entry.
+/// An entry of the simulated fleet.
 #[derive(Debug)]
 pub struct Entry {
     pub directory: Directory,
     pub gossip: GossipState,
+    /// Discoveries of the directory when the entry last refreshed its gossip.
     pub sent_discoveries: u64,
-    /// Connections to other entries, with what was told there.
+    /// Connections to other entries, by their number.
     pub connections: BTreeMap<usize, Connection>,
-    /// Agents with a link.
+    /// Numbers of the agents with a link.
     pub agents: BTreeSet<usize>,
     pub is_up: bool,
+    /// Whether a wake is queued for the present millisecond.
     pub is_wake_scheduled: bool,
     pub tally: Tally,
 }
 
+/// A connection to another entry, with the state of what was sent on it.
 #[derive(Debug, Default)]
 pub struct Connection {
     sender: GossipSender,
-    /// Number of the last frame; a pause that began earlier is over.
+    /// Number of frames sent; the keep-alive timer of an earlier frame is void.
     pub frames: u64,
 }
 
@@ -63,7 +66,7 @@
         self.tally.targets.measure(|| directory.targets(now_ms))
     }
 
-    /// Takes over what another entry told; whether the configuration is newer.
+    /// Applies a frame of another entry. Returns whether its configuration was newer.
     pub fn apply_frame(&mut self, now_ms: u64, from: SocketAddr, frame: PeerFrame) -> bool {
         let directory = &mut self.directory;
         self.tally.learn.measure(|| {
@@ -79,7 +82,8 @@
         }
     }
 
-    /// Whether the set of entries changed since others were told.
+    /// Refreshes the entries in the gossip from the directory. Returns whether their set
+    /// changed.
     pub fn refresh_entries(&mut self, now_ms: u64) -> bool {
         self.sent_discoveries = self.directory.discoveries();
         let entries = self.directory.recent_addrs(now_ms);
@@ -88,7 +92,7 @@
         has_changed
     }
 
-    /// The next frame to another entry; `None` without a connection.
+    /// Returns the next frame to another entry, encoded; `None` without a connection.
     pub fn next_frame(&mut self, now_ms: u64, to: usize) -> Option<Vec<u8>> {
         let connection = self.connections.get_mut(&to)?;
         connection.frames += 1;
@@ -99,7 +103,7 @@
         Some(bytes)
     }
 
-    /// The frames that tell these agents of the entries.
+    /// Returns, for each of these agents, the encoded frame with the entries for it.
     pub fn frames_to(&mut self, now_ms: u64, agents: &BTreeSet<usize>) -> Vec<(usize, Vec<u8>)> {
         let settings = DispatcherSettings {
             zone: "selfoss".into(),
@@ -124,7 +128,7 @@
     }
 }
 
-/// A configuration of as many queues as the users have teams.
+/// Returns a configuration with one queue for each of the users' teams.
 pub fn table(version: u64) -> RoutingTable {
     let queue = |number: u32| {
         Arc::new(Queue {
@@ -147,6 +151,7 @@
     }
 }
 
+/// Returns the agent and the encoded frame of an action that sends orders.
 fn encode_orders(action: DispatcherAction) -> Option<(usize, Vec<u8>)> {
     let DispatcherAction::Send(LinkId(agent), frame) = action else {
         return None;
--- a/crates/dispatch/tests/growth/fleet.rs
+++ b/crates/dispatch/tests/growth/fleet.rs
@@ -1,4 +1,5 @@
-//! Entries and agents that exchange what they know, as `gannetvane-node` does.
+//! Discrete-event simulation of a fleet of entries and agents, which exchange their gossip
+//! as `gannetvane-node` does.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -23,35 +24,40 @@
 
 /// Time that a frame takes from one process to another, in milliseconds.
 const FRAME_DELAY_MS: u64 = 1;
-/// Pause between two looks of a process at its directory, in milliseconds.
+/// Interval between two reads of its directory by a process, in milliseconds.
 const REFRESH_INTERVAL_MS: u64 = 500;
-/// Pause between two frames to another entry, in milliseconds.
+/// Interval between two frames to another entry, in milliseconds.
 const KEEPALIVE_INTERVAL_MS: u64 = 1_000;
-/// Time between two lists of all entries, in milliseconds.
+/// Interval between two full lists of entries on a connection, in milliseconds.
 const FULL_LIST_INTERVAL_MS: u64 = 5_000;
+/// Number of entries whose addresses all processes get at their start.
 const SEEDS: usize = 3;
 const START_MS: u64 = 100_000;
 
+/// An event of the simulation; numbers are those of entries unless said otherwise.
 #[derive(Debug)]
 enum Event {
-    /// An entry looks at its directory.
+    /// An entry refreshes its gossip and its connections from its directory.
     EntryRefresh(usize),
-    /// An agent looks at its directory.
+    /// An agent, by its number, refreshes its links from its directory.
     AgentRefresh(usize),
-    /// An entry has taken in all that came at this moment.
+    /// An entry has applied all frames that arrived at this millisecond.
     Wake(usize),
-    /// A connection between two entries, by the one that opened it, is open.
+    /// The connection from the first entry to the second one is open.
     ConnectionOpen(usize, usize),
-    /// The pause after this frame is over.
+    /// The keep-alive interval after a frame is over: sender, receiver, number of the frame.
     KeepaliveDue(usize, usize, u64),
+    /// A frame arrives: sender, receiver, bytes.
     Frame(usize, usize, Rc<Vec<u8>>),
+    /// An acknowledgement of a frame arrives: sender, receiver.
     Ack(usize, usize),
-    /// An agent's link to an entry is open.
+    /// The link of an agent to an entry is open: agent, entry.
     LinkOpen(usize, usize),
-    /// An entry's frame to an agent.
+    /// A frame with orders arrives: entry, agent, bytes.
     Orders(usize, usize, Vec<u8>),
 }
 
+/// The simulated fleet.
 #[derive(Debug)]
 pub struct Fleet {
     pub now_ms: u64,
@@ -60,11 +66,13 @@
     queue: EventQueue<Event>,
 }
 
+/// Returns the address of an entry.
 pub fn addr(entry: usize) -> SocketAddr {
     let [.., high, low] = entry.to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(10, 1, high, low), 7_720))
 }
 
+/// Returns the number of the entry at an address.
 fn entry_number(addr: SocketAddr) -> usize {
     let SocketAddr::V4(addr) = addr else {
         unreachable!("all addresses are of version 4");
@@ -74,7 +82,8 @@
 }
 
 impl Fleet {
-    /// So many entries and agents that know each other, connected as they choose.
+    /// Creates entries and agents that know all entries, and runs them until all of them are
+    /// connected to the entries that they choose.
     pub fn connected(entries: usize, agents: usize) -> Self {
         let seeds: Vec<SocketAddr> = (0..SEEDS).map(addr).collect();
         let mut fleet = Self {
@@ -98,6 +107,7 @@
         fleet
     }
 
+    /// Makes all entries known to all processes.
     fn learn_all(&mut self) {
         let known = |entry| SeenEntry {
             addr: addr(entry),
@@ -116,7 +126,7 @@
         }
     }
 
-    /// Opens the links that an agent chooses.
+    /// Opens the links that an agent chooses, without a delay.
     fn connect_agent(&mut self, agent: usize) {
         let state = &mut self.agents[agent];
         for target in state.targets(START_MS) {
@@ -132,7 +142,7 @@
         self.queue.add(at_ms, Event::EntryRefresh(entry));
     }
 
-    /// One more entry, which the store told of the others.
+    /// Adds an entry that has the addresses of the others from the store.
     pub fn add_entry(&mut self) {
         let number = self.entries.len();
         let seeds: Vec<SocketAddr> = (0..SEEDS).map(addr).collect();
@@ -143,7 +153,7 @@
         self.queue.add(self.now_ms, Event::EntryRefresh(number));
     }
 
-    /// An entry is gone, and its connections with it.
+    /// Stops an entry and closes the connections and links to it.
     pub fn remove_entry(&mut self, gone: usize) {
         self.entries[gone].is_up = false;
         for entry in &mut self.entries {
@@ -154,14 +164,14 @@
         }
     }
 
-    /// An entry reads a newer configuration.
+    /// Gives an entry a newer configuration, which it sends to its peers.
     pub fn configure(&mut self, entry: usize) {
         let version = self.entries[entry].gossip.table.version + 1;
         self.entries[entry].gossip.table = Arc::new(entry::table(version));
         self.send_to_peers(entry);
     }
 
-    /// Plays this long.
+    /// Runs the simulation for this time.
     pub fn run(&mut self, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
         while let Some((at_ms, event)) = self.queue.next(until_ms) {
@@ -247,12 +257,12 @@
                 self.queue
                     .add(now_ms + 3 * FRAME_DELAY_MS, Event::LinkOpen(agent, entry));
             } else {
-                // Frames on the link come far more often than looks.
+                // Frames arrive on a link far more often than the agent refreshes.
                 let directory = &mut self.agents[agent].directory;
                 directory.mark_seen(now_ms, addr(entry));
             }
         }
-        // The links that are kept.
+        // Keeps the links to the targets and retires the others.
         let targets = self.agents[agent].targets(now_ms);
         let is_wanted = |entry: &usize| targets.contains(&addr(*entry));
         let links = std::mem::take(&mut self.agents[agent].links);
@@ -269,7 +279,8 @@
         self.entries.get(entry).is_some_and(|entry| entry.is_up)
     }
 
-    /// What came is looked at once all of this moment is there.
+    /// Schedules a wake of an entry with new discoveries, after all events of this
+    /// millisecond.
     fn schedule_wake(&mut self, entry: usize) {
         let state = &mut self.entries[entry];
         if state.directory.discoveries() != state.sent_discoveries && !state.is_wake_scheduled {
@@ -284,7 +295,7 @@
         self.dial_peers(entry);
     }
 
-    /// Tells entries and agents when the set of entries changed.
+    /// Sends the set of entries to agents and peers if it changed.
     fn send_changes(&mut self, entry: usize) {
         let now_ms = self.now_ms;
         if !self.entries[entry].refresh_entries(now_ms) {
@@ -305,7 +316,7 @@
 
     fn send_to_peers(&mut self, entry: usize) {
         let connections = self.entries[entry].connections.iter();
-        // One that is not open yet tells everything once it is.
+        // A connection that isn't open yet gets everything in its first frame.
         let open = connections.filter(|(_, connection)| connection.frames > 0);
         let open: Vec<usize> = open.map(|(to, _)| *to).collect();
         for to in open {
--- a/crates/dispatch/tests/growth/gossip.rs
+++ b/crates/dispatch/tests/growth/gossip.rs
@@ -1,4 +1,4 @@
-//! What it costs an entry to tell its agents of a change.
+//! Cost at an entry of sending its agents a changed set of entries.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -11,12 +11,14 @@
 use crate::fleet::addr;
 
 const NOW_MS: u64 = 1_000;
-/// Agents of an entry: 12 links of each, four agents for each entry.
+/// Number of agents with a link to one entry: each agent has 12 links, and there are four
+/// agents for each entry.
 const AGENTS: usize = 48;
+/// Number of entries that are added, one by one.
 const CHANGES: usize = 50;
 
-/// Processor time to choose for all agents after one more entry became known, in
-/// microseconds.
+/// Returns the mean time in which an entry chooses the entries for all its agents after one
+/// more entry became known, in microseconds.
 pub fn mean_change_us(entries: usize) -> f64 {
     let settings = DispatcherSettings {
         zone: "selfoss".into(),
--- a/crates/dispatch/tests/growth/main.rs
+++ b/crates/dispatch/tests/growth/main.rs
@@ -1,7 +1,7 @@
-//! How what processes know of each other grows with the fleet: frames between
-//! entries and orders to agents, without sockets, on a clock that the test advances.
+//! Tests of how gossip traffic grows with the size of the fleet: frames between entries and
+//! orders to agents, without sockets, on a simulated clock.
 //!
-//! All sizes, with a table of what was counted:
+//! This command runs all sizes and prints a table of the measurements:
 //!
 //! ```sh
 //! cargo test --release --locked -p gannetvane-dispatch --test growth -- \
@@ -114,7 +114,7 @@
     let play = |hosts: &usize| change::play(change, *hosts);
     let findings: Vec<Findings> = ALL_SIZES.iter().map(play).collect();
     println!("{}", report::table(&findings));
-    // A lost entry is forgotten later, as it may come back.
+    // A lost entry is forgotten later, as it may return.
     if change != Change::LostEntry {
         let is_late = |findings: &&Findings| findings.last_ms() > 2_000;
         assert!(!findings.iter().any(|findings| is_late(&findings)));
--- a/crates/dispatch/tests/growth/queue.rs
+++ b/crates/dispatch/tests/growth/queue.rs
@@ -1,8 +1,8 @@
-//! What is to come, by time.
+//! The event queue of the simulation.
 
 use std::collections::BTreeMap;
 
-/// Events in the order of their time and, at the same time, of their addition.
+/// Events ordered by time; events of the same time are in the order of their addition.
 #[derive(Debug)]
 pub struct EventQueue<T> {
     events: BTreeMap<(u64, u64), T>,
@@ -22,7 +22,7 @@
         self.events.insert((at_ms, self.added), event);
     }
 
-    /// The next event, if it is due by then.
+    /// Removes and returns the next event and its time, if it is due by `until_ms`.
     pub fn next(&mut self, until_ms: u64) -> Option<(u64, T)> {
         let first = self.events.first_entry()?;
         let (at_ms, _) = *first.key();
--- a/crates/dispatch/tests/growth/report.rs
+++ b/crates/dispatch/tests/growth/report.rs
@@ -1,4 +1,4 @@
-//! Findings as lines of a table.
+//! Prints the measurements as CSV.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 const CSV_HEADER: &str = "change,hosts,median_ms,last_ms,messages,bytes,\
     busiest_messages,busiest_bytes,targets_us,targets_per_s,learn_us,learn_per_s,busiest_ms_per_s";
 
-/// One line for each size, and the powers with which the figures grow.
+/// Returns a header, a line for each size, and a line with the growth exponents.
 pub fn table(findings: &[Findings]) -> String {
     let lines = findings.iter().map(ToString::to_string);
     let lines = std::iter::once(CSV_HEADER.to_owned()).chain(lines);
@@ -39,8 +39,8 @@
     }
 }
 
-/// The powers of the number of hosts with which the figures grow, by their
-/// logarithms over all sizes.
+/// Returns the line of exponents: each figure grows with about this power of the number of
+/// hosts, fitted to the logarithms over all sizes.
 fn growth_exponents(findings: &[Findings]) -> String {
     let of = |figure: fn(&Findings) -> f64| log_log_slope(findings, figure);
     format!(
@@ -56,6 +56,7 @@
     )
 }
 
+/// Returns the slope of the least-squares line through the logarithms of hosts and figure.
 fn log_log_slope(findings: &[Findings], figure: fn(&Findings) -> f64) -> f64 {
     let points = findings.iter().map(|findings| {
         let hosts = findings.hosts as f64;
--- a/crates/dispatch/tests/growth/tally.rs
+++ b/crates/dispatch/tests/growth/tally.rs
@@ -1,20 +1,25 @@
-//! What one process sent, and the processor time that its directory took.
+//! Counters of one process: messages sent, and processor time of its directory.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Bytes before each frame on a connection.
+/// Length of the prefix of each frame on a connection, in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
+/// The counters of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
+    /// Messages sent.
     pub messages: u64,
+    /// Bytes sent, with the length prefixes.
     pub bytes: u64,
+    /// Calls that choose the targets of the directory.
     pub targets: Work,
+    /// Calls that add entries to the directory.
     pub learn: Work,
 }
 
-/// Calls and their processor time.
+/// Number of calls and the time that they took.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Work {
     pub calls: u64,
@@ -36,7 +41,7 @@
         }
     }
 
-    /// Processor time of the directory.
+    /// Returns the time that all calls of the directory took.
     pub fn work(&self) -> Duration {
         self.targets.time + self.learn.time
     }
@@ -51,6 +56,7 @@
         result
     }
 
+    /// Returns the mean time of a call, in microseconds.
     pub fn mean_us(self) -> f64 {
         self.time.as_secs_f64() * 1e6 / self.calls.max(1) as f64
     }
--- a/crates/dispatch/tests/late_binding.rs
+++ b/crates/dispatch/tests/late_binding.rs
@@ -1,5 +1,5 @@
-//! Tasks that find no room are told to agents, which offer room when it comes
-//! up to the entry that needs it soonest.
+//! Tests of late binding: entries probe agents for tasks that wait for resources, and an
+//! agent offers freed resources to the entry whose task is the most urgent.
 
 mod session;
 
@@ -18,10 +18,10 @@
 use session::Session;
 use session::table;
 
-/// Tasks that a minion of the session runs at one time.
+/// Number of tasks that a minion of the session runs at a time.
 const TASKS_PER_MINION: u32 = 10;
 
-/// Like [`FairShare`], but refuses nothing.
+/// Policy that ranks jobs like [`FairShare`], but refuses and sheds none.
 #[derive(Debug, Default)]
 struct AdmitsAll {
     fair_share: FairShare,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Two entries in front of one minion.
+/// Returns a session of two entries and one minion.
 fn session() -> Session {
     let policy = || -> BoxedPolicy { Box::new(AdmitsAll::default()) };
     let kind = MinionKind {
@@ -68,7 +68,7 @@
     let mut session = session();
     session.submit(0, "first", TASKS_PER_MINION, 300);
     session.run(50);
-    // The entry whose tasks end hears of the room first, and could use it all.
+    // The first entry gets the ends of its tasks first, and could use all that they free.
     session.submit(0, "long", TASKS_PER_MINION, 300);
     session.run(200);
     let urgent = session.submit(1, "urgent", 4, 60);
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -1,4 +1,4 @@
-//! Which entries an agent keeps links to, and how it lets others go.
+//! Tests of the entries to which an agent keeps links, and of how it retires other links.
 
 mod session;
 
@@ -14,6 +14,7 @@
 
 const NOW_MS: u64 = 1_000;
 
+/// Returns the address of an entry.
 fn entry(number: usize) -> SocketAddr {
     let [.., high, low] = number.to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(10, 1, high, low), 7_720))
@@ -23,6 +24,7 @@
     (0..count).map(entry).collect()
 }
 
+/// Returns the entries that an agent links to when it knows `entries` and one seed.
 fn chosen(agent: usize, entries: &[SocketAddr]) -> BTreeSet<SocketAddr> {
     let seed = SocketAddr::from((Ipv4Addr::new(10, 9, 9, 9), 7_720));
     let name = format!("side-{agent}");
--- a/crates/dispatch/tests/long_tasks.rs
+++ b/crates/dispatch/tests/long_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that work many times longer than declared, while their callers wait.
+//! Tests of tasks that take many times longer than declared while their callers wait.
 
 mod session;
 
@@ -7,16 +7,16 @@
 use session::Session;
 use yare::parameterized;
 
-/// Declared work of a task, in milliseconds. By it, a job is of no use after 1.6 s.
+/// Declared work of a task, in milliseconds. According to it, a job is given up after 1.6 s.
 const DECLARED_MS: u64 = 300;
 
-/// The time within which a job of this work should be complete, by its queue.
+/// Returns the objective of the queue for a job whose tasks take `work_ms`, in
+/// milliseconds.
 fn objective_ms(work_ms: u64) -> u64 {
     work_ms * 16 / 10 + 60
 }
 
-/// The job is complete within the objective of its true work; its caller waits for
-/// 6 s.
+/// The job completes within the objective for its true work. Its caller waits for 6 s.
 #[parameterized(
     four_times = { 4 },
     seven_times = { 7 },
@@ -30,7 +30,8 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// Progress alone makes a job longer: one that stands still ends as before.
+/// Only progress extends a job beyond its declared work: a job whose tasks make none ends as
+/// late.
 #[test]
 fn a_stalled_task_does_not_extend_its_job() {
     let mut session = Session::new(1, 3);
@@ -42,7 +43,7 @@
     assert_eq!(session.outcome(job), Some(JobOutcome::TooLate));
 }
 
-/// Nothing outlasts its caller.
+/// Even a job that makes progress ends when its caller stops waiting.
 #[test]
 fn a_job_ends_with_the_wait_time_of_its_caller() {
     let mut session = Session::new(1, 3);
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -1,5 +1,5 @@
-//! How entries learn of each other over a few connections each, and forget
-//! those that are gone.
+//! Tests of how entries discover each other over a few connections each, and forget entries
+//! that are gone.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 use gannetvane_dispatch::Directory;
 use gannetvane_dispatch::MAX_LINKED_PEERS;
 
-/// Entries at the target size.
+/// Number of entries in a fleet of the target size.
 const ENTRIES: usize = 183;
-/// Pause between two lists on a connection, in milliseconds.
+/// Interval between two full lists of entries on a connection, in milliseconds.
 const FULL_LIST_INTERVAL_MS: u64 = 5_000;
-/// Time without contact after which an entry is to be forgotten, and what its
-/// age may lag behind on its way, in milliseconds.
+/// Time within which an entry that is gone must be forgotten, in milliseconds: 30 s without
+/// contact, and two list intervals by which its reported age can lag behind.
 const FORGOTTEN_WITHIN_MS: u64 = 30_000 + 2 * FULL_LIST_INTERVAL_MS;
 
 struct Fleet {
@@ -27,7 +27,7 @@
 }
 
 impl Fleet {
-    /// Entries that know three seeds.
+    /// Creates entries that know three seeds.
     fn new() -> Self {
         let seeds = [addr(0), addr(1), addr(2)];
         let directory = |number| {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Every entry sends a list to each that it connects to.
+    /// Advances the time by one list interval; each entry sends its list to all its targets.
     fn exchange(&mut self) {
         self.now_ms += FULL_LIST_INTERVAL_MS;
         for number in 0..ENTRIES {
@@ -55,6 +55,7 @@
         }
     }
 
+    /// Sends the list of entry `number` to the entry at `target`, if that one is up.
     fn send_list(&mut self, number: usize, target: SocketAddr) {
         let Some(other) = (0..ENTRIES).find(|other| addr(*other) == target) else {
             return;
@@ -68,6 +69,7 @@
         self.directories[other].merge_seen(self.now_ms, &list);
     }
 
+    /// Returns the number of running entries that know entry `number`.
     fn count_entries_that_know(&self, number: usize) -> usize {
         let up = (0..ENTRIES).filter(|other| self.is_up[*other]);
         let has_addr = |other: &usize| {
--- a/crates/dispatch/tests/overload.rs
+++ b/crates/dispatch/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Jobs that cannot be in time are refused early and truly, and those that
-//! have begun are brought to their end.
+//! Tests of overload: jobs that cannot meet their objective are refused early, no others
+//! are refused, and jobs that have started are completed.
 
 mod session;
 
@@ -24,13 +24,13 @@
 use session::Session;
 use session::TASK_RESOURCES;
 
-/// Run time of the tasks, in milliseconds.
+/// Work of each task, in milliseconds.
 const WORK_MS: u64 = 100;
-/// Objective of the jobs: 1.6 times their work and 60 ms.
+/// Objective of each job, in milliseconds: 1.6 times its work and 60 ms.
 const OBJECTIVE_MS: u64 = 220;
 
-/// Ends of jobs of four tasks that come every 10 ms for 8 s, while one minion
-/// gets through one every 40 ms.
+/// Submits a job of four tasks every 10 ms for 8 s to one minion, which can complete one
+/// every 40 ms. Returns the session and the positions of the callers.
 fn overload() -> (Session, Vec<usize>) {
     let mut session = Session::new(1, 1);
     let mut jobs = Vec::new();
@@ -82,7 +82,7 @@
 fn a_job_that_fits_into_an_idle_service_is_not_refused() {
     let mut session = Session::new(1, 1);
     for number in 0..20 {
-        // More tasks than fit at once: some wait, and yet it is in time.
+        // The job has more tasks than fit at once. Some wait, but the job is in time.
         let job = session.submit(0, &format!("job-{number}"), 12, WORK_MS);
         session.run_until_answered(job, 1_000);
         assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -152,7 +152,7 @@
     dispatcher.agent_up(now_ms, link, hello);
 }
 
-/// An agent without any room greets.
+/// Connects an agent that reports no free resources.
 fn full_agent_up(dispatcher: &mut Dispatcher, now_ms: u64, link: LinkId, service: &str) {
     agent_up(dispatcher, now_ms, link, service);
     let frame = AgentFrame {
@@ -189,7 +189,7 @@
     for number in 0..60 {
         dispatcher.submit(now_ms, CallerId(number), job(number, "full", 60));
     }
-    // With more time left it is looked at after all jobs of the full service.
+    // This job has more time left, so it is checked after all jobs of the full service.
     dispatcher.submit(now_ms, CallerId(60), job(60, "other", 400));
     dispatcher.tick(now_ms + 10);
     let answers = dispatcher.take_actions();
--- a/crates/dispatch/tests/policy.rs
+++ b/crates/dispatch/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The policy for overload, asked directly.
+//! Unit tests of the overload policy [`FairShare`].
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 use gannetvane_dispatch::WaitingJob;
 
 const SERVICE: &str = "desk";
-/// Room of all minions, in thousandths of a core.
+/// Capacity of all minions, in thousandths of a core.
 const CAPACITY_MILLI: f64 = 400_000.0;
-/// Work of a job: two cores for 200 ms.
+/// Work of a job, in thousandths of a core by milliseconds: two cores for 200 ms.
 const WORK: f64 = 2_000.0 * 200.0;
 
 fn queue(name: &str) -> Arc<Queue> {
@@ -38,7 +38,8 @@
     }
 }
 
-/// The service while this many times its room comes and this much waits.
+/// Returns a service to which `load` times its capacity is offered, and whose waiting jobs
+/// take all its minions `waiting_ms` to complete.
 fn view(load: f64, waiting_ms: f64) -> ServiceView {
     ServiceView {
         capacity_milli: CAPACITY_MILLI,
@@ -48,8 +49,9 @@
     }
 }
 
-/// Parts of the jobs of each queue that are taken in, when they come by turns
-/// for two seconds.
+/// Returns the fractions of the jobs of a frequent and a rare queue that the policy admits.
+/// One job arrives every millisecond for two seconds; each `rare_interval`-th is of the rare
+/// queue.
 fn admitted_fractions(view: &ServiceView, rare_interval: usize) -> (f64, f64) {
     let mut policy = FairShare::default();
     let (frequent, rare) = (queue("often"), queue("seldom"));
@@ -145,8 +147,8 @@
     assert!(!policy.can_meet_objective(2_900, &job, 60.0));
 }
 
-/// The part of the jobs that is taken in while this much work waits, after as
-/// many jobs waited in vain, 50 ms apart, and a pause.
+/// Returns the fraction of jobs that the policy admits while the waiting jobs take all
+/// minions `waiting_ms`, after `shed_jobs` jobs were shed 50 ms apart and a pause.
 fn admitted_fraction_after(waiting_ms: f64, shed_jobs: u64, pause_ms: u64) -> f64 {
     let mut policy = FairShare::default();
     let queue = queue("often");
--- a/crates/dispatch/tests/replay/admits_all.rs
+++ b/crates/dispatch/tests/replay/admits_all.rs
@@ -1,4 +1,4 @@
-//! A policy that takes in every job, for comparison.
+//! An overload policy that admits every job, for comparison.
 
 use gannetvane_dispatch::Arrival;
 use gannetvane_dispatch::BoxedPolicy;
@@ -9,7 +9,7 @@
 use gannetvane_dispatch::WaitingJob;
 use gannetvane_wire::Name;
 
-/// Like [`FairShare`], but for what is taken in.
+/// Policy that admits every job and is like [`FairShare`] otherwise.
 #[derive(Debug, Default)]
 struct AdmitsAll {
     fair_share: FairShare,
--- a/crates/dispatch/tests/replay/central.rs
+++ b/crates/dispatch/tests/replay/central.rs
@@ -1,5 +1,5 @@
-//! A central queue that knows all minions and all work, at no cost: what the
-//! entries together could do at best with the same order of work.
+//! Reference for the replays: a central queue that knows all minions and all work at no
+//! cost. It shows what the entries together could reach at best with the same order of work.
 
 use gannetvane_dispatch::Resources;
 
@@ -9,25 +9,29 @@
 use crate::session::MinionKind;
 use crate::session::zone_number;
 
-/// Pause after which a caller whose entry is gone sends its job again.
+/// Time after which a caller whose entry is down sends its job again, in milliseconds.
 const RESEND_MS: u64 = 1_300;
 
+/// A run of a task.
 struct Running {
     job: usize,
     task: usize,
     minion: usize,
+    /// Remaining work, in milliseconds on an ordinary minion.
     remaining_ms: f64,
 }
 
+/// A job that has not ended.
 struct Waiting {
     job: usize,
-    /// Tasks that no minion runs or has done.
+    /// Tasks that neither run nor have been completed.
     tasks: Vec<usize>,
+    /// Number of tasks that have not been completed.
     unfinished: usize,
     has_started: bool,
 }
 
-/// How each job ends at the central queue.
+/// Runs the arrivals through the central queue and returns the outcome of each job.
 pub fn play(pattern: &Pattern, arrivals: &[Arrival]) -> Vec<Outcome> {
     let mut queue = Central {
         kinds: pattern.kinds(),
@@ -61,7 +65,7 @@
 }
 
 impl Pattern {
-    /// When a job that comes now reaches an entry.
+    /// Returns when a job that is sent at `at_ms` reaches an entry, in milliseconds.
     fn received_ms(&self, at_ms: u64) -> u64 {
         let is_down = self.outages.iter().any(|outage| {
             outage.with_entries && (outage.at_ms..outage.at_ms + outage.for_ms).contains(&at_ms)
@@ -69,7 +73,8 @@
         if is_down { at_ms + RESEND_MS } else { at_ms }
     }
 
-    /// Whether a minion does no work; the central queue knows the grey ones.
+    /// Whether a minion is down or grey. Unlike the entries, the central queue knows which
+    /// minions are grey.
     fn is_unusable(&self, minion: usize, now_ms: u64) -> bool {
         let is_grey = self
             .grey
@@ -78,7 +83,7 @@
         is_grey || self.is_down(minion, now_ms)
     }
 
-    /// Whether nothing more is started on a minion.
+    /// Whether a minion takes no starts: it is unusable, or its zone is evacuated.
     fn takes_no_starts(&self, minion: usize, now_ms: u64) -> bool {
         let zone = zone_number(minion);
         let here = self.evacuations.iter().filter(|one| one.zone == zone);
@@ -86,6 +91,7 @@
         self.is_unusable(minion, now_ms) || present.next().is_some()
     }
 
+    /// Whether an outage of a minion lasts.
     fn is_down(&self, minion: usize, now_ms: u64) -> bool {
         self.outages.iter().any(|outage| {
             minion < outage.minions
@@ -94,6 +100,7 @@
     }
 }
 
+/// State of the central queue.
 struct Central<'a> {
     kinds: Vec<MinionKind>,
     arrivals: &'a [Arrival],
@@ -103,7 +110,8 @@
 }
 
 impl Central<'_> {
-    /// Lets what runs go on for a millisecond.
+    /// Advances all runs by a millisecond. Runs on unusable minions are lost, and their tasks
+    /// wait again.
     fn advance(&mut self, now_ms: u64, pattern: &Pattern) {
         for run in std::mem::take(&mut self.running) {
             let remaining_ms = run.remaining_ms - self.kinds[run.minion].speed;
@@ -134,8 +142,9 @@
         }
     }
 
-    /// Starts what there is room for: jobs that have begun, then the one that
-    /// must start soonest; drops what has not begun and would be late.
+    /// Starts the tasks for which there are free resources: first those of started jobs, then
+    /// those of the jobs that must start soonest. Drops jobs that have not started and would
+    /// be late.
     fn start_tasks(&mut self, now_ms: u64, pattern: &Pattern) {
         let arrivals = self.arrivals;
         self.waiting
@@ -173,7 +182,8 @@
     }
 }
 
-/// When a job must start to be in time on an ordinary minion.
+/// Returns the latest time at which a job can start on an ordinary minion and be in time,
+/// in milliseconds.
 fn latest_start_ms(arrival: &Arrival) -> f64 {
     let longest_ms = arrival.shape.work_ms.iter().copied().fold(0.0, f64::max);
     (arrival.at_ms + arrival.objective_ms) as f64 - longest_ms
--- a/crates/dispatch/tests/replay/main.rs
+++ b/crates/dispatch/tests/replay/main.rs
@@ -1,5 +1,5 @@
-//! Replays of load patterns: entries, agents and unequal minions on a clock
-//! that the test advances, beside a central queue that knows everything.
+//! Replays of load patterns by entries, agents and unequal minions on a simulated clock,
+//! compared with a central queue that knows everything.
 
 mod admits_all;
 mod central;
@@ -23,35 +23,39 @@
 use session::ZONES;
 use session::evacuations;
 
-/// Time after the last arrival until all jobs have ended, in milliseconds.
+/// Time after the last arrival within which all jobs must end, in milliseconds.
 const DRAIN_MS: u64 = 4_000;
-/// Seeds of the arrivals.
+/// Seeds of the arrivals for a small fleet.
 const SEEDS: [u64; 4] = [11, 12, 13, 14];
 
-/// The same for a fleet of 65 minions.
+/// Seeds of the arrivals for a fleet of 65 minions.
 const SHIFTED_SEEDS: [u64; 2] = [31, 32];
 
-/// The same for a large fleet, of which one play has as many jobs.
+/// Seed of the arrivals for a large fleet. One replay of it has about as many jobs as those
+/// of all seeds of a small fleet.
 const LARGE_SEEDS: [u64; 1] = [21];
+/// More seeds of the arrivals for a large fleet, which only an ignored test plays.
 const OTHER_LARGE_SEEDS: [u64; 4] = [22, 23, 24, 25];
-/// How much further from the central queue other seeds may be: some of them bring
-/// as much work as there is room, and 2% of it is refused.
+/// Fraction by which other seeds may fall further behind the central queue: some of them
+/// bring as much work as there is capacity, and 2% of it is refused.
 const OF_CENTRAL_MARGIN: f64 = 0.02;
 
-/// Jobs from which on their share is told from chance.
+/// Smallest number of jobs in a group for which its figures are compared. Those of smaller
+/// groups depend too much on chance.
 const MIN_COMPARED_JOBS: usize = 20;
 
-/// What a replay showed.
+/// Results of a replay.
 struct Replay {
     outcomes: Vec<Outcome>,
-    /// Room that stood idle while a task waited for it, in parts of all room
-    /// at the times at which some task waited.
+    /// Fraction of the capacity that was idle although a waiting task fitted into it, over
+    /// the times at which some task waited.
     idle: f64,
-    /// Work that was done for jobs that were not in time, in parts of all.
+    /// Fraction of the work that was done for jobs that were not in time.
     wasted: f64,
-    /// Median and largest time that refused jobs waited, in milliseconds.
+    /// Median and longest wait of the refused jobs, in milliseconds.
     refused_ms: (u64, u64),
-    /// Part of the refused jobs for which there was room when they were refused.
+    /// Fraction of the refused jobs for all of whose tasks there were free resources when they
+    /// were refused.
     refused_with_free_resources: f64,
 }
 
@@ -116,6 +120,7 @@
     }
 }
 
+/// Begins the outages of this time.
 fn begin_outages(session: &mut Session, pattern: &Pattern, elapsed_ms: u64) {
     for outage in pattern.outages.iter().filter(|one| one.at_ms == elapsed_ms) {
         for agent in 0..outage.minions {
@@ -130,6 +135,7 @@
     }
 }
 
+/// Changes the behavior of minions whose grey failure begins or ends at this time.
 fn change_behaviors(session: &mut Session, pattern: &Pattern, elapsed_ms: u64) {
     for grey in &pattern.grey {
         let behavior = match grey.mood {
@@ -144,7 +150,7 @@
     }
 }
 
-/// Operators empty zones and take them back.
+/// Sends the present evacuations to all entries when one begins or ends at this time.
 fn change_evacuations(session: &mut Session, pattern: &Pattern, elapsed_ms: u64) {
     let zones = pattern.evacuations.iter();
     let is_change = |one: &Evacuation| [one.from_ms, one.until_ms].contains(&elapsed_ms);
@@ -171,7 +177,7 @@
     }
 }
 
-/// Room without use while there was a use for it.
+/// Sums of idle capacity over the samples taken while tasks waited.
 #[derive(Default)]
 struct IdleCapacity {
     idle_milli: f64,
@@ -195,7 +201,8 @@
     }
 }
 
-/// Without a figure that the replay must reach, nothing would hold a gain.
+/// Compares the quality of service of a small fleet with its bounds, so that a change cannot
+/// worsen it unnoticed.
 #[parameterized(
     burst = { "burst" },
     lasting = { "lasting" },
@@ -209,7 +216,8 @@
     check(&pattern, &Plays::new(&plays));
 }
 
-/// The same with long jobs for half of the work, and operators who empty a zone.
+/// Compares the quality of service with its bounds in a fleet where long jobs are half of the
+/// work, and where operators evacuate a zone.
 #[parameterized(
     long_lasting = { "shifted-long-lasting" },
     evacuated = { "shifted-evacuated" },
@@ -221,7 +229,8 @@
     check(&pattern, &Plays::new(&plays));
 }
 
-/// The same in a fleet in which each entry has links to a part of the agents.
+/// Compares the quality of service with its bounds in a fleet where each entry has links to
+/// only some of the agents.
 #[parameterized(
     lasting = { "large-lasting" },
     long_burst = { "large-long-burst" },
@@ -234,7 +243,8 @@
     check(&pattern, &Plays::new(&plays));
 }
 
-/// The same on more seeds; takes too long for each run of the tests.
+/// Replays the patterns of the large fleet on more seeds, which takes too long for each run
+/// of the tests.
 #[parameterized(
     lasting = { "large-lasting" },
     long_burst = { "large-long-burst" },
@@ -250,8 +260,8 @@
     check(&pattern, &Plays::new(&plays));
 }
 
-/// Two policies on the same load: one takes in everything and refuses what has
-/// waited too long, which tells callers late and starves the largest jobs.
+/// Compares two policies on the same load. The policy that admits every job sheds those that
+/// have waited too long, so that refusals are late and the largest jobs starve.
 #[test]
 fn fair_share_serves_large_jobs_better_than_admitting_all() {
     let pattern = Pattern::read("lasting");
@@ -271,7 +281,7 @@
     assert!(refused_ms(&shared) * 10.0 < refused_ms(&unlimited));
 }
 
-/// One play of a pattern, beside the central queue.
+/// One replay of a pattern, with the outcomes at the central queue for comparison.
 struct Play {
     arrivals: Vec<Arrival>,
     replay: Replay,
@@ -287,8 +297,8 @@
     }
 }
 
-/// The plays of all seeds together: one of them has too few long jobs to tell
-/// a queue that is served worse from chance.
+/// The replays of all seeds together. A single replay has too few long jobs to distinguish a
+/// queue that is served worse from chance.
 struct Plays<'a> {
     plays: &'a [Play],
     arrivals: Vec<Arrival>,
@@ -323,6 +333,7 @@
     }
 }
 
+/// Prints the rows and figures of a pattern, and checks them against its bounds.
 fn check(pattern: &Pattern, plays: &Plays<'_>) {
     let all = plays.row(|_| true);
     let central = plays.central_row(|_| true);
@@ -332,7 +343,7 @@
     let mut entry_gap: f64 = 0.0;
     for entry in 0..pattern.entries.len() {
         let row = plays.row(|one| one.entry == entry);
-        // Some entries of a large fleet have no callers, or too few to tell.
+        // Some entries of a large fleet have no callers, or too few to compare.
         if row.submitted >= MIN_COMPARED_JOBS {
             report::print(&format!("entry {entry}"), &row);
             entry_gap = entry_gap.max(all.worth_fraction() - row.worth_fraction());
@@ -363,7 +374,12 @@
     );
 }
 
-/// How much less the worst queue gets than all; its large jobs must not starve.
+/// Returns how far the worth fraction of the worst queue lies below that of all jobs.
+///
+/// # Panics
+///
+/// If the largest jobs of a queue starve, that is, if the fraction of them that completes is
+/// less than half of the fraction of all its jobs.
 fn queue_gap(pattern: &Pattern, plays: &Plays<'_>, all: &Row) -> f64 {
     let mut queue_gap: f64 = 0.0;
     for (number, queue) in pattern.queues.iter().enumerate() {
--- a/crates/dispatch/tests/replay/pattern.rs
+++ b/crates/dispatch/tests/replay/pattern.rs
@@ -1,4 +1,4 @@
-//! Load patterns, read from files, and the arrivals drawn from them.
+//! Load patterns, read from TOML files, and the arrivals drawn from them at random.
 
 use std::fs;
 use std::ops::Range;
@@ -16,47 +16,49 @@
 use crate::session::MinionKind;
 use crate::session::SERVICE;
 
-/// Memory of each task, in megabytes; never what a minion is short of.
+/// Memory of each task, in megabytes; so little that it never limits a minion.
 const TASK_MEMORY_MB: u32 = 64;
 /// Memory of each minion, in megabytes.
 const MINION_MEMORY_MB: u32 = 65_536;
-/// A job should be complete after this many times the mean work of its tasks
-/// and this time more, in milliseconds.
+/// Factor of the objective of a job: it should be complete after this many times the mean
+/// work of its tasks and [`TARGET_LATENCY_MS`].
 const STRETCH: f64 = 1.6;
+/// Constant part of the objective of a job, in milliseconds.
 const TARGET_LATENCY_MS: u64 = 60;
-/// Part of the worth of a job that its size does not change.
+/// Fraction of the mean worth of a job that doesn't depend on its size.
 const FIXED_WORTH_FRACTION: f64 = 0.3;
-/// Largest number of tasks and longest work, in means of their queue.
+/// Largest random factor: number of tasks and work are at most this many times the mean of
+/// their queue.
 const MAX_FACTOR: f64 = 4.0;
 
-/// A load pattern.
+/// A load pattern, as its file describes it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pattern {
-    /// Time for which jobs come, in milliseconds.
+    /// Time in which jobs arrive, in milliseconds.
     pub length_ms: u64,
-    /// Share of each entry in the arrivals.
+    /// Weight of each entry: its share of the arrivals.
     pub entries: Vec<f64>,
     pub minions: Vec<Minions>,
     pub queues: Vec<QueueLoad>,
-    /// Times at which the arrivals are a multiple of the ordinary ones.
+    /// Times at which the rate of arrivals is a multiple of the ordinary one.
     #[serde(default)]
     pub bursts: Vec<Burst>,
-    /// How the arrivals rise and fall all the time.
+    /// Sine wave of the rate of arrivals.
     #[serde(default)]
     pub swing: Option<Swing>,
     #[serde(default)]
     pub outages: Vec<Outage>,
-    /// Zones that operators empty.
+    /// Availability zones that operators evacuate.
     #[serde(default)]
     pub evacuations: Vec<Evacuation>,
     #[serde(default)]
     pub grey: Vec<Grey>,
-    /// What the replay must reach.
+    /// Bounds that the replay must keep.
     pub bounds: Bounds,
 }
 
-/// Minions that are alike.
+/// A group of equal minions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Minions {
@@ -65,7 +67,7 @@
     pub speed: f64,
 }
 
-/// The jobs of one queue.
+/// Load of one queue.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueueLoad {
@@ -79,34 +81,35 @@
     pub cpu_milli: f64,
 }
 
-/// More jobs than usual.
+/// Time in which the rate of arrivals is multiplied.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
     pub from_ms: u64,
     pub until_ms: u64,
     pub factor: f64,
-    /// The queue whose jobs they are; all queues without one.
+    /// Queue whose arrivals are multiplied; all queues if absent.
     #[serde(default)]
     pub queue: Option<String>,
 }
 
-/// Arrivals that rise and fall.
+/// Sine wave of the rate of arrivals.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Swing {
-    /// Part of the ordinary rate by which they do.
+    /// Amplitude, as a fraction of the ordinary rate.
     pub part: f64,
     pub period_ms: u64,
 }
 
-/// Minions of a zone that get nothing for a time; what runs there ends.
+/// Evacuation of a zone for some time: its minions get no starts, and their runs go on to
+/// their ends.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Evacuation {
     pub from_ms: u64,
     pub until_ms: u64,
-    /// Number of the zone.
+    /// Number of the availability zone.
     pub zone: usize,
 }
 
@@ -116,13 +119,13 @@
     }
 }
 
-/// Minions that answer calls and are good for nothing else.
+/// Grey failure of some minions: they answer calls, but their runs fail or stall.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grey {
     pub from_ms: u64,
     pub until_ms: u64,
-    /// Number of the first of them.
+    /// Number of the first grey minion.
     #[serde(default)]
     pub first: usize,
     pub minions: usize,
@@ -139,7 +142,7 @@
     }
 }
 
-/// What becomes of the tasks on a grey minion.
+/// What happens to the runs on a grey minion.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum GreyMood {
@@ -149,37 +152,37 @@
     Hanging,
 }
 
-/// Minions, from the first on, are gone with their agents and come back.
+/// Outage of the first `minions` minions together with their agents.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outage {
     pub at_ms: u64,
     pub for_ms: u64,
     pub minions: usize,
-    /// Whether all entries are gone as well.
+    /// Whether all entries are down as well.
     #[serde(default)]
     pub with_entries: bool,
 }
 
-/// What a replay must reach.
+/// Bounds that a replay must keep.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Least worth, in parts of that of the central queue.
+    /// Smallest worth, as a fraction of that of the central queue.
     pub of_central: f64,
-    /// Largest part of the room that stands idle while a job waits for it.
+    /// Largest fraction of the capacity that is idle while a job waits for it.
     pub idle: f64,
-    /// Largest part of the jobs that end late.
+    /// Largest fraction of the jobs that end late.
     pub late: f64,
-    /// Largest distance of the worst queue's worth from that of all.
+    /// Largest distance of the worst queue's worth fraction from that of all jobs.
     pub queue_gap: f64,
-    /// Largest distance of the worst entry's worth from that of all.
+    /// Largest distance of the worst entry's worth fraction from that of all jobs.
     pub entry_gap: f64,
-    /// Longest time that refused jobs waited, median, in milliseconds.
+    /// Largest median wait of the refused jobs, in milliseconds.
     pub refused_ms: f64,
 }
 
-/// One job that comes.
+/// The arrival of a job.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at_ms: u64,
@@ -188,12 +191,12 @@
     pub shape: JobShape,
     pub objective_ms: u64,
     pub worth: f64,
-    /// Whether it belongs to the largest tenth of its queue.
+    /// Whether the job belongs to the largest tenth of its queue.
     pub is_large: bool,
 }
 
 impl Arrival {
-    /// Work in thousandths of a core by milliseconds.
+    /// Returns the work of the job, in thousandths of a core by milliseconds.
     pub fn work(&self) -> f64 {
         let work_ms: f64 = self.shape.work_ms.iter().sum();
         work_ms * f64::from(self.shape.needs.cpu_milli)
@@ -240,6 +243,8 @@
         queues.collect()
     }
 
+    /// Returns the factor by which the rate of a queue's arrivals differs from the ordinary
+    /// rate.
     fn factor(&self, at_ms: u64, queue: &str) -> f64 {
         let during = |burst: &&Burst| {
             let is_affected = burst.queue.as_ref().is_none_or(|name| name == queue);
@@ -253,7 +258,7 @@
         swing * bursts.map(|burst| burst.factor).product::<f64>()
     }
 
-    /// The jobs that come, drawn from a seed.
+    /// Draws the arrivals of the pattern from a seed.
     pub fn arrivals(&self, seed: u64) -> Vec<Arrival> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let queues = self.queues();
@@ -284,7 +289,7 @@
         arrivals
     }
 
-    /// A job and the mean work of its tasks, in milliseconds.
+    /// Draws a job. Returns its shape and the mean work of its tasks, in milliseconds.
     fn draw_shape(
         &self,
         rng: &mut ChaCha8Rng,
@@ -310,6 +315,7 @@
         (shape, mean_ms)
     }
 
+    /// Draws the entry that receives a job, by the weights of the entries.
     fn draw_entry(&self, rng: &mut ChaCha8Rng) -> usize {
         let all: f64 = self.entries.iter().sum();
         let mut remaining = rng.random::<f64>() * all;
@@ -322,7 +328,8 @@
         self.entries.len() - 1
     }
 
-    /// A job is worth more the larger it is, and all queues are worth the same.
+    /// Sets the worth of all jobs: it grows with the work of the job, and its sum is 1 for
+    /// each queue.
     fn set_worth(&self, arrivals: &mut [Arrival]) {
         for queue in 0..self.queues.len() {
             let own = arrivals.iter().filter(|arrival| arrival.queue == queue);
@@ -343,9 +350,10 @@
     }
 }
 
-/// A factor with mean 1 and about this spread, at most [`LARGEST`].
+/// Draws a factor with mean 1 and about the standard deviation `sigma`, at most
+/// [`MAX_FACTOR`].
 fn random_factor(rng: &mut ChaCha8Rng, sigma: f64) -> f64 {
-    // The sum of twelve even numbers is close to a normal one.
+    // The sum of twelve uniform variables is close to a normally distributed one.
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     (sigma * normal - sigma * sigma / 2.0).exp().min(MAX_FACTOR)
 }
--- a/crates/dispatch/tests/replay/report.rs
+++ b/crates/dispatch/tests/replay/report.rs
@@ -1,21 +1,21 @@
-//! What became of the jobs of a replay.
+//! Outcomes of the jobs of a replay, and the rows in which they are printed.
 
 use crate::pattern::Arrival;
 
-/// Part of its worth that a late job has.
+/// Fraction of its worth that a late job earns.
 const LATE_WORTH: f64 = 0.2;
 
-/// How a job ended.
+/// The outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     InTime,
     Late,
     Refused,
-    /// Answered as too late, failed, or not at all.
+    /// The job was given up as too late, failed, or got no answer.
     Lost,
 }
 
-/// Jobs that belong together.
+/// Counts and worth of a group of jobs.
 #[derive(Clone, Debug, Default)]
 pub struct Row {
     pub submitted: usize,
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Worth earned, in parts of what is owed.
+    /// Returns the earned fraction of the total worth.
     pub fn worth_fraction(&self) -> f64 {
         self.earned_worth / self.total_worth.max(f64::MIN_POSITIVE)
     }
 }
 
-/// The jobs that satisfy a condition.
+/// Returns the row of the jobs that satisfy a condition.
 pub fn row(
     arrivals: &[Arrival],
     outcomes: &[Outcome],
--- a/crates/dispatch/tests/same_id_restarts.rs
+++ b/crates/dispatch/tests/same_id_restarts.rs
@@ -1,5 +1,5 @@
-//! A minion may start again under its id: it holds and knows nothing of before, and
-//! its numbers and its clock begin anew.
+//! Tests of minions that restart with the same id: the new incarnation has none of the
+//! former state, and its numbers and its clock start again from the beginning.
 
 mod driver;
 mod session;
@@ -14,15 +14,15 @@
 use session::Session;
 use yare::parameterized;
 
-/// A session whose minions tell their births.
+/// Returns a session whose minions report their start times.
 fn session() -> Session {
     let mut session = Session::new(2, 3);
     session.report_start_times();
     session
 }
 
-/// A listing of a life that was born at this time, at this time of its clock, with
-/// one task at work.
+/// Returns a listing of an incarnation with this start time, made at this time of its clock,
+/// with one running task.
 fn listing(started_unix_ms: Option<u64>, clock_ms: u64) -> ListResult {
     let running = ActiveRun {
         key: Some(driver::key("a")),
@@ -36,8 +36,8 @@
     })
 }
 
-/// Time after which a minion that is back is served again: a few messages on one
-/// host, and a connection to each entry.
+/// Time after its return within which a minion must be served again, in milliseconds: a few
+/// messages on one host, and a connection to each entry.
 const SERVED_AFTER_MS: u64 = 150;
 
 fn assert_served(session: &mut Session, agent: usize) {
@@ -65,7 +65,7 @@
             session.restart_with_hidden_start_time(1, 700, reports_start_time);
         }
     }
-    // Without a birth of its own, only its clock tells that it is another life.
+    // Without a start time of its own, only the clock shows that it is another incarnation.
     let busy = session.submit(0, "busy", 9, 100);
     session.run(3_200);
     assert_served(&mut session, 1);
@@ -94,7 +94,7 @@
     }
 }
 
-/// The former life's report comes while the next life is not heard yet.
+/// The report of the former incarnation arrives before the next incarnation reports.
 #[test]
 fn a_delayed_report_of_the_former_incarnation_does_not_delay_the_next() {
     let mut session = session();
@@ -108,8 +108,9 @@
     assert!(session.outcome(job).is_none());
 }
 
-/// The start of a task has no answer, the minion starts again, and its next life
-/// carries the start out although its deadline was on another clock.
+/// A start call gets no answer and the minion restarts with the same id. The next
+/// incarnation carries the delayed call out, although the deadline of the call was on
+/// another clock. The task must not run twice.
 #[parameterized(
     at_once = { 0, 300 },
     soon = { 100, 600 },
@@ -136,8 +137,8 @@
     }
 }
 
-/// A call that was meant for the former life showed the next one a higher epoch
-/// than that of an agent which knows nothing of it.
+/// The minion's new incarnation received a call that was meant for the former one, with a
+/// higher epoch than that of its new agent, and so fences the agent off.
 #[test]
 fn a_fenced_agent_raises_its_epoch() {
     let mut session = session();
@@ -157,7 +158,7 @@
     assert_served(&mut session, 0);
 }
 
-/// The highest epoch that an agent shows while listings are answered in this way.
+/// Returns the highest epoch in the agent's calls while its listings get this answer.
 fn highest_epoch(driver: &mut Driver, answer: &ListResult) -> u64 {
     let mut highest = 0;
     for _ in 0..20 {
@@ -177,7 +178,8 @@
     highest
 }
 
-/// Calls that were meant for the former life have its epoch.
+/// Delayed calls to the former incarnation carry its epoch, so the next incarnation must
+/// get a higher one.
 #[test]
 fn the_next_incarnation_gets_a_higher_epoch_although_the_wall_clock_was_set_back() {
     let mut driver = Driver::new();
@@ -232,7 +234,8 @@
     assert_eq!(driver.agent.incarnation(), Some(&incarnation_at(2_000)));
 }
 
-/// Numbers of ends begin anew: none of the next life may be taken for told.
+/// The next incarnation numbers its ends from the beginning. The agent must not take them
+/// for ends that the former incarnation reported.
 #[test]
 fn no_end_of_the_next_incarnation_is_lost() {
     let mut session = session();
@@ -272,7 +275,8 @@
     assert_eq!(closed, 0, "entries are greeted anew");
 }
 
-/// A candidate under the same id takes over only by its own answer.
+/// Another incarnation with the same id replaces the served one only if the answer carries
+/// its own start time.
 #[parameterized(
     own = { Some(2_000), true },
     of_the_served_incarnation = { Some(1_000), false },
--- a/crates/dispatch/tests/sent_entries.rs
+++ b/crates/dispatch/tests/sent_entries.rs
@@ -1,4 +1,5 @@
-//! An agent is told of what it would choose of all, whatever came and went.
+//! Property test: an entry sends each agent the entries that the agent would choose among
+//! all known ones, whatever entries were added and removed before.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -43,6 +44,7 @@
     }
 }
 
+/// Returns the entries that the agent on `host` chooses among `entries`.
 fn chosen(host: &str, entries: &[SocketAddr]) -> Vec<SocketAddr> {
     let directory = Directory::new(None, []);
     let mut directory = directory.with_max_targets(host.into(), MAX_LINKED_ENTRIES);
@@ -50,7 +52,7 @@
     directory.targets(NOW_MS).into_iter().collect()
 }
 
-/// What the agent on this link was told in the last frames.
+/// Returns the entries in the last frame to the agent on this link that holds any.
 fn last_sent_entries(dispatcher: &mut Dispatcher, link: LinkId) -> Option<Vec<SocketAddr>> {
     dispatcher.tick(NOW_MS);
     let orders = dispatcher.take_actions().into_iter().filter_map(|action| {
@@ -90,7 +92,7 @@
             }
             let list: Vec<SocketAddr> = entries.iter().copied().collect();
             if kind == 0 {
-                // One that greets before the others are told of the change.
+                // This agent connects before the others are sent the change.
                 dispatcher.agent_up(NOW_MS, LATE_AGENT, hello("late"));
                 dispatcher.send_entries_to(LATE_AGENT, &list);
                 prop_assert_eq!(last_sent_entries(&mut dispatcher, LATE_AGENT), Some(chosen("late", &list)));
--- a/crates/dispatch/tests/starts.rs
+++ b/crates/dispatch/tests/starts.rs
@@ -1,4 +1,4 @@
-//! Answers to the copies of a start, one by one.
+//! Tests of hedged start calls: the answers to the calls for one start, one by one.
 
 mod driver;
 
--- a/crates/dispatch/tests/targets.rs
+++ b/crates/dispatch/tests/targets.rs
@@ -1,4 +1,5 @@
-//! Targets that are remembered are those that would be chosen now.
+//! Property test: the targets that a [`Directory`] caches equal those that it would choose
+//! now.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
--- a/crates/dispatch/tests/unasked.rs
+++ b/crates/dispatch/tests/unasked.rs
@@ -1,25 +1,26 @@
-//! Nothing of a cancelled job runs on: not what a minion started late, and not
-//! what was started by a process that has been removed.
+//! Tests that all runs of a cancelled job end: those that a delayed call starts, and those
+//! whose agent or entry has been removed.
 
 mod session;
 
 use session::Session;
 use yare::parameterized;
 
-/// Time after which nothing of a cancelled job may run, in milliseconds.
+/// Time after its cancellation within which all runs of a job must end, in milliseconds.
 const CANCELLED_WITHIN_MS: u64 = 3_000;
-/// Longest time after which a call that got no answer is carried out.
+/// Longest delay after which an unanswered call is carried out, in milliseconds.
 const MAX_CALL_DELAY_MS: u64 = 12_000;
-/// Long enough for a process never to come back.
+/// Downtime after which a process does not return within the test, in milliseconds.
 const FOREVER_MS: u64 = 1_000_000;
-/// Work of tasks that would outlast the test.
+/// Work of each task, in milliseconds; longer than the test.
 const WORK_MS: u64 = 60_000;
 
-/// How a job came.
+/// How a job was submitted.
 #[derive(Clone, Copy)]
 enum JobKind {
     /// Its caller waits at the first entry.
     CallerWaits,
+    /// It is stored in the job log.
     Stored,
 }
 
@@ -32,7 +33,7 @@
 
 fn cancel(session: &mut Session, kind: JobKind, job: usize) {
     match kind {
-        // At an entry that lives: the first one may be gone.
+        // Cancels at both entries, as the first one may be gone.
         JobKind::CallerWaits => {
             let now_ms = session.now_ms;
             for entry in 0..2 {
@@ -50,7 +51,7 @@
     minions.map(|minion| minion.running().count()).sum()
 }
 
-/// Runs for as long as a late call may take, and looks at each moment.
+/// Checks each millisecond for as long as a call can be delayed that nothing runs.
 fn assert_all_runs_end(session: &mut Session) {
     session.run(CANCELLED_WITHIN_MS);
     for _ in 0..MAX_CALL_DELAY_MS {
@@ -107,7 +108,7 @@
     session.run(500);
     assert!(count_running_tasks(&session) > 0, "it has begun");
     session.kill_entry(0, FOREVER_MS);
-    // The caller does not come again: it cancels at the other entry.
+    // The caller does not send its job again, but cancels it at the other entry.
     session.forget_caller(job);
     cancel(&mut session, JobKind::CallerWaits, job);
     assert_all_runs_end(&mut session);
