--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -33,10 +33,10 @@
     let mut driver = Driver::new();
     driver.starts(&["a", "b"]);
     driver.report_capacity(HALF_CAPACITY, 2);
-    assert_eq!(driver.start_of(3, "c"), 0, "it is full now");
+    assert_eq!(driver.start_of(3, "c"), 0, "no capacity is free");
     driver.report_capacity(NO_CAPACITY, 3);
     driver.report_capacity(driver::CAPACITY, 4);
-    assert!(driver.start_of(4, "d") > 0, "it has grown again");
+    assert!(driver.start_of(4, "d") > 0, "the capacity has grown again");
 }
 
 #[test]
@@ -63,7 +63,10 @@
     let is_start = |action: &AgentAction| matches!(action, AgentAction::Start { .. });
     let is_stop = |action: &AgentAction| matches!(action, AgentAction::Stop { .. });
     assert!(!actions.iter().any(is_start));
-    assert!(actions.iter().any(is_stop), "it may be carried out later");
+    assert!(
+        actions.iter().any(is_stop),
+        "the unanswered start may still be carried out"
+    );
 }
 
 fn resize_all(session: &mut Session, capacity: Resources) {
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -118,7 +118,7 @@
             running(&session)
         });
         session.run(100);
-        session.restart_with_same_id(agent.expect("a run"), 300);
+        session.restart_with_same_id(agent.expect("a running task"), 300);
     }
     session.run_until_ended(job, 5_000);
     let end = session.stored[job].end;
--- a/crates/dispatch/tests/frames.rs
+++ b/crates/dispatch/tests/frames.rs
@@ -51,7 +51,7 @@
             demand: gannetvane_dispatch::Demand::default(),
             orders: vec![Order::Evacuations(evacuations)],
         };
-        let mut bytes = encode(&frame).expect("it has an encoding");
+        let mut bytes = encode(&frame).expect("the frame encodes");
         prop_assert_eq!(decode::<EntryFrame>(&bytes).ok(), Some(frame));
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
--- a/crates/dispatch/tests/grey.rs
+++ b/crates/dispatch/tests/grey.rs
@@ -158,8 +158,12 @@
         assert!(!driver.is_accepting_starts());
     }
     while !driver.is_accepting_starts() {}
-    assert!(driver.start_of(3, "c") > 0, "one start shows how it is");
-    assert_eq!(driver.start_of(4, "d"), 0, "and no more before its end");
+    assert!(driver.start_of(3, "c") > 0, "one half-open trial starts");
+    assert_eq!(
+        driver.start_of(4, "d"),
+        0,
+        "no second start before the trial ends"
+    );
     driver.run_to("c", RunEnd::Done);
     assert!(driver.start_of(5, "e") > 0);
 }
--- a/crates/dispatch/tests/growth/entry.rs
+++ b/crates/dispatch/tests/growth/entry.rs
@@ -98,7 +98,7 @@
         connection.frames += 1;
         let known = || self.directory.known(now_ms);
         let frame = connection.sender.next_frame(now_ms, &self.gossip, known);
-        let bytes = encode(&frame).expect("it has an encoding");
+        let bytes = encode(&frame).expect("the frame encodes");
         self.tally.count_frame(&bytes);
         Some(bytes)
     }
@@ -156,6 +156,6 @@
     let DispatcherAction::Send(LinkId(agent), frame) = action else {
         return None;
     };
-    let agent = usize::try_from(agent).expect("it is a number of an agent");
-    (!frame.orders.is_empty()).then(|| (agent, encode(&frame).expect("it has an encoding")))
+    let agent = usize::try_from(agent).expect("the link is the number of an agent");
+    (!frame.orders.is_empty()).then(|| (agent, encode(&frame).expect("the frame encodes")))
 }
--- a/crates/dispatch/tests/growth/fleet.rs
+++ b/crates/dispatch/tests/growth/fleet.rs
@@ -355,9 +355,9 @@
         if !self.is_up(to) {
             return;
         }
-        let frame: PeerFrame = decode(frame).expect("it was encoded");
+        let frame: PeerFrame = decode(frame).expect("an encoded frame decodes");
         let is_newer = self.entries[to].apply_frame(self.now_ms, addr(from), frame);
-        let ack = encode(&PeerAck).expect("it has an encoding");
+        let ack = encode(&PeerAck).expect("the frame encodes");
         self.entries[to].tally.count_frame(&ack);
         self.queue
             .add(self.now_ms + FRAME_DELAY_MS, Event::Ack(to, from));
@@ -378,7 +378,7 @@
 
     fn receive_orders(&mut self, entry: usize, agent: usize, frame: &[u8]) {
         let now_ms = self.now_ms;
-        let frame: EntryFrame = decode(frame).expect("it was encoded");
+        let frame: EntryFrame = decode(frame).expect("an encoded frame decodes");
         let state = &mut self.agents[agent];
         state.directory.mark_seen(now_ms, addr(entry));
         for order in frame.orders {
--- a/crates/dispatch/tests/late_binding.rs
+++ b/crates/dispatch/tests/late_binding.rs
@@ -97,6 +97,9 @@
     session.run_until_answered(waiting, 1_000);
     assert_eq!(session.outcome(waiting), Some(JobOutcome::Completed));
     let after_ms = session.now_ms - ended_ms;
-    assert!(after_ms <= 330, "{after_ms} ms after the room came up");
+    assert!(
+        after_ms <= 330,
+        "{after_ms} ms after the resources were freed"
+    );
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -83,7 +83,10 @@
     session.run_until_answered(job, 1_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     session.run(100);
-    assert_eq!(session.dials, 2, "the entry has time to hear of the end");
+    assert_eq!(
+        session.dials, 2,
+        "the link is open until the entry has the end"
+    );
     session.run(250);
     assert_eq!(session.dials, 3);
     let violations = &session.violations;
--- a/crates/dispatch/tests/replay/main.rs
+++ b/crates/dispatch/tests/replay/main.rs
@@ -355,7 +355,8 @@
     let refused_ms = plays.mean(|replay| replay.refused_ms.0 as f64);
     println!(
         "idle {idle:.3} of central {of_central:.3} late {late:.3} queue gap {queue_gap:.3} \
-         entry gap {entry_gap:.3} wasted {:.3} refused after {refused_ms:.0} ms, with room {:.3}",
+         entry gap {entry_gap:.3} wasted {:.3} refused after {refused_ms:.0} ms, \
+         with free resources {:.3}",
         plays.mean(|replay| replay.wasted),
         plays.mean(|replay| replay.refused_with_free_resources),
     );
@@ -396,7 +397,7 @@
         let is_comparable = large.submitted >= MIN_COMPARED_JOBS;
         assert!(
             !is_comparable || served(&large) * 2.0 >= served(&row),
-            "large jobs starve"
+            "the largest jobs starve"
         );
     }
     queue_gap
--- a/crates/dispatch/tests/replay/pattern.rs
+++ b/crates/dispatch/tests/replay/pattern.rs
@@ -206,8 +206,9 @@
 impl Pattern {
     pub fn read(name: &str) -> Self {
         let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/replay/patterns");
-        let text = fs::read_to_string(dir.join(format!("{name}.toml"))).expect("a pattern");
-        toml::from_str(&text).expect("a valid pattern")
+        let text = fs::read_to_string(dir.join(format!("{name}.toml")))
+            .expect("the pattern file is readable");
+        toml::from_str(&text).expect("the pattern file is valid")
     }
 
     pub fn kinds(&self) -> Vec<MinionKind> {
--- a/crates/dispatch/tests/same_id_restarts.rs
+++ b/crates/dispatch/tests/same_id_restarts.rs
@@ -75,7 +75,10 @@
     session.run_until_answered(after, 1_000);
     assert_eq!(session.outcome(after), Some(JobOutcome::Completed));
     assert!(session.outcome(busy).is_some());
-    assert!(session.starts_on(&instance) > starts, "it takes part");
+    assert!(
+        session.starts_on(&instance) > starts,
+        "the minion gets starts"
+    );
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
@@ -154,7 +157,10 @@
     session.run(1_000);
     session.submit(0, "after", 27, 100);
     session.run(100);
-    assert!(session.starts_on(&instance) > starts, "it is served again");
+    assert!(
+        session.starts_on(&instance) > starts,
+        "the minion is served again"
+    );
     assert_served(&mut session, 0);
 }
 
@@ -219,7 +225,7 @@
     assert_eq!(
         driver.agent.incarnation(),
         Some(&incarnation_at(1_000)),
-        "it is the next"
+        "the next incarnation is adopted"
     );
 }
 
@@ -259,9 +265,9 @@
 fn a_reported_departure_of_a_minion_is_verified() {
     let mut driver = Driver::new();
     driver.agent.minion_left("minion-1");
-    assert!(!driver.is_accepting_starts(), "it may be gone");
+    assert!(!driver.is_accepting_starts(), "the minion may be gone");
     driver.answer_listings(&driver::listed());
-    assert!(driver.is_accepting_starts(), "it answered");
+    assert!(driver.is_accepting_starts(), "the minion answered");
 }
 
 #[test]
@@ -271,8 +277,8 @@
     driver.answer_with(&listing(Some(2_000), 900));
     assert_eq!(driver.agent.incarnation(), None);
     assert_eq!(driver.agent.active_runs(), 0);
-    let closed = driver.agent.greeted_links();
-    assert_eq!(closed, 0, "entries are greeted anew");
+    let greeted_links = driver.agent.greeted_links();
+    assert_eq!(greeted_links, 0, "entries are to be greeted again");
 }
 
 /// Another incarnation with the same id replaces the served one only if the answer carries
@@ -293,7 +299,7 @@
         },
     ] = &asked[..]
     else {
-        panic!("one call: {asked:?}");
+        panic!("one listing call is expected: {asked:?}");
     };
     assert_eq!(*incarnation, incarnation_at(2_000));
     driver.answer_call(incarnation, *call, listing(started_unix_ms, 700));
--- a/crates/dispatch/tests/unasked.rs
+++ b/crates/dispatch/tests/unasked.rs
@@ -80,7 +80,7 @@
         });
         let job = submit(&mut session, kind);
         session.run(300);
-        assert!(count_running_tasks(&session) > 0, "it has begun");
+        assert!(count_running_tasks(&session) > 0, "the job has started");
         cancel(&mut session, kind, job);
         assert_all_runs_end(&mut session);
     }
@@ -94,7 +94,7 @@
     let mut session = Session::new(2, 2);
     let job = submit(&mut session, kind);
     session.run(2_000);
-    assert!(count_running_tasks(&session) > 0, "it has begun");
+    assert!(count_running_tasks(&session) > 0, "the job has started");
     session.kill_agent(0, FOREVER_MS);
     session.run(100);
     cancel(&mut session, kind, job);
@@ -106,7 +106,7 @@
     let mut session = Session::new(2, 2);
     let job = submit(&mut session, JobKind::CallerWaits);
     session.run(500);
-    assert!(count_running_tasks(&session) > 0, "it has begun");
+    assert!(count_running_tasks(&session) > 0, "the job has started");
     session.kill_entry(0, FOREVER_MS);
     // The caller does not send its job again, but cancels it at the other entry.
     session.forget_caller(job);
