--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -275,7 +275,7 @@
 /// Delivers a series of evacuation records to entries with delays, in any order and more
 /// than once, while entries are suspended, connections are cut, agents are killed and calls
 /// get no answer.
-fn play(seed: u64) {
+fn run_random_evacuations(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut session = Session::new(ENTRIES, AGENTS);
     let mut history = vec![evacuations(1, &[])];
@@ -355,13 +355,13 @@
     );
 }
 
-/// Longest suspension of an entry in [`play`], in milliseconds. A suspended entry sends
-/// its agents the evacuations that much later.
+/// Longest suspension of an entry in [`run_random_evacuations`], in milliseconds. A suspended
+/// entry sends its agents the evacuations that much later.
 const MAX_SUSPENSION_MS: u64 = 900;
 
 #[test]
 fn no_interleaving_starts_tasks_in_a_zone_that_all_entries_have_evacuated() {
     for seed in seeds(SEEDS, &[]) {
-        play(seed);
+        run_random_evacuations(seed);
     }
 }
--- a/crates/dispatch/tests/growth/change.rs
+++ b/crates/dispatch/tests/growth/change.rs
@@ -38,7 +38,7 @@
 
 /// The measurements of one change at one fleet size.
 #[derive(Clone, Debug)]
-pub struct Findings {
+pub struct Measurements {
     pub change: Change,
     pub hosts: usize,
     /// For each affected process, the time from the change until it knew it, in
@@ -67,7 +67,7 @@
     }
 }
 
-impl Findings {
+impl Measurements {
     /// Returns the time until the last affected process knew the change, in milliseconds.
     pub fn last_ms(&self) -> u64 {
         self.known_ms.last().copied().unwrap_or_default()
@@ -85,7 +85,7 @@
 /// # Panics
 ///
 /// If a process doesn't know the change at the end of the counted time.
-pub fn play(change: Change, hosts: usize) -> Findings {
+pub fn simulate(change: Change, hosts: usize) -> Measurements {
     let entries = hosts / HOSTS_PER_ENTRY;
     let mut fleet = Fleet::connected(entries, hosts - entries);
     let changed = match change {
@@ -115,10 +115,10 @@
         known_ms.extend(vec![fleet.now_ms - start_ms; informed]);
     }
     assert!(pending.is_empty(), "{change:?} at {hosts}: {pending:?}");
-    findings(change, hosts, known_ms, &fleet)
+    measurements(change, hosts, known_ms, &fleet)
 }
 
-fn findings(change: Change, hosts: usize, known_ms: Vec<u64>, fleet: &Fleet) -> Findings {
+fn measurements(change: Change, hosts: usize, known_ms: Vec<u64>, fleet: &Fleet) -> Measurements {
     let entries = fleet.entries.iter().map(|entry| &entry.tally);
     let agents = fleet.agents.iter().map(|agent| &agent.tally);
     let tallies: Vec<&Tally> = entries.chain(agents).collect();
@@ -126,7 +126,7 @@
     let max_of =
         |figure: fn(&Tally) -> u64| tallies.iter().map(|tally| figure(tally)).max().unwrap_or(0);
     let counted = change.window_ms();
-    Findings {
+    Measurements {
         change,
         hosts,
         known_ms,
--- a/crates/dispatch/tests/growth/main.rs
+++ b/crates/dispatch/tests/growth/main.rs
@@ -24,7 +24,7 @@
 use gannetvane_dispatch::decode;
 
 use change::Change;
-use change::Findings;
+use change::Measurements;
 use fleet::Fleet;
 
 const SMALL_SIZES: [usize; 2] = [100, 300];
@@ -33,16 +33,16 @@
 #[test]
 fn a_new_entry_is_known_everywhere_within_a_second() {
     for hosts in SMALL_SIZES {
-        let findings = change::play(Change::NewEntry, hosts);
-        assert!(findings.last_ms() <= 1_000, "{findings:?}");
+        let measurements = change::simulate(Change::NewEntry, hosts);
+        assert!(measurements.last_ms() <= 1_000, "{measurements:?}");
     }
 }
 
 #[test]
 fn a_changed_configuration_is_known_everywhere_within_a_second() {
     for hosts in SMALL_SIZES {
-        let findings = change::play(Change::Configuration, hosts);
-        assert!(findings.last_ms() <= 1_000, "{findings:?}");
+        let measurements = change::simulate(Change::Configuration, hosts);
+        assert!(measurements.last_ms() <= 1_000, "{measurements:?}");
     }
 }
 
@@ -52,7 +52,10 @@
     let n_log_n = |hosts: usize| hosts as f64 * (hosts as f64).ln();
     let growth = n_log_n(large) / n_log_n(small);
     for change in [Change::NewEntry, Change::Configuration] {
-        let (before, after) = (change::play(change, small), change::play(change, large));
+        let (before, after) = (
+            change::simulate(change, small),
+            change::simulate(change, large),
+        );
         assert!(after.last_ms() <= 1_000, "{after:?}");
         let messages = after.all.messages as f64 / before.all.messages as f64;
         assert!(messages <= growth, "{messages} for {growth}");
@@ -111,12 +114,16 @@
 }
 
 fn print_all_sizes(change: Change) {
-    let play = |hosts: &usize| change::play(change, *hosts);
-    let findings: Vec<Findings> = ALL_SIZES.iter().map(play).collect();
-    println!("{}", report::table(&findings));
+    let simulate = |hosts: &usize| change::simulate(change, *hosts);
+    let measurements: Vec<Measurements> = ALL_SIZES.iter().map(simulate).collect();
+    println!("{}", report::table(&measurements));
     // A lost entry is forgotten later, as it may return.
     if change != Change::LostEntry {
-        let is_late = |findings: &&Findings| findings.last_ms() > 2_000;
-        assert!(!findings.iter().any(|findings| is_late(&findings)));
+        let is_late = |measurements: &&Measurements| measurements.last_ms() > 2_000;
+        assert!(
+            !measurements
+                .iter()
+                .any(|measurements| is_late(&measurements))
+        );
     }
 }
--- a/crates/dispatch/tests/growth/report.rs
+++ b/crates/dispatch/tests/growth/report.rs
@@ -2,20 +2,20 @@
 
 use std::fmt;
 
-use crate::change::Findings;
+use crate::change::Measurements;
 
 const CSV_HEADER: &str = "change,hosts,median_ms,last_ms,messages,bytes,\
     busiest_messages,busiest_bytes,targets_us,targets_per_s,learn_us,learn_per_s,busiest_ms_per_s";
 
 /// Returns a header, a line for each size, and a line with the growth exponents.
-pub fn table(findings: &[Findings]) -> String {
-    let lines = findings.iter().map(ToString::to_string);
+pub fn table(measurements: &[Measurements]) -> String {
+    let lines = measurements.iter().map(ToString::to_string);
     let lines = std::iter::once(CSV_HEADER.to_owned()).chain(lines);
-    let lines: Vec<String> = lines.chain([growth_exponents(findings)]).collect();
+    let lines: Vec<String> = lines.chain([growth_exponents(measurements)]).collect();
     lines.join("\n")
 }
 
-impl fmt::Display for Findings {
+impl fmt::Display for Measurements {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = self.window_ms as f64 / 1e3;
         let (targets, learn) = (self.all.targets, self.all.learn);
@@ -41,26 +41,26 @@
 
 /// Returns the line of exponents: each figure grows with about this power of the number of
 /// hosts, fitted to the logarithms over all sizes.
-fn growth_exponents(findings: &[Findings]) -> String {
-    let of = |figure: fn(&Findings) -> f64| log_log_slope(findings, figure);
+fn growth_exponents(measurements: &[Measurements]) -> String {
+    let of = |figure: fn(&Measurements) -> f64| log_log_slope(measurements, figure);
     format!(
         "power,,,{:.2},{:.2},{:.2},{:.2},{:.2},{:.2},,{:.2},,{:.2}",
-        of(|findings| findings.last_ms() as f64),
-        of(|findings| findings.all.messages as f64),
-        of(|findings| findings.all.bytes as f64),
-        of(|findings| findings.busiest_messages as f64),
-        of(|findings| findings.busiest_bytes as f64),
-        of(|findings| findings.all.targets.mean_us()),
-        of(|findings| findings.all.learn.mean_us()),
-        of(|findings| findings.busiest_time.as_secs_f64()),
+        of(|measurements| measurements.last_ms() as f64),
+        of(|measurements| measurements.all.messages as f64),
+        of(|measurements| measurements.all.bytes as f64),
+        of(|measurements| measurements.busiest_messages as f64),
+        of(|measurements| measurements.busiest_bytes as f64),
+        of(|measurements| measurements.all.targets.mean_us()),
+        of(|measurements| measurements.all.learn.mean_us()),
+        of(|measurements| measurements.busiest_time.as_secs_f64()),
     )
 }
 
 /// Returns the slope of the least-squares line through the logarithms of hosts and figure.
-fn log_log_slope(findings: &[Findings], figure: fn(&Findings) -> f64) -> f64 {
-    let points = findings.iter().map(|findings| {
-        let hosts = findings.hosts as f64;
-        (hosts.ln(), figure(findings).max(f64::MIN_POSITIVE).ln())
+fn log_log_slope(measurements: &[Measurements], figure: fn(&Measurements) -> f64) -> f64 {
+    let points = measurements.iter().map(|measurements| {
+        let hosts = measurements.hosts as f64;
+        (hosts.ln(), figure(measurements).max(f64::MIN_POSITIVE).ln())
     });
     let points: Vec<(f64, f64)> = points.collect();
     let count = points.len() as f64;
--- a/crates/dispatch/tests/replay/central.rs
+++ b/crates/dispatch/tests/replay/central.rs
@@ -32,7 +32,7 @@
 }
 
 /// Runs the arrivals through the central queue and returns the outcome of each job.
-pub fn play(pattern: &Pattern, arrivals: &[Arrival]) -> Vec<Outcome> {
+pub fn simulate(pattern: &Pattern, arrivals: &[Arrival]) -> Vec<Outcome> {
     let mut queue = Central {
         kinds: pattern.kinds(),
         arrivals,
--- a/crates/dispatch/tests/replay/main.rs
+++ b/crates/dispatch/tests/replay/main.rs
@@ -34,7 +34,7 @@
 /// Seed of the arrivals for a large fleet. One replay of it has about as many jobs as those
 /// of all seeds of a small fleet.
 const LARGE_SEEDS: [u64; 1] = [21];
-/// More seeds of the arrivals for a large fleet, which only an ignored test plays.
+/// More seeds of the arrivals for a large fleet, which only an ignored test uses.
 const OTHER_LARGE_SEEDS: [u64; 4] = [22, 23, 24, 25];
 /// Fraction by which other seeds may fall further behind the central queue: some of them
 /// bring as much work as there is capacity, and 2% of it is refused.
@@ -211,9 +211,9 @@
 )]
 fn a_load_pattern_is_served_within_its_bounds(name: &str) {
     let pattern = Pattern::read(name);
-    let plays = SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
+    let replays = SEEDS.map(|seed| replay_seed(&pattern, seed, session::fair_share));
     println!("-- {name}");
-    check(&pattern, &Plays::new(&plays));
+    check(&pattern, &SeedReplays::new(&replays));
 }
 
 /// Compares the quality of service with its bounds in a fleet where long jobs are half of the
@@ -224,9 +224,9 @@
 )]
 fn a_fleet_of_long_jobs_serves_a_pattern_within_its_bounds(name: &str) {
     let pattern = Pattern::read(name);
-    let plays = SHIFTED_SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
+    let replays = SHIFTED_SEEDS.map(|seed| replay_seed(&pattern, seed, session::fair_share));
     println!("-- {name}");
-    check(&pattern, &Plays::new(&plays));
+    check(&pattern, &SeedReplays::new(&replays));
 }
 
 /// Compares the quality of service with its bounds in a fleet where each entry has links to
@@ -238,9 +238,9 @@
 )]
 fn a_large_fleet_serves_a_pattern_within_its_bounds(name: &str) {
     let pattern = Pattern::read(name);
-    let plays = LARGE_SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
+    let replays = LARGE_SEEDS.map(|seed| replay_seed(&pattern, seed, session::fair_share));
     println!("-- {name}");
-    check(&pattern, &Plays::new(&plays));
+    check(&pattern, &SeedReplays::new(&replays));
 }
 
 /// Replays the patterns of the large fleet on more seeds, which takes too long for each run
@@ -254,10 +254,10 @@
 #[ignore = "cargo test --release -p gannetvane-dispatch --test replay -- --ignored"]
 fn a_large_fleet_serves_a_pattern_within_its_bounds_on_other_seeds(name: &str) {
     let mut pattern = Pattern::read(name);
-    let plays = OTHER_LARGE_SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
+    let replays = OTHER_LARGE_SEEDS.map(|seed| replay_seed(&pattern, seed, session::fair_share));
     println!("-- {name}");
     pattern.bounds.of_central -= OF_CENTRAL_MARGIN;
-    check(&pattern, &Plays::new(&plays));
+    check(&pattern, &SeedReplays::new(&replays));
 }
 
 /// Compares two policies on the same load. The policy that admits every job sheds those that
@@ -265,54 +265,54 @@
 #[test]
 fn fair_share_serves_large_jobs_better_than_admitting_all() {
     let pattern = Pattern::read("lasting");
-    let shared = SEEDS.map(|seed| play(&pattern, seed, session::fair_share));
-    let unlimited = SEEDS.map(|seed| play(&pattern, seed, admits_all::admits_all));
-    let (shared, unlimited) = (Plays::new(&shared), Plays::new(&unlimited));
-    let worst_large = |plays: &Plays<'_>| {
+    let shared = SEEDS.map(|seed| replay_seed(&pattern, seed, session::fair_share));
+    let unlimited = SEEDS.map(|seed| replay_seed(&pattern, seed, admits_all::admits_all));
+    let (shared, unlimited) = (SeedReplays::new(&shared), SeedReplays::new(&unlimited));
+    let worst_large = |replays: &SeedReplays<'_>| {
         let queues = 0..pattern.queues.len();
         let worths = queues.map(|queue| {
-            let large = plays.row(|one| one.queue == queue && one.is_large);
+            let large = replays.row(|one| one.queue == queue && one.is_large);
             large.worth_fraction()
         });
         worths.fold(f64::INFINITY, f64::min)
     };
-    let refused_ms = |plays: &Plays<'_>| plays.mean(|replay| replay.refused_ms.0 as f64);
+    let refused_ms = |replays: &SeedReplays<'_>| replays.mean(|replay| replay.refused_ms.0 as f64);
     assert!(worst_large(&shared) >= worst_large(&unlimited) + 0.05);
     assert!(refused_ms(&shared) * 10.0 < refused_ms(&unlimited));
 }
 
 /// One replay of a pattern, with the outcomes at the central queue for comparison.
-struct Play {
+struct SeedReplay {
     arrivals: Vec<Arrival>,
     replay: Replay,
     central: Vec<Outcome>,
 }
 
-fn play(pattern: &Pattern, seed: u64, policy: fn() -> BoxedPolicy) -> Play {
+fn replay_seed(pattern: &Pattern, seed: u64, policy: fn() -> BoxedPolicy) -> SeedReplay {
     let arrivals = pattern.arrivals(seed);
-    Play {
+    SeedReplay {
         replay: replay(pattern, &arrivals, policy),
-        central: central::play(pattern, &arrivals),
+        central: central::simulate(pattern, &arrivals),
         arrivals,
     }
 }
 
 /// The replays of all seeds together. A single replay has too few long jobs to distinguish a
 /// queue that is served worse from chance.
-struct Plays<'a> {
-    plays: &'a [Play],
+struct SeedReplays<'a> {
+    replays: &'a [SeedReplay],
     arrivals: Vec<Arrival>,
     outcomes: Vec<Outcome>,
     central: Vec<Outcome>,
 }
 
-impl<'a> Plays<'a> {
-    fn new(plays: &'a [Play]) -> Self {
-        let arrivals = plays.iter().flat_map(|play| play.arrivals.clone());
-        let outcomes = plays.iter().flat_map(|play| play.replay.outcomes.clone());
-        let central = plays.iter().flat_map(|play| play.central.clone());
+impl<'a> SeedReplays<'a> {
+    fn new(replays: &'a [SeedReplay]) -> Self {
+        let arrivals = replays.iter().flat_map(|one| one.arrivals.clone());
+        let outcomes = replays.iter().flat_map(|one| one.replay.outcomes.clone());
+        let central = replays.iter().flat_map(|one| one.central.clone());
         Self {
-            plays,
+            replays,
             arrivals: arrivals.collect(),
             outcomes: outcomes.collect(),
             central: central.collect(),
@@ -328,37 +328,37 @@
     }
 
     fn mean(&self, figure: impl Fn(&Replay) -> f64) -> f64 {
-        let figures = self.plays.iter().map(|play| figure(&play.replay));
-        figures.sum::<f64>() / self.plays.len() as f64
+        let figures = self.replays.iter().map(|one| figure(&one.replay));
+        figures.sum::<f64>() / self.replays.len() as f64
     }
 }
 
 /// Prints the rows and figures of a pattern, and checks them against its bounds.
-fn check(pattern: &Pattern, plays: &Plays<'_>) {
-    let all = plays.row(|_| true);
-    let central = plays.central_row(|_| true);
+fn check(pattern: &Pattern, replays: &SeedReplays<'_>) {
+    let all = replays.row(|_| true);
+    let central = replays.central_row(|_| true);
     report::print("all", &all);
     report::print("all, central queue", &central);
-    let queue_gap = queue_gap(pattern, plays, &all);
+    let queue_gap = queue_gap(pattern, replays, &all);
     let mut entry_gap: f64 = 0.0;
     for entry in 0..pattern.entries.len() {
-        let row = plays.row(|one| one.entry == entry);
+        let row = replays.row(|one| one.entry == entry);
         // Some entries of a large fleet have no callers, or too few to compare.
         if row.submitted >= MIN_COMPARED_JOBS {
             report::print(&format!("entry {entry}"), &row);
             entry_gap = entry_gap.max(all.worth_fraction() - row.worth_fraction());
         }
     }
-    let idle = plays.mean(|replay| replay.idle);
+    let idle = replays.mean(|replay| replay.idle);
     let of_central = all.worth_fraction() / central.worth_fraction();
     let late = all.late as f64 / all.submitted as f64;
-    let refused_ms = plays.mean(|replay| replay.refused_ms.0 as f64);
+    let refused_ms = replays.mean(|replay| replay.refused_ms.0 as f64);
     println!(
         "idle {idle:.3} of central {of_central:.3} late {late:.3} queue gap {queue_gap:.3} \
          entry gap {entry_gap:.3} wasted {:.3} refused after {refused_ms:.0} ms, \
          with free resources {:.3}",
-        plays.mean(|replay| replay.wasted),
-        plays.mean(|replay| replay.refused_with_free_resources),
+        replays.mean(|replay| replay.wasted),
+        replays.mean(|replay| replay.refused_with_free_resources),
     );
     let bounds = &pattern.bounds;
     assert!(
@@ -381,17 +381,17 @@
 ///
 /// If the largest jobs of a queue starve, that is, if the fraction of them that completes is
 /// less than half of the fraction of all its jobs.
-fn queue_gap(pattern: &Pattern, plays: &Plays<'_>, all: &Row) -> f64 {
+fn queue_gap(pattern: &Pattern, replays: &SeedReplays<'_>, all: &Row) -> f64 {
     let mut queue_gap: f64 = 0.0;
     for (number, queue) in pattern.queues.iter().enumerate() {
         let is_own = |arrival: &Arrival| arrival.queue == number;
-        let row = plays.row(is_own);
+        let row = replays.row(is_own);
         report::print(&queue.name, &row);
         queue_gap = queue_gap.max(all.worth_fraction() - row.worth_fraction());
-        let central = plays.central_row(is_own);
+        let central = replays.central_row(is_own);
         report::print(&format!("{}, central queue", queue.name), &central);
         let is_large = |arrival: &Arrival| arrival.queue == number && arrival.is_large;
-        let large = plays.row(is_large);
+        let large = replays.row(is_large);
         report::print(&format!("{}, largest tenth", queue.name), &large);
         let served = |row: &Row| (row.in_time + row.late) as f64 / row.submitted.max(1) as f64;
         let is_comparable = large.submitted >= MIN_COMPARED_JOBS;
