--- a/crates/dispatch/tests/starts.rs
+++ b/crates/dispatch/tests/starts.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_run_is_not_reported_as_never_started_when_a_hedged_call_was_unanswered() {
+fn a_run_is_not_reported_as_never_started_when_one_hedged_call_was_fenced_and_one_unanswered() {
     let mut driver = Driver::new();
     driver.start();
     driver.answer(StartResult::NoAnswer);
