--- a/crates/dispatch/tests/frames.rs
+++ b/crates/dispatch/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames of any bytes are decoded or refused, with bounded memory.
+//! Property tests of the frame codec: any bytes are decoded or rejected, with bounded
+//! memory.
 
 use gannetvane_dispatch::AgentFrame;
 use gannetvane_dispatch::EntryFrame;
@@ -41,16 +42,16 @@
         at: proptest::sample::Index,
         flip in 1_u8..,
     ) {
-        let told = Evacuations {
+        let evacuations = Evacuations {
             log_offset,
             zones: zones.iter().map(|zone| zone.as_str().into()).collect(),
         };
         let frame = EntryFrame {
             grant_until_ms: log_offset,
             demand: gannetvane_dispatch::Demand::default(),
-            orders: vec![Order::Evacuations(told)],
+            orders: vec![Order::Evacuations(evacuations)],
         };
-        let mut bytes = encode(&frame).expect("it has an encoding");
+        let mut bytes = encode(&frame).expect("the frame encodes");
         prop_assert_eq!(decode::<EntryFrame>(&bytes).ok(), Some(frame));
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
--- a/crates/dispatch/tests/growth/change.rs
+++ b/crates/dispatch/tests/growth/change.rs
@@ -1,4 +1,4 @@
-//! The changes that are played, and when who knew of them.
+//! The simulated changes of a fleet, and the measurements of how they spread.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,69 +13,86 @@
 use crate::fleet::addr;
 use crate::tally::Tally;
 
-/// Hosts for each entry.
-const HOSTS_AN_ENTRY: usize = 5;
-/// Time that is counted after a change, in milliseconds.
-const COUNTED_MS: u64 = 2_000;
-/// Time that is counted in calm, in milliseconds: several lists.
-const CALM_MS: u64 = 10_000;
-/// Time after which an entry that is lost must have been forgotten, in
-/// milliseconds.
-const FORGOTTEN_MS: u64 = 42_000;
-
+/// Number of hosts for each entry.
+const HOSTS_PER_ENTRY: usize = 5;
+/// Time after a change in which messages are counted, in milliseconds.
+const CHANGE_WINDOW_MS: u64 = 2_000;
+/// Time without a change in which messages are counted, in milliseconds: several full
+/// lists.
+const CALM_WINDOW_MS: u64 = 10_000;
+/// Time within which all processes must have forgotten a lost entry, in milliseconds.
+const FORGOTTEN_WITHIN_MS: u64 = 42_000;
+
+/// A change of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing; what is sent all the time.
+    /// No change: only the regular messages are counted.
     Calm,
+    /// One more entry starts.
     NewEntry,
+    /// An entry is gone for good.
     LostEntry,
+    /// One entry reads a newer configuration.
     Configuration,
 }
 
-/// What was counted for one change at one size.
+/// The measurements of one change at one fleet size.
 #[derive(Clone, Debug)]
-pub struct Findings {
+pub struct Measurements {
     pub change: Change,
     pub hosts: usize,
-    /// When each process that the change concerns knew, after it.
+    /// For each affected process, the time from the change until it knew it, in
+    /// milliseconds and ascending.
     known_ms: Vec<u64>,
+    /// Sums over all processes.
     pub all: Tally,
+    /// Most bytes that one process sent.
     pub busiest_bytes: u64,
+    /// Most messages that one process sent.
     pub busiest_messages: u64,
-    pub busiest_work: Duration,
-    pub counted_ms: u64,
+    /// Most processor time that the directory of one process took.
+    pub busiest_time: Duration,
+    /// Length of the time that was counted, in milliseconds.
+    pub window_ms: u64,
 }
 
 impl Change {
-    fn counted_ms(self) -> RangeInclusive<u64> {
+    /// Returns the time that is counted, in milliseconds after the change.
+    fn window_ms(self) -> RangeInclusive<u64> {
         match self {
-            Self::Calm => 0..=CALM_MS,
-            Self::LostEntry => 29_000..=FORGOTTEN_MS,
-            _ => 0..=COUNTED_MS,
+            Self::Calm => 0..=CALM_WINDOW_MS,
+            Self::LostEntry => 29_000..=FORGOTTEN_WITHIN_MS,
+            _ => 0..=CHANGE_WINDOW_MS,
         }
     }
 }
 
-impl Findings {
+impl Measurements {
+    /// Returns the time until the last affected process knew the change, in milliseconds.
     pub fn last_ms(&self) -> u64 {
         self.known_ms.last().copied().unwrap_or_default()
     }
 
+    /// Returns the median time until an affected process knew the change, in milliseconds.
     pub fn median_ms(&self) -> u64 {
         let middle = self.known_ms.len() / 2;
         self.known_ms.get(middle).copied().unwrap_or_default()
     }
 }
 
-/// Plays a change in a settled fleet.
-pub fn play(change: Change, hosts: usize) -> Findings {
-    let entries = hosts / HOSTS_AN_ENTRY;
-    let mut fleet = Fleet::settled(entries, hosts - entries);
+/// Simulates a change in a fleet whose processes know each other, and measures it.
+///
+/// # Panics
+///
+/// If a process doesn't know the change at the end of the counted time.
+pub fn simulate(change: Change, hosts: usize) -> Measurements {
+    let entries = hosts / HOSTS_PER_ENTRY;
+    let mut fleet = Fleet::connected(entries, hosts - entries);
     let changed = match change {
         Change::NewEntry => entries,
         _ => entries / 2,
     };
-    let mut waiting = Waiting::new(&fleet, change, changed);
+    let mut pending = PendingProcesses::new(&fleet, change, changed);
     fleet.clear_tallies();
     match change {
         Change::Calm => {}
@@ -83,51 +100,51 @@
         Change::LostEntry => fleet.remove_entry(changed),
         Change::Configuration => fleet.configure(changed),
     }
-    let begin_ms = fleet.now_ms;
-    let counted = change.counted_ms();
+    let start_ms = fleet.now_ms;
+    let counted = change.window_ms();
     let mut known_ms = Vec::new();
-    while fleet.now_ms < begin_ms + counted.end() {
-        let for_ms = fleet.now_ms - begin_ms;
-        if for_ms < *counted.start() {
-            fleet.run(counted.start() - for_ms);
+    while fleet.now_ms < start_ms + counted.end() {
+        let elapsed_ms = fleet.now_ms - start_ms;
+        if elapsed_ms < *counted.start() {
+            fleet.run(counted.start() - elapsed_ms);
             fleet.clear_tallies();
         } else {
             fleet.run(1);
         }
-        let now_known = waiting.take_known(&fleet);
-        known_ms.extend(vec![fleet.now_ms - begin_ms; now_known]);
+        let informed = pending.remove_informed(&fleet);
+        known_ms.extend(vec![fleet.now_ms - start_ms; informed]);
     }
-    assert!(waiting.is_over(), "{change:?} at {hosts}: {waiting:?}");
-    findings(change, hosts, known_ms, &fleet)
+    assert!(pending.is_empty(), "{change:?} at {hosts}: {pending:?}");
+    measurements(change, hosts, known_ms, &fleet)
 }
 
-fn findings(change: Change, hosts: usize, known_ms: Vec<u64>, fleet: &Fleet) -> Findings {
+fn measurements(change: Change, hosts: usize, known_ms: Vec<u64>, fleet: &Fleet) -> Measurements {
     let entries = fleet.entries.iter().map(|entry| &entry.tally);
     let agents = fleet.agents.iter().map(|agent| &agent.tally);
     let tallies: Vec<&Tally> = entries.chain(agents).collect();
     let sum = |sum: Tally, tally: &&Tally| sum.plus(tally);
-    let most =
+    let max_of =
         |figure: fn(&Tally) -> u64| tallies.iter().map(|tally| figure(tally)).max().unwrap_or(0);
-    let counted = change.counted_ms();
-    Findings {
+    let counted = change.window_ms();
+    Measurements {
         change,
         hosts,
         known_ms,
         all: tallies.iter().fold(Tally::default(), sum),
-        busiest_bytes: most(|tally| tally.bytes),
-        busiest_messages: most(|tally| tally.messages),
-        busiest_work: tallies
+        busiest_bytes: max_of(|tally| tally.bytes),
+        busiest_messages: max_of(|tally| tally.messages),
+        busiest_time: tallies
             .iter()
             .map(|tally| tally.work())
             .max()
             .unwrap_or_default(),
-        counted_ms: counted.end() - counted.start(),
+        window_ms: counted.end() - counted.start(),
     }
 }
 
-/// The processes that have not heard of a change.
+/// The affected processes that don't know a change yet.
 #[derive(Debug)]
-struct Waiting {
+struct PendingProcesses {
     change: Change,
     changed: usize,
     version: u64,
@@ -135,9 +152,10 @@
     agents: BTreeSet<usize>,
 }
 
-impl Waiting {
+impl PendingProcesses {
+    /// Returns the processes that a change of the entry `changed` affects.
     fn new(fleet: &Fleet, change: Change, changed: usize) -> Self {
-        let concerns = |agent: &usize| match change {
+        let is_affected = |agent: &usize| match change {
             Change::NewEntry => chosen(*agent, changed + 1).contains(&addr(changed)),
             Change::LostEntry => fleet.agents[*agent].links.contains(&changed),
             Change::Calm | Change::Configuration => false,
@@ -151,16 +169,16 @@
             changed,
             version: fleet.entries[0].gossip.table.version,
             entries: entries.filter(|entry| *entry != changed).collect(),
-            agents: (0..fleet.agents.len()).filter(concerns).collect(),
+            agents: (0..fleet.agents.len()).filter(is_affected).collect(),
         }
     }
 
-    fn is_over(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.entries.is_empty() && self.agents.is_empty()
     }
 
-    /// Passes over those that know now; their number.
-    fn take_known(&mut self, fleet: &Fleet) -> usize {
+    /// Removes the processes that know the change now and returns their number.
+    fn remove_informed(&mut self, fleet: &Fleet) -> usize {
         let before = self.entries.len() + self.agents.len();
         let (change, changed, version) = (self.change, self.changed, self.version);
         self.entries.retain(|entry| {
@@ -183,7 +201,7 @@
     }
 }
 
-/// The entries that an agent chooses of so many.
+/// Returns the entries that an agent chooses among the first `entries` ones.
 pub fn chosen(agent: usize, entries: usize) -> BTreeSet<SocketAddr> {
     let all: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
--- a/crates/dispatch/tests/growth/main.rs
+++ b/crates/dispatch/tests/growth/main.rs
@@ -1,7 +1,7 @@
-//! How what processes know of each other grows with the fleet: frames between
-//! entries and orders to agents, without sockets, on a clock that the test advances.
+//! Tests of how gossip traffic grows with the size of the fleet: frames between entries and
+//! orders to agents, without sockets, on a simulated clock.
 //!
-//! All sizes, with a table of what was counted:
+//! This command runs all sizes and prints a table of the measurements:
 //!
 //! ```sh
 //! cargo test --release --locked -p gannetvane-dispatch --test growth -- \
@@ -24,25 +24,25 @@
 use gannetvane_dispatch::decode;
 
 use change::Change;
-use change::Findings;
+use change::Measurements;
 use fleet::Fleet;
 
 const SMALL_SIZES: [usize; 2] = [100, 300];
 const ALL_SIZES: [usize; 5] = [100, 300, 1_000, 2_000, 4_000];
 
 #[test]
-fn a_new_entry_is_known_within_a_second() {
+fn a_new_entry_is_known_everywhere_within_a_second() {
     for hosts in SMALL_SIZES {
-        let findings = change::play(Change::NewEntry, hosts);
-        assert!(findings.last_ms() <= 1_000, "{findings:?}");
+        let measurements = change::simulate(Change::NewEntry, hosts);
+        assert!(measurements.last_ms() <= 1_000, "{measurements:?}");
     }
 }
 
 #[test]
-fn a_changed_configuration_is_known_within_a_second() {
+fn a_changed_configuration_is_known_everywhere_within_a_second() {
     for hosts in SMALL_SIZES {
-        let findings = change::play(Change::Configuration, hosts);
-        assert!(findings.last_ms() <= 1_000, "{findings:?}");
+        let measurements = change::simulate(Change::Configuration, hosts);
+        assert!(measurements.last_ms() <= 1_000, "{measurements:?}");
     }
 }
 
@@ -52,7 +52,10 @@
     let n_log_n = |hosts: usize| hosts as f64 * (hosts as f64).ln();
     let growth = n_log_n(large) / n_log_n(small);
     for change in [Change::NewEntry, Change::Configuration] {
-        let (before, after) = (change::play(change, small), change::play(change, large));
+        let (before, after) = (
+            change::simulate(change, small),
+            change::simulate(change, large),
+        );
         assert!(after.last_ms() <= 1_000, "{after:?}");
         let messages = after.all.messages as f64 / before.all.messages as f64;
         assert!(messages <= growth, "{messages} for {growth}");
@@ -62,9 +65,9 @@
 }
 
 #[test]
-fn agents_are_told_of_the_entries_that_they_choose() {
+fn agents_are_sent_the_entries_that_they_choose() {
     for entries in [8, 200] {
-        let mut fleet = Fleet::settled(entries, 20);
+        let mut fleet = Fleet::connected(entries, 20);
         let now_ms = fleet.now_ms;
         let agents: BTreeSet<usize> = (0..20).collect();
         let frames = fleet.entries[0].frames_to(now_ms, &agents);
@@ -103,20 +106,24 @@
 
 #[test]
 #[ignore = "prints a table"]
-fn telling_at_all_sizes() {
+fn sending_at_all_sizes() {
     println!("hosts,tell_us");
     for hosts in ALL_SIZES {
-        println!("{hosts},{:.0}", gossip::change_us(hosts / 5));
+        println!("{hosts},{:.0}", gossip::mean_change_us(hosts / 5));
     }
 }
 
 fn print_all_sizes(change: Change) {
-    let play = |hosts: &usize| change::play(change, *hosts);
-    let findings: Vec<Findings> = ALL_SIZES.iter().map(play).collect();
-    println!("{}", report::table(&findings));
-    // A lost entry is forgotten later, as it may come back.
+    let simulate = |hosts: &usize| change::simulate(change, *hosts);
+    let measurements: Vec<Measurements> = ALL_SIZES.iter().map(simulate).collect();
+    println!("{}", report::table(&measurements));
+    // A lost entry is forgotten later, as it may return.
     if change != Change::LostEntry {
-        let is_late = |findings: &&Findings| findings.last_ms() > 2_000;
-        assert!(!findings.iter().any(|findings| is_late(&findings)));
+        let is_late = |measurements: &&Measurements| measurements.last_ms() > 2_000;
+        assert!(
+            !measurements
+                .iter()
+                .any(|measurements| is_late(&measurements))
+        );
     }
 }
--- a/crates/dispatch/tests/growth/tally.rs
+++ b/crates/dispatch/tests/growth/tally.rs
@@ -1,20 +1,25 @@
-//! What one process sent, and the processor time that its directory took.
+//! Counters of one process: messages sent, and processor time of its directory.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Bytes before each frame on a connection.
-const LENGTH_BYTES: usize = 4;
+/// Length of the prefix of each frame on a connection, in bytes.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
+/// The counters of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
+    /// Messages sent.
     pub messages: u64,
+    /// Bytes sent, with the length prefixes.
     pub bytes: u64,
+    /// Calls that choose the targets of the directory.
     pub targets: Work,
+    /// Calls that add entries to the directory.
     pub learn: Work,
 }
 
-/// Calls and their processor time.
+/// Number of calls and the time that they took.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Work {
     pub calls: u64,
@@ -22,9 +27,9 @@
 }
 
 impl Tally {
-    pub fn sent(&mut self, frame: &[u8]) {
+    pub fn count_frame(&mut self, frame: &[u8]) {
         self.messages += 1;
-        self.bytes += (frame.len() + LENGTH_BYTES) as u64;
+        self.bytes += (frame.len() + LENGTH_PREFIX_BYTES) as u64;
     }
 
     pub fn plus(&self, other: &Self) -> Self {
@@ -36,7 +41,7 @@
         }
     }
 
-    /// Processor time of the directory.
+    /// Returns the time that all calls of the directory took.
     pub fn work(&self) -> Duration {
         self.targets.time + self.learn.time
     }
@@ -44,14 +49,15 @@
 
 impl Work {
     pub fn measure<T>(&mut self, call: impl FnOnce() -> T) -> T {
-        let began = Instant::now();
+        let started = Instant::now();
         let result = call();
-        self.time += began.elapsed();
+        self.time += started.elapsed();
         self.calls += 1;
         result
     }
 
-    pub fn each_us(self) -> f64 {
+    /// Returns the mean time of a call, in microseconds.
+    pub fn mean_us(self) -> f64 {
         self.time.as_secs_f64() * 1e6 / self.calls.max(1) as f64
     }
 
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -1,4 +1,4 @@
-//! Which entries an agent keeps links to, and how it lets others go.
+//! Tests of the entries to which an agent keeps links, and of how it retires other links.
 
 mod session;
 
@@ -14,6 +14,7 @@
 
 const NOW_MS: u64 = 1_000;
 
+/// Returns the address of an entry.
 fn entry(number: usize) -> SocketAddr {
     let [.., high, low] = number.to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(10, 1, high, low), 7_720))
@@ -23,6 +24,7 @@
     (0..count).map(entry).collect()
 }
 
+/// Returns the entries that an agent links to when it knows `entries` and one seed.
 fn chosen(agent: usize, entries: &[SocketAddr]) -> BTreeSet<SocketAddr> {
     let seed = SocketAddr::from((Ipv4Addr::new(10, 9, 9, 9), 7_720));
     let name = format!("side-{agent}");
@@ -33,13 +35,13 @@
 }
 
 #[test]
-fn while_entries_are_few_all_are_chosen_and_the_seeds_too() {
+fn all_entries_and_seeds_are_chosen_while_entries_are_few() {
     let few = entries(MAX_LINKED_ENTRIES - 1);
     assert_eq!(chosen(1, &few).len(), MAX_LINKED_ENTRIES);
 }
 
 #[test]
-fn at_the_target_size_each_entry_is_chosen_by_a_like_number_of_agents() {
+fn at_the_target_size_entries_are_chosen_by_similar_numbers_of_agents() {
     const AGENTS: usize = 671;
     let entries = entries(183);
     let mut counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
@@ -51,15 +53,15 @@
         }
     }
     let mean = AGENTS * MAX_LINKED_ENTRIES / entries.len();
-    let least = entries.iter().map(|entry| counts.get(entry).copied());
-    let least = least.map(Option::unwrap_or_default).min();
+    let fewest = entries.iter().map(|entry| counts.get(entry).copied());
+    let fewest = fewest.map(Option::unwrap_or_default).min();
     let most = counts.values().max().copied();
-    assert!(least >= Some(mean / 2), "{least:?} of {mean}");
+    assert!(fewest >= Some(mean / 2), "{fewest:?} of {mean}");
     assert!(most <= Some(mean * 2), "{most:?} of {mean}");
 }
 
 #[test]
-fn an_entry_that_goes_moves_one_link_of_those_that_chose_it() {
+fn removing_an_entry_moves_one_link_of_each_agent_that_chose_it() {
     let before = entries(60);
     let after = &before[1..];
     for agent in 0..50 {
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn a_link_that_is_not_chosen_ends_with_its_last_run() {
+fn a_link_that_is_not_chosen_closes_after_its_last_run() {
     let mut session = Session::new(2, 1);
     let job = session.submit(0, "a", 4, 400);
     session.run(100);
@@ -81,7 +83,10 @@
     session.run_until_answered(job, 1_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     session.run(100);
-    assert_eq!(session.dials, 2, "the entry has time to hear of the end");
+    assert_eq!(
+        session.dials, 2,
+        "the link is open until the entry has the end"
+    );
     session.run(250);
     assert_eq!(session.dials, 3);
     let violations = &session.violations;
@@ -89,7 +94,7 @@
 }
 
 #[test]
-fn a_link_that_is_let_go_loses_no_end_of_its_runs() {
+fn a_retired_link_delivers_the_ends_of_its_runs() {
     let mut session = Session::new(2, 1);
     let job = session.submit(0, "a", 4, 400);
     session.run(100);
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn no_link_is_let_go_while_a_chosen_entry_has_none() {
+fn no_link_is_retired_while_a_chosen_entry_has_none() {
     let mut session = Session::new(2, 1);
     session.agent_mut(0).keep_links(&BTreeSet::from([entry(7)]));
     session.run(200);
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -1,5 +1,5 @@
-//! How entries learn of each other over a few connections each, and forget
-//! those that are gone.
+//! Tests of how entries discover each other over a few connections each, and forget entries
+//! that are gone.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 use gannetvane_dispatch::Directory;
 use gannetvane_dispatch::MAX_LINKED_PEERS;
 
-/// Entries at the target size.
+/// Number of entries in a fleet of the target size.
 const ENTRIES: usize = 183;
-/// Pause between two lists on a connection, in milliseconds.
+/// Interval between two full lists of entries on a connection, in milliseconds.
 const FULL_LIST_INTERVAL_MS: u64 = 5_000;
-/// Time without contact after which an entry is to be forgotten, and what its
-/// age may lag behind on its way, in milliseconds.
+/// Time within which an entry that is gone must be forgotten, in milliseconds: 30 s without
+/// contact, and two list intervals by which its reported age can lag behind.
 const FORGOTTEN_WITHIN_MS: u64 = 30_000 + 2 * FULL_LIST_INTERVAL_MS;
 
 struct Fleet {
@@ -27,7 +27,7 @@
 }
 
 impl Fleet {
-    /// Entries that know three seeds.
+    /// Creates entries that know three seeds.
     fn new() -> Self {
         let seeds = [addr(0), addr(1), addr(2)];
         let directory = |number| {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Every entry sends a list to each that it connects to.
+    /// Advances the time by one list interval; each entry sends its list to all its targets.
     fn exchange(&mut self) {
         self.now_ms += FULL_LIST_INTERVAL_MS;
         for number in 0..ENTRIES {
@@ -50,12 +50,13 @@
                 continue;
             }
             for target in self.directories[number].targets(self.now_ms) {
-                self.tell(number, target);
+                self.send_list(number, target);
             }
         }
     }
 
-    fn tell(&mut self, number: usize, target: SocketAddr) {
+    /// Sends the list of entry `number` to the entry at `target`, if that one is up.
+    fn send_list(&mut self, number: usize, target: SocketAddr) {
         let Some(other) = (0..ENTRIES).find(|other| addr(*other) == target) else {
             return;
         };
@@ -68,49 +69,54 @@
         self.directories[other].merge_seen(self.now_ms, &list);
     }
 
-    fn know(&self, number: usize) -> usize {
+    /// Returns the number of running entries that know entry `number`.
+    fn count_entries_that_know(&self, number: usize) -> usize {
         let up = (0..ENTRIES).filter(|other| self.is_up[*other]);
-        let know = |other: &usize| {
+        let has_addr = |other: &usize| {
             self.directories[*other]
                 .recent_addrs(self.now_ms)
                 .contains(&addr(number))
         };
-        up.filter(know).count()
+        up.filter(has_addr).count()
     }
 }
 
 #[test]
-fn all_entries_know_each_other_after_a_few_lists() {
+fn all_entries_know_each_other_after_four_lists() {
     let mut fleet = Fleet::new();
     for _ in 0..4 {
         fleet.exchange();
     }
     for number in 0..ENTRIES {
-        assert_eq!(fleet.know(number), ENTRIES, "of entry {number}");
+        assert_eq!(
+            fleet.count_entries_that_know(number),
+            ENTRIES,
+            "of entry {number}"
+        );
         let targets = fleet.directories[number].targets(fleet.now_ms).len();
         assert_eq!(targets, MAX_LINKED_PEERS);
     }
 }
 
 #[test]
-fn an_entry_that_is_gone_is_forgotten_everywhere() {
+fn a_removed_entry_is_forgotten_everywhere() {
     let mut fleet = Fleet::new();
     for _ in 0..4 {
         fleet.exchange();
     }
     fleet.is_up[17] = false;
-    let gone_ms = fleet.now_ms;
+    let removed_at_ms = fleet.now_ms;
     fleet.exchange();
-    assert_eq!(fleet.know(17), ENTRIES - 1);
-    while fleet.now_ms < gone_ms + FORGOTTEN_WITHIN_MS {
+    assert_eq!(fleet.count_entries_that_know(17), ENTRIES - 1);
+    while fleet.now_ms < removed_at_ms + FORGOTTEN_WITHIN_MS {
         fleet.exchange();
     }
-    assert_eq!(fleet.know(17), 0);
-    assert_eq!(fleet.know(18), ENTRIES - 1);
+    assert_eq!(fleet.count_entries_that_know(17), 0);
+    assert_eq!(fleet.count_entries_that_know(18), ENTRIES - 1);
 }
 
 #[test]
-fn what_the_store_tells_is_tried_and_not_passed_on() {
+fn addresses_from_the_store_are_dialed_but_not_gossiped() {
     let mut directory = Directory::new(Some(addr(1)), []);
     directory.learn(1_000, &[addr(9)]);
     assert!(directory.targets(1_000).contains(&addr(9)));
--- a/crates/dispatch/tests/overload.rs
+++ b/crates/dispatch/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Jobs that cannot be in time are refused early and truly, and those that
-//! have begun are brought to their end.
+//! Tests of overload: jobs that cannot meet their objective are refused early, no others
+//! are refused, and jobs that have started are completed.
 
 mod session;
 
@@ -24,13 +24,13 @@
 use session::Session;
 use session::TASK_RESOURCES;
 
-/// Run time of the tasks, in milliseconds.
+/// Work of each task, in milliseconds.
 const WORK_MS: u64 = 100;
-/// Objective of the jobs: 1.6 times their work and 60 ms.
+/// Objective of each job, in milliseconds: 1.6 times its work and 60 ms.
 const OBJECTIVE_MS: u64 = 220;
 
-/// Ends of jobs of four tasks that come every 10 ms for 8 s, while one minion
-/// gets through one every 40 ms.
+/// Submits a job of four tasks every 10 ms for 8 s to one minion, which can complete one
+/// every 40 ms. Returns the session and the positions of the callers.
 fn overload() -> (Session, Vec<usize>) {
     let mut session = Session::new(1, 1);
     let mut jobs = Vec::new();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_overload_is_refused_early_and_the_rest_is_in_time() {
+fn excess_jobs_are_refused_early_and_the_rest_are_in_time() {
     let (session, jobs) = overload();
     let violations = &session.violations;
     assert!(violations.is_empty(), "{violations:?}");
@@ -51,15 +51,15 @@
         let caller = &session.callers[job];
         caller.answered_ms.unwrap() - caller.sent_ms
     };
-    let with = |holds: &dyn Fn(JobOutcome) -> bool| -> Vec<u64> {
+    let took_ms_with = |is_counted: &dyn Fn(JobOutcome) -> bool| -> Vec<u64> {
         let ends = jobs
             .iter()
-            .filter(|job| holds(session.outcome(**job).unwrap()));
+            .filter(|job| is_counted(session.outcome(**job).unwrap()));
         ends.map(|job| took_ms(*job)).collect()
     };
-    let completed = with(&|outcome| outcome == JobOutcome::Completed);
-    let refused = with(&|outcome| matches!(outcome, JobOutcome::Refused { .. }));
-    let given_up = with(&|outcome| outcome == JobOutcome::TooLate);
+    let completed = took_ms_with(&|outcome| outcome == JobOutcome::Completed);
+    let refused = took_ms_with(&|outcome| matches!(outcome, JobOutcome::Refused { .. }));
+    let given_up = took_ms_with(&|outcome| outcome == JobOutcome::TooLate);
     let in_time = completed
         .iter()
         .filter(|took_ms| **took_ms <= OBJECTIVE_MS)
@@ -82,7 +82,7 @@
 fn a_job_that_fits_into_an_idle_service_is_not_refused() {
     let mut session = Session::new(1, 1);
     for number in 0..20 {
-        // More tasks than fit at once: some wait, and yet it is in time.
+        // The job has more tasks than fit at once. Some wait, but the job is in time.
         let job = session.submit(0, &format!("job-{number}"), 12, WORK_MS);
         session.run_until_answered(job, 1_000);
         assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
@@ -136,7 +136,7 @@
     }
 }
 
-fn greet(dispatcher: &mut Dispatcher, now_ms: u64, link: LinkId, service: &str) {
+fn agent_up(dispatcher: &mut Dispatcher, now_ms: u64, link: LinkId, service: &str) {
     let hello = AgentHello {
         node: NodeId(link.0),
         host: format!("host-{}", link.0).into(),
@@ -152,9 +152,9 @@
     dispatcher.agent_up(now_ms, link, hello);
 }
 
-/// An agent without any room greets.
+/// Connects an agent that reports no free resources.
 fn full_agent_up(dispatcher: &mut Dispatcher, now_ms: u64, link: LinkId, service: &str) {
-    greet(dispatcher, now_ms, link, service);
+    agent_up(dispatcher, now_ms, link, service);
     let frame = AgentFrame {
         clock_ms: now_ms,
         starts_received: 0,
@@ -169,9 +169,9 @@
 }
 
 #[test]
-fn a_job_is_not_refused_before_the_agents_have_told_their_room() {
+fn no_job_is_refused_before_agents_report_free_resources() {
     let (mut dispatcher, now_ms) = dispatcher();
-    greet(&mut dispatcher, now_ms, LinkId(1), "other");
+    agent_up(&mut dispatcher, now_ms, LinkId(1), "other");
     dispatcher.submit(now_ms, CallerId(1), job(1, "other", 400));
     dispatcher.tick(now_ms + 10);
     let answers = dispatcher.take_actions();
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_full_service_does_not_refuse_jobs_of_another() {
+fn a_full_service_does_not_cause_refusals_in_another() {
     let (mut dispatcher, now_ms) = dispatcher();
     full_agent_up(&mut dispatcher, now_ms, LinkId(1), "full");
     for link in 2..6 {
@@ -189,7 +189,7 @@
     for number in 0..60 {
         dispatcher.submit(now_ms, CallerId(number), job(number, "full", 60));
     }
-    // With more time left it is looked at after all jobs of the full service.
+    // This job has more time left, so it is checked after all jobs of the full service.
     dispatcher.submit(now_ms, CallerId(60), job(60, "other", 400));
     dispatcher.tick(now_ms + 10);
     let answers = dispatcher.take_actions();
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_entry_that_stood_still_refuses_nothing_before_it_has_heard_its_agents() {
+fn a_suspended_entry_refuses_no_job_before_its_agents_report() {
     let (mut dispatcher, now_ms) = dispatcher();
     full_agent_up(&mut dispatcher, now_ms, LinkId(1), "other");
     dispatcher.tick(now_ms);
--- a/crates/dispatch/tests/same_id_restarts.rs
+++ b/crates/dispatch/tests/same_id_restarts.rs
@@ -1,5 +1,5 @@
-//! A minion may start again under its id: it holds and knows nothing of before, and
-//! its numbers and its clock begin anew.
+//! Tests of minions that restart with the same id: the new incarnation has none of the
+//! former state, and its numbers and its clock start again from the beginning.
 
 mod driver;
 mod session;
@@ -14,15 +14,15 @@
 use session::Session;
 use yare::parameterized;
 
-/// A session whose minions tell their births.
+/// Returns a session whose minions report their start times.
 fn session() -> Session {
     let mut session = Session::new(2, 3);
     session.report_start_times();
     session
 }
 
-/// A listing of a life that was born at this time, at this time of its clock, with
-/// one task at work.
+/// Returns a listing of an incarnation with this start time, made at this time of its clock,
+/// with one running task.
 fn listing(started_unix_ms: Option<u64>, clock_ms: u64) -> ListResult {
     let running = ActiveRun {
         key: Some(driver::key("a")),
@@ -36,8 +36,8 @@
     })
 }
 
-/// Time after which a minion that is back is served again: a few messages on one
-/// host, and a connection to each entry.
+/// Time after its return within which a minion must be served again, in milliseconds: a few
+/// messages on one host, and a connection to each entry.
 const SERVED_AFTER_MS: u64 = 150;
 
 fn assert_served(session: &mut Session, agent: usize) {
@@ -51,21 +51,21 @@
 }
 
 #[parameterized(
-    own_birth = { None },
-    birth_of_the_former_life = { Some(true) },
-    no_birth = { Some(false) },
+    own_start_time = { None },
+    start_time_of_the_former_incarnation = { Some(true) },
+    no_start_time = { Some(false) },
 )]
-fn a_minion_that_starts_again_under_its_id_is_served(unseen: Option<bool>) {
+fn a_minion_that_restarts_with_the_same_id_is_served(hidden_start_time: Option<bool>) {
     let mut session = session();
     let before = session.submit(0, "before", 9, 100);
     session.run_until_answered(before, 1_000);
-    match unseen {
+    match hidden_start_time {
         None => session.restart_with_same_id(1, 700),
         Some(reports_start_time) => {
             session.restart_with_hidden_start_time(1, 700, reports_start_time);
         }
     }
-    // Without a birth of its own, only its clock tells that it is another life.
+    // Without a start time of its own, only the clock shows that it is another incarnation.
     let busy = session.submit(0, "busy", 9, 100);
     session.run(3_200);
     assert_served(&mut session, 1);
@@ -75,12 +75,15 @@
     session.run_until_answered(after, 1_000);
     assert_eq!(session.outcome(after), Some(JobOutcome::Completed));
     assert!(session.outcome(busy).is_some());
-    assert!(session.starts_on(&instance) > starts, "it takes part");
+    assert!(
+        session.starts_on(&instance) > starts,
+        "the minion gets starts"
+    );
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
 #[test]
-fn a_report_of_the_former_life_changes_nothing() {
+fn a_report_of_the_former_incarnation_is_ignored() {
     let mut session = session();
     session.restart_with_same_id(0, 400);
     session.run(400);
@@ -94,9 +97,9 @@
     }
 }
 
-/// The former life's report comes while the next life is not heard yet.
+/// The report of the former incarnation arrives before the next incarnation reports.
 #[test]
-fn a_late_report_while_nothing_is_served_delays_the_next_life_by_no_report() {
+fn a_delayed_report_of_the_former_incarnation_does_not_delay_the_next() {
     let mut session = session();
     let job = session.submit(0, "job", 9, 2_000);
     session.run(100);
@@ -108,21 +111,25 @@
     assert!(session.outcome(job).is_none());
 }
 
-/// The start of a task has no answer, the minion starts again, and its next life
-/// carries the start out although its deadline was on another clock.
+/// A start call gets no answer and the minion restarts with the same id. The next
+/// incarnation carries the delayed call out, although the deadline of the call was on
+/// another clock. The task must not run twice.
 #[parameterized(
     at_once = { 0, 300 },
     soon = { 100, 600 },
     later = { 900, 1_500 },
     much_later = { 1_500, 4_000 },
 )]
-fn a_start_that_the_next_life_carries_out_runs_beside_no_other(down_ms: u64, late_ms: u64) {
+fn a_start_carried_out_by_the_next_incarnation_causes_no_duplicate_run(
+    down_ms: u64,
+    delay_ms: u64,
+) {
     for seed in 0..20 {
         let mut session = session();
         let from_ms = session.now_ms;
         session.call_delay = Box::new(move |now_ms, agent| {
             let is_lost = agent == 0 && now_ms < from_ms + 60;
-            is_lost.then_some(late_ms + seed * 7)
+            is_lost.then_some(delay_ms + seed * 7)
         });
         let job = session.submit(0, "job", 24, 1_000);
         session.run(20 + seed);
@@ -133,28 +140,31 @@
     }
 }
 
-/// A call that was meant for the former life showed the next one a higher epoch
-/// than that of an agent which knows nothing of it.
+/// The minion's new incarnation received a call that was meant for the former one, with a
+/// higher epoch than that of its new agent, and so fences the agent off.
 #[test]
-fn an_agent_that_is_fenced_raises_its_epoch() {
+fn a_fenced_agent_raises_its_epoch() {
     let mut session = session();
     session.restart_with_same_id(0, 300);
     session.kill_agent(0, 250);
     session.run(320);
-    let ahead = session.minions[0].epoch() + 10_000_000_000;
+    let higher_epoch = session.minions[0].epoch() + 10_000_000_000;
     let now_ms = session.now_ms;
-    session.minions[0].extend(now_ms, ahead, 0, None);
+    session.minions[0].extend(now_ms, higher_epoch, 0, None);
     let instance = session.minions[0].instance.clone();
     let starts = session.starts_on(&instance);
     session.submit(0, "refused-there", 27, 100);
     session.run(1_000);
     session.submit(0, "after", 27, 100);
     session.run(100);
-    assert!(session.starts_on(&instance) > starts, "it is served again");
+    assert!(
+        session.starts_on(&instance) > starts,
+        "the minion is served again"
+    );
     assert_served(&mut session, 0);
 }
 
-/// The highest epoch that an agent shows while listings are answered in this way.
+/// Returns the highest epoch in the agent's calls while its listings get this answer.
 fn highest_epoch(driver: &mut Driver, answer: &ListResult) -> u64 {
     let mut highest = 0;
     for _ in 0..20 {
@@ -174,9 +184,10 @@
     highest
 }
 
-/// Calls that were meant for the former life have its epoch.
+/// Delayed calls to the former incarnation carry its epoch, so the next incarnation must
+/// get a higher one.
 #[test]
-fn the_next_life_is_shown_a_higher_epoch_though_the_time_of_day_was_set_back() {
+fn the_next_incarnation_gets_a_higher_epoch_although_the_wall_clock_was_set_back() {
     let mut driver = Driver::new();
     driver.start_tasks(&["a"]);
     let own = highest_epoch(&mut driver, &listing(Some(1_000), 5_000));
@@ -188,7 +199,7 @@
 }
 
 #[test]
-fn a_refusal_for_a_higher_epoch_raises_it_ever_faster() {
+fn repeated_fencing_raises_the_epoch_in_growing_steps() {
     let mut driver = Driver::new();
     driver.start_tasks(&["a"]);
     let mut highest = 0;
@@ -203,7 +214,7 @@
 }
 
 #[test]
-fn a_clock_that_ran_back_tells_of_another_life() {
+fn a_clock_that_ran_back_shows_another_incarnation() {
     let mut driver = Driver::new();
     driver.start_tasks(&["a"]);
     driver.answer_with(&listing(Some(1_000), 5_000));
@@ -214,12 +225,12 @@
     assert_eq!(
         driver.agent.incarnation(),
         Some(&incarnation_at(1_000)),
-        "it is the next"
+        "the next incarnation is adopted"
     );
 }
 
 #[test]
-fn a_late_report_of_a_life_that_ended_is_not_adopted() {
+fn a_delayed_report_of_an_ended_incarnation_is_not_adopted() {
     let mut driver = Driver::new();
     driver.start_tasks(&["a"]);
     driver.answer_with(&listing(Some(2_000), 900));
@@ -229,9 +240,10 @@
     assert_eq!(driver.agent.incarnation(), Some(&incarnation_at(2_000)));
 }
 
-/// Numbers of ends begin anew: none of the next life may be taken for told.
+/// The next incarnation numbers its ends from the beginning. The agent must not take them
+/// for ends that the former incarnation reported.
 #[test]
-fn no_end_of_the_next_life_is_forgotten_unseen() {
+fn no_end_of_the_next_incarnation_is_lost() {
     let mut session = session();
     for round in 0..3 {
         for number in 0..4 {
@@ -250,31 +262,35 @@
 }
 
 #[test]
-fn a_departure_told_for_a_minion_that_stays_is_checked() {
+fn a_reported_departure_of_a_minion_is_verified() {
     let mut driver = Driver::new();
     driver.agent.minion_left("minion-1");
-    assert!(!driver.is_accepting_starts(), "it may be gone");
+    assert!(!driver.is_accepting_starts(), "the minion may be gone");
     driver.answer_listings(&driver::empty_listing());
-    assert!(driver.is_accepting_starts(), "it answered");
+    assert!(driver.is_accepting_starts(), "the minion answered");
 }
 
 #[test]
-fn a_listing_of_another_life_ends_the_one_that_is_served() {
+fn a_listing_of_another_incarnation_ends_the_served_one() {
     let mut driver = Driver::new();
     driver.start_tasks(&["a"]);
     driver.answer_with(&listing(Some(2_000), 900));
     assert_eq!(driver.agent.incarnation(), None);
     assert_eq!(driver.agent.active_runs(), 0);
-    let closed = driver.agent.greeted_links();
-    assert_eq!(closed, 0, "entries are greeted anew");
+    let greeted_links = driver.agent.greeted_links();
+    assert_eq!(greeted_links, 0, "entries are to be greeted again");
 }
 
-/// A candidate under the same id takes over only by its own answer.
+/// Another incarnation with the same id replaces the served one only if the answer carries
+/// its own start time.
 #[parameterized(
     own = { Some(2_000), true },
-    of_the_life_that_is_served = { Some(1_000), false },
+    of_the_served_incarnation = { Some(1_000), false },
 )]
-fn the_birth_in_a_listing_tells_who_answered(started_unix_ms: Option<u64>, takes_over: bool) {
+fn the_start_time_in_a_listing_identifies_the_incarnation_that_answered(
+    started_unix_ms: Option<u64>,
+    takes_over: bool,
+) {
     let mut driver = Driver::new();
     let asked = driver.report_incarnation(&incarnation_at(2_000));
     let [
@@ -283,7 +299,7 @@
         },
     ] = &asked[..]
     else {
-        panic!("one call: {asked:?}");
+        panic!("one listing call is expected: {asked:?}");
     };
     assert_eq!(*incarnation, incarnation_at(2_000));
     driver.answer_call(incarnation, *call, listing(started_unix_ms, 700));
