--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -50,6 +50,7 @@
     move |outcome| matches!(outcome, Some(JobOutcome::Refused { reason: of, .. }) if of == reason)
 }
 
+/// The zone's capacity also counts as gone, so all jobs complete in the other zones.
 #[test]
 fn an_evacuation_received_by_one_entry_stops_the_starts_of_all_entries() {
     let mut session = Session::new(ENTRIES, AGENTS);
@@ -291,15 +292,15 @@
     let mut killed_ms = [0; AGENTS];
     for newest in 0..history.len() {
         for step in 0..30 {
-            let record = if step < 20 {
+            let index = if step < 20 {
                 newest
             } else {
                 rng.random_range(0..=newest)
             };
             if rng.random::<f64>() < 0.4 {
                 let entry = rng.random_range(0..ENTRIES);
-                session.send_evacuations(entry, &history[record]);
-                let (first_ms, entries, all_ms) = &mut delivered[record];
+                session.send_evacuations(entry, &history[index]);
+                let (first_ms, entries, all_ms) = &mut delivered[index];
                 *first_ms = session.now_ms.min(*first_ms);
                 entries[entry] = true;
                 if entries.iter().all(|is_delivered| *is_delivered) {
@@ -333,19 +334,19 @@
     // until some entry gets a later record that does not evacuate it.
     for start in &session.answered_starts {
         let zone = ZONES[start.agent % 3];
-        let evacuated_since = (0..history.len())
+        let newest_known = (0..history.len())
             .filter(|at| delivered[*at].2.saturating_add(MAX_SUSPENSION_MS) < start.at_ms);
-        let Some(evacuated_since) = evacuated_since.max() else {
+        let Some(newest_known) = newest_known.max() else {
             continue;
         };
         let delivered_since =
-            (evacuated_since..history.len()).filter(|at| delivered[*at].0 <= start.at_ms);
+            (newest_known..history.len()).filter(|at| delivered[*at].0 <= start.at_ms);
         let may_start = delivered_since
             .into_iter()
             .any(|at| !history[at].contains(&zone.into()));
         assert!(
             may_start,
-            "seed {seed}: {start:?} in {zone} as of {evacuated_since}"
+            "seed {seed}: {start:?} in {zone} as of {newest_known}"
         );
     }
     assert!(
--- a/crates/dispatch/tests/gossip.rs
+++ b/crates/dispatch/tests/gossip.rs
@@ -68,6 +68,7 @@
     }
 }
 
+/// Full lists carry the ages of all entries, so constant changes must not delay them.
 #[test]
 fn full_lists_are_sent_although_the_set_changes_constantly() {
     let mut sender = GossipSender::default();
--- a/crates/dispatch/tests/grey.rs
+++ b/crates/dispatch/tests/grey.rs
@@ -121,7 +121,8 @@
     let mut driver = Driver::new();
     driver.start_tasks(&["a", "b"]);
     driver.list_running(&["a", "b"], 0, 0);
-    // The listing arrives late, as it does when the agent's host was suspended.
+    // The listing was made 5 ms after the call, but arrives 100 ms later, as it does when the
+    // agent's host was suspended.
     assert_eq!(stopped_runs(&driver.list_running(&["a", "b"], 5, 100)), 0);
     assert!(driver.is_accepting_starts());
 }
--- a/crates/dispatch/tests/growth/change.rs
+++ b/crates/dispatch/tests/growth/change.rs
@@ -30,7 +30,7 @@
     Calm,
     /// One more entry starts.
     NewEntry,
-    /// An entry is gone for good.
+    /// An entry stops and doesn't return.
     LostEntry,
     /// One entry reads a newer configuration.
     Configuration,
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -83,6 +83,7 @@
     session.run_until_answered(job, 1_000);
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     session.run(100);
+    // The link stays open for some time after its last run, so that the entry gets the end.
     assert_eq!(
         session.dials, 2,
         "the link is open until the entry has the end"
--- a/crates/dispatch/tests/long_tasks.rs
+++ b/crates/dispatch/tests/long_tasks.rs
@@ -30,8 +30,8 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// Only progress extends a job beyond its declared work: a job whose tasks make none ends as
-/// late.
+/// Only progress extends the time of a job: a job whose tasks make none is given up at the
+/// time that follows from its declared work.
 #[test]
 fn a_stalled_task_does_not_extend_its_job() {
     let mut session = Session::new(1, 3);
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -1,5 +1,5 @@
-//! Tests of how entries discover each other over a few connections each, and forget entries
-//! that are gone.
+//! Tests of how entries discover each other over a few connections each, and forget removed
+//! entries.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 const ENTRIES: usize = 183;
 /// Interval between two full lists of entries on a connection, in milliseconds.
 const FULL_LIST_INTERVAL_MS: u64 = 5_000;
-/// Time within which an entry that is gone must be forgotten, in milliseconds: 30 s without
+/// Time within which a removed entry must be forgotten, in milliseconds: 30 s without
 /// contact, and two list intervals by which its reported age can lag behind.
 const FORGOTTEN_WITHIN_MS: u64 = 30_000 + 2 * FULL_LIST_INTERVAL_MS;
 
--- a/crates/dispatch/tests/policy.rs
+++ b/crates/dispatch/tests/policy.rs
@@ -148,7 +148,8 @@
 }
 
 /// Returns the fraction of jobs that the policy admits while the waiting jobs take all
-/// minions `waiting_ms`, after `shed_jobs` jobs were shed 50 ms apart and a pause.
+/// minions `waiting_ms` to complete, after `shed_jobs` jobs were shed 50 ms apart and a pause
+/// of `pause_ms`.
 fn admitted_fraction_after(waiting_ms: f64, shed_jobs: u64, pause_ms: u64) -> f64 {
     let mut policy = FairShare::default();
     let queue = queue("often");
--- a/crates/dispatch/tests/replay/central.rs
+++ b/crates/dispatch/tests/replay/central.rs
@@ -91,7 +91,7 @@
         self.is_unusable(minion, now_ms) || present.next().is_some()
     }
 
-    /// Whether an outage of a minion lasts.
+    /// Whether an outage takes a minion down at this time.
     fn is_down(&self, minion: usize, now_ms: u64) -> bool {
         self.outages.iter().any(|outage| {
             minion < outage.minions
--- a/crates/dispatch/tests/replay/pattern.rs
+++ b/crates/dispatch/tests/replay/pattern.rs
@@ -152,7 +152,8 @@
     Hanging,
 }
 
-/// Outage of the first `minions` minions together with their agents.
+/// Outage of the first `minions` minions together with their agents, which return after
+/// `for_ms`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outage {
--- a/crates/dispatch/tests/same_id_restarts.rs
+++ b/crates/dispatch/tests/same_id_restarts.rs
@@ -50,6 +50,8 @@
     assert_eq!(session.agent(agent).greeted_links(), 2);
 }
 
+/// The next incarnation reports its own start time (`None`), that of the former incarnation
+/// (`Some(true)`), or no start time (`Some(false)`).
 #[parameterized(
     own_start_time = { None },
     start_time_of_the_former_incarnation = { Some(true) },
@@ -113,7 +115,7 @@
 
 /// A start call gets no answer and the minion restarts with the same id. The next
 /// incarnation carries the delayed call out, although the deadline of the call was on
-/// another clock. The task must not run twice.
+/// another clock. The task must not have two runs at a time.
 #[parameterized(
     at_once = { 0, 300 },
     soon = { 100, 600 },
@@ -140,8 +142,9 @@
     }
 }
 
-/// The minion's new incarnation received a call that was meant for the former one, with a
-/// higher epoch than that of its new agent, and so fences the agent off.
+/// A call that was meant for the former incarnation shows the next one a higher epoch than
+/// that of its agent, which knows nothing of the call. The minion then fences the agent off,
+/// until the agent raises its epoch.
 #[test]
 fn a_fenced_agent_raises_its_epoch() {
     let mut session = session();
