--- a/crates/dispatch/src/agent/call_loss.rs
+++ b/crates/dispatch/src/agent/call_loss.rs
@@ -11,7 +11,7 @@
 const NEGLIGIBLE_FRACTION: f64 = 0.02;
 /// Accepted fraction of calls that get no answer to any of their hedged calls.
 const ACCEPTED_FRACTION: f64 = 0.03;
-/// Maximum number of hedged calls: an agent has a small fraction of a core.
+/// Maximum number of hedged calls: an agent gets only a small fraction of a core.
 const MAX_HEDGED_CALLS: u32 = 4;
 
 /// Exponentially weighted fraction of unanswered calls.
--- a/crates/dispatch/src/agent/delayed_calls.rs
+++ b/crates/dispatch/src/agent/delayed_calls.rs
@@ -3,9 +3,9 @@
 //! An unanswered start may be carried out seconds later. A minion that restarts with
 //! the same id has no record of the runs and the epoch of its former incarnation. While
 //! its agent is suspended, that minion may run a task again whose end was already
-//! acknowledged, or an unanswered acknowledgement may make an end count there that
-//! nobody has seen. So the agent acknowledges no end until no such start can be carried
-//! out any more.
+//! acknowledged, or it may carry out an unanswered acknowledgement, and an end counts
+//! that nobody has seen. So the agent acknowledges no end until no such start can be
+//! carried out any more.
 
 use std::collections::BTreeMap;
 
@@ -25,8 +25,8 @@
     /// Time until which starts of an earlier agent may be carried out; 0 before a
     /// minion with a start time is served.
     inherited_until_ms: u64,
-    /// Whether a call of this agent got no answer. Only then are calls of an earlier
-    /// agent taken to be unanswered as well.
+    /// Whether a call of this agent got no answer. Only then does the agent assume that
+    /// calls of an earlier agent are unanswered as well.
     has_unanswered_calls: bool,
 }
 
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Records that some call got no answer: calls of an earlier agent may have got
-    /// none either.
+    /// Records that some call got no answer. Calls of an earlier agent may then be
+    /// unanswered as well.
     pub(crate) fn call_unanswered(&mut self) {
         self.has_unanswered_calls = true;
     }
--- a/crates/dispatch/src/agent/links.rs
+++ b/crates/dispatch/src/agent/links.rs
@@ -39,7 +39,7 @@
     pub(crate) is_retiring: bool,
     /// Number of start orders received on this link.
     pub(crate) starts_received: u64,
-    /// When the link was last not retiring, had a run or had a report to send.
+    /// Last time at which the link was not retiring, had a run or had a report to send.
     last_used_ms: u64,
     /// Reports for the next frame.
     reports: Vec<Report>,
@@ -180,8 +180,8 @@
     }
 
     /// Greets the entries that are not greeted yet, once no run of a closed link is
-    /// left: to an entry, a greeting means that nothing that it ordered earlier is left
-    /// on the minion.
+    /// left: to an entry, a greeting means that none of the runs that it ordered earlier
+    /// is left on the minion.
     pub(crate) fn greet_links(&mut self, now_ms: u64) {
         let Some(minion) = self
             .minion
--- a/crates/dispatch/src/agent/listing_calls.rs
+++ b/crates/dispatch/src/agent/listing_calls.rs
@@ -16,7 +16,7 @@
 /// milliseconds.
 const STOPPING_LIST_WAIT_MS: u64 = 15;
 /// Time past its wait after which a listing counts as unanswered, in milliseconds. A
-/// minion on the same host answers within a few.
+/// minion on the same host answers within a few milliseconds.
 pub(crate) const LIST_TIMEOUT_MS: u64 = 40;
 /// Time without an answer after which the lease is not extended any more, in
 /// milliseconds: longer than the wait of a listing plus a third of a second in which
--- a/crates/dispatch/src/agent/listings.rs
+++ b/crates/dispatch/src/agent/listings.rs
@@ -29,7 +29,7 @@
 /// returns several ends.
 const HEDGED_LIST_PAUSE_MS: u64 = 25;
 /// Pause after a listing while the minion retains ends, in milliseconds. The store
-/// takes a record within 10.
+/// takes a record within 10 ms.
 const RETAINED_LIST_PAUSE_MS: u64 = 8;
 /// Maximum number of ends that a minion lists. Later ends are listed only after some of
 /// these are acknowledged.
--- a/crates/dispatch/src/agent/minion.rs
+++ b/crates/dispatch/src/agent/minion.rs
@@ -33,8 +33,8 @@
 /// milliseconds: two of its reports may be lost.
 const REPORT_TIMEOUT_MS: u64 = 6_000;
 
-/// Number of unacknowledged ends from which the minion gets no more starts. It lists
-/// 500, and runs far fewer tasks at a time than the remaining 100.
+/// Number of unacknowledged ends from which the minion gets no more starts. The minion
+/// lists 500 ends, and runs far fewer tasks at a time than the remaining 100.
 const MAX_UNACKNOWLEDGED_ENDS: u64 = 400;
 /// Minimum number of consecutive unanswered calls before a minion counts as
 /// unresponsive. An unresponsive minion gets no starts until it answers again.
@@ -137,8 +137,8 @@
         has_gone_backwards || !incarnation.can_be_from(listing.started_unix_ms)
     }
 
-    /// Whether calls are answered. Some may stay unanswered by chance, but not all of
-    /// them for a while.
+    /// Whether the minion answers calls. Some calls may be unanswered by chance, but not
+    /// all calls over a longer time.
     pub(crate) fn is_answering(&self) -> bool {
         let is_unresponsive = self.consecutive_unanswered >= UNRESPONSIVE_CALLS
             && self.last_call_ended_ms >= self.answered_ms + UNRESPONSIVE_MS;
--- a/crates/dispatch/src/agent/run_table.rs
+++ b/crates/dispatch/src/agent/run_table.rs
@@ -13,8 +13,8 @@
 use crate::StartOrder;
 use crate::StartResult;
 
-/// Time after which a start whose connection breaks may not have been read, in
-/// milliseconds: a minion on the same host reads a call at once.
+/// Time after which the minion may not have read a start whose connection breaks, in
+/// milliseconds. A minion on the same host reads a call at once.
 const READ_AT_ONCE_MS: u64 = 5;
 
 /// Phase of a run on the minion.
@@ -75,9 +75,9 @@
     pub(crate) refusal: Option<StartResult>,
     /// Whether a hedged call of the last start got no answer.
     pub(crate) is_outcome_unknown: bool,
-    /// When a connection broke in a way that is strong crash evidence: that of its
-    /// start after the call was sent, or that of a listing which waited for an end
-    /// while the minion had the run.
+    /// When a connection broke in a way that is strong crash evidence: the connection
+    /// of the run's start broke right after the call was sent, or the connection of a
+    /// listing broke while the listing waited for an end and the minion had the run.
     pub(crate) connection_broke_ms: Option<u64>,
     /// Whether the connection of a start broke so long after the call was sent that the
     /// minion may not have read it.
@@ -138,8 +138,9 @@
     }
 
     /// Whether a later incarnation of the minion with the same id may carry out the
-    /// run: a start call got no answer, or only an answer to a start, which contains no
-    /// start time, shows that the run is active.
+    /// run. It may if a start call got no answer. It also may if no listing has shown the
+    /// run: the answer to a start doesn't contain the start time of the incarnation that
+    /// sent it.
     pub(crate) fn may_run_in_next_incarnation(&self) -> bool {
         !self.was_listed || self.pending > 0 || self.is_outcome_unknown || self.unanswered > 0
     }
@@ -274,7 +275,8 @@
             order: run.order,
             percent: run.percent,
             elapsed_ms: u32::try_from(run.ran_ms(run.read_ms)).unwrap_or(u32::MAX),
-            // Time without a reading says nothing about the run.
+            // The time since the last reading doesn't count, as it says nothing about
+            // the run.
             idle_ms: u32::try_from(run.read_ms.saturating_sub(run.changed_ms)).unwrap_or(u32::MAX),
         };
         running.map(report).collect()
--- a/crates/dispatch/src/agent/starts.rs
+++ b/crates/dispatch/src/agent/starts.rs
@@ -21,7 +21,7 @@
 /// while there is no answer.
 const MAX_INITIAL_START_CALLS: u32 = 2;
 /// Pause before the next hedged call, in milliseconds. A healthy minion on the same
-/// host answers within a few.
+/// host answers within a few milliseconds.
 const HEDGE_DELAY_MS: u64 = 12;
 /// Minimum time between two starts of a run, in milliseconds.
 const MIN_START_INTERVAL_MS: u64 = 50;
--- a/crates/dispatch/src/agent/suspect_starts.rs
+++ b/crates/dispatch/src/agent/suspect_starts.rs
@@ -13,7 +13,7 @@
 use crate::agent::run_table::Phase;
 
 /// Timeout of the listing before a start, in milliseconds. A healthy minion on the same
-/// host answers within a few.
+/// host answers within a few milliseconds.
 const CHECK_TIMEOUT_MS: u64 = 50;
 
 impl Agent {
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -18,8 +18,9 @@
 /// there are fewer entries than agents.
 pub const MAX_LINKED_ENTRIES: usize = 12;
 
-/// Largest number of other entries that an entry connects to. On average as many connect
-/// to it, so some hundred entries know each other after a few exchanges of their lists.
+/// Largest number of other entries that an entry connects to. On average the same number
+/// of entries connect to it, so some hundred entries know each other after a few exchanges
+/// of their lists.
 pub const MAX_LINKED_PEERS: usize = 8;
 
 /// Time after its last mention at which an entry is forgotten, in milliseconds. It is long
@@ -175,8 +176,8 @@
             .map_or(usize::MAX, RendezvousHash::max);
         let has_seeds = entries.len() < max;
         if has_seeds {
-            // Seeds may no longer exist, so they are candidates only if there is room for
-            // them beside the other entries.
+            // Seeds may no longer exist, so they are candidates only if the other entries
+            // are fewer than the maximum.
             entries.extend(self.seeds.iter().copied());
         }
         entries.retain(|entry| Some(*entry) != self.own);
--- a/crates/dispatch/src/dispatcher/estimate.rs
+++ b/crates/dispatch/src/dispatcher/estimate.rs
@@ -2,7 +2,7 @@
 //!
 //! Declared times are noisy, so the best estimate lies between the declared
 //! time and the mean of the queue. A linear regression on the logarithms, in
-//! which the weight of earlier runs decays, finds where.
+//! which the weight of earlier runs decays, computes it.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,9 @@
 /// Weight of the initial assumption that runs take as long as declared, as a
 /// number of runs.
 const PRIOR_RUNS: f64 = 12.0;
-/// Number of runs over which earlier runs decay, so that a change of the work
-/// shows within seconds.
+/// Maximum number of runs that the means are based on. Each new run thus keeps
+/// a minimum weight and earlier runs decay, so that a change of the work shows
+/// within seconds.
 const MAX_MEMORY_RUNS: f64 = 400.0;
 /// Initial assumption for the variance of the logarithms of declared times.
 const PRIOR_VARIANCE: f64 = 0.1;
@@ -81,8 +82,8 @@
         let ran_deviation = ln_ran - self.mean_ln_ran;
         self.mean_ln_declared += weight * declared_deviation;
         self.mean_ln_ran += weight * ran_deviation;
-        let fade = 1.0 - weight;
-        self.variance = fade * (self.variance + weight * declared_deviation * declared_deviation);
-        self.covariance = fade * (self.covariance + weight * declared_deviation * ran_deviation);
+        let decay = 1.0 - weight;
+        self.variance = decay * (self.variance + weight * declared_deviation * declared_deviation);
+        self.covariance = decay * (self.covariance + weight * declared_deviation * ran_deviation);
     }
 }
--- a/crates/dispatch/src/dispatcher/fleet.rs
+++ b/crates/dispatch/src/dispatcher/fleet.rs
@@ -190,8 +190,8 @@
         orders.map(|(_, needs)| *needs)
     }
 
-    /// Sends the agent its choice from `entries`. The whole list would grow
-    /// with the fleet and would go to as many agents.
+    /// Sends the agent its choice from `entries`. The length of the whole list
+    /// grows with the fleet, and so does the number of agents that get it.
     pub(crate) fn send_entries(&mut self, entries: BTreeSet<SocketAddr>) {
         let rendezvous = RendezvousHash::new(self.hello.host.clone(), MAX_LINKED_ENTRIES);
         self.chosen_entries = rendezvous.select(entries);
--- a/crates/dispatch/src/dispatcher/intake.rs
+++ b/crates/dispatch/src/dispatcher/intake.rs
@@ -50,14 +50,15 @@
         }
     }
 
-    /// Cancels a job whose caller waits; returns `false` if there is none.
+    /// Cancels a job whose caller waits. Returns `false` if no caller waits for a
+    /// job with this id.
     pub fn cancel(&mut self, now_ms: u64, id: &Name) -> bool {
-        let has_caller = |job: &JobState| job.is_open() && !job.is_stored;
-        let is_open = self.jobs.get(id).is_some_and(has_caller);
-        if is_open {
+        let is_cancellable = |job: &JobState| job.is_open() && !job.is_stored;
+        let can_cancel = self.jobs.get(id).is_some_and(is_cancellable);
+        if can_cancel {
             self.finish(now_ms, id, JobOutcome::Cancelled, "cancelled");
         }
-        is_open
+        can_cancel
     }
 
     /// Admits a job, or refuses it if it cannot run or the policy does not
--- a/crates/dispatch/src/dispatcher/jobs.rs
+++ b/crates/dispatch/src/dispatcher/jobs.rs
@@ -248,10 +248,10 @@
     /// Extends the objective and the time allowed for the job after a task of a
     /// step turned out to need `work_ms` on a minion of ordinary speed.
     ///
-    /// Where that is longer than expected, the critical path is longer by as
-    /// much, and with it the time that the job may take. By the first estimate,
-    /// the few tasks that take many times as long as declared would be given up
-    /// in the middle of their work, while their callers still wait.
+    /// If the task needs longer than expected, the critical path and the time
+    /// that the job may take become longer by the same amount. Under the first
+    /// estimate, the few tasks that take many times as long as declared would be
+    /// given up in the middle of their work, while their callers still wait.
     pub(crate) fn extend_times(&mut self, step: usize, work_ms: f64, estimates: &Estimates) {
         let declared_ms = self.job.steps[step].declared_ms;
         let expected_ms = estimates.expected_ms(&self.job.queue.name, declared_ms);
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -56,8 +56,8 @@
 /// Time since the last tick, in milliseconds, after which this process counts
 /// as suspended. Agents have stopped the runs that it ordered by then.
 pub(crate) const SUSPENSION_MS: u64 = 300;
-/// Time after a suspension during which nothing is started, in milliseconds:
-/// broken connections of callers are noticed first.
+/// Time after a suspension during which nothing is started, in milliseconds, so
+/// that broken connections of callers are noticed first.
 const RESUME_DELAY_MS: u64 = 40;
 
 /// Settings of a [`Dispatcher`].
--- a/crates/dispatch/src/dispatcher/resizes.rs
+++ b/crates/dispatch/src/dispatcher/resizes.rs
@@ -24,14 +24,16 @@
         agent.set_capacity(capacity);
         let detail = format!("host={} from={former:?} to={capacity:?}", agent.hello.host);
         self.event("agent-resized", None, detail);
-        if !capacity.can_fit(&former) {
+        let has_shrunk = !capacity.can_fit(&former);
+        if has_shrunk {
             let is_unplaceable = |this: &Self, job: &Job| this.capacity_refusal(job).is_some();
             self.refuse_never_run(now_ms, Refusal::Overloaded, is_unplaceable);
         }
     }
 
-    /// Returns why no minion can run some step of a job, if so: none has ever
-    /// had the capacity, or none has it at present.
+    /// Returns the reason to refuse a job that has a step which no minion can
+    /// run: no minion has ever had the capacity for it, or none has it at
+    /// present. Returns `None` if each step fits on some minion.
     pub(crate) fn capacity_refusal(&self, job: &Job) -> Option<Refusal> {
         let service = &job.queue.service;
         let agents = || self.agents.values();
--- a/crates/dispatch/src/dispatcher/rounds.rs
+++ b/crates/dispatch/src/dispatcher/rounds.rs
@@ -33,8 +33,8 @@
 const MAX_MISSES_PER_ROUND: usize = 12;
 
 impl Dispatcher {
-    /// Returns the services so many of whose hosts failed that the cause is
-    /// elsewhere: none of their hosts is left out.
+    /// Returns the services of which so many hosts failed that the cause is not
+    /// the hosts. None of their hosts is left out.
     pub(crate) fn find_services_without_ejection(&self, now_ms: u64) -> Vec<Name> {
         let mut counts: BTreeMap<&Name, (usize, usize)> = BTreeMap::new();
         for agent in self.agents.values() {
@@ -199,7 +199,7 @@
     }
 
     /// Returns the hosts that a task avoids. If no other host could take it,
-    /// none is avoided, since a bad host is better than none.
+    /// none is avoided, since a bad host is better than no host.
     fn hosts_to_avoid(&self, avoided: &[Name], service: &Name, step: &Step) -> Vec<Name> {
         let is_other =
             |agent: &&AgentState| !agent.is_evacuated && !avoided.contains(&agent.hello.host);
--- a/crates/dispatch/src/dispatcher/views.rs
+++ b/crates/dispatch/src/dispatcher/views.rs
@@ -95,7 +95,7 @@
 
     /// Returns whether all connected agents of a service have reported their
     /// free resources. They do so within a few milliseconds, and may have
-    /// plenty.
+    /// plenty of free resources.
     pub(crate) fn have_all_reported_free(&self, service: &Name) -> bool {
         self.agents_of(service).all(|agent| agent.has_reported_free)
     }
--- a/crates/dispatch/src/evacuations.rs
+++ b/crates/dispatch/src/evacuations.rs
@@ -2,7 +2,7 @@
 //! its evacuation.
 //!
 //! Entries read the evacuations with the configuration. They place no tasks in these zones
-//! and at once count only the capacity outside them. Agents receive the evacuations from
+//! and immediately count only the capacity outside them. Agents receive the evacuations from
 //! entries, ahead of any order on the same link, and refuse starts in their zone. So an
 //! entry that has not received the evacuation yet, or was suspended, starts nothing there
 //! either.
--- a/crates/dispatch/src/gossip.rs
+++ b/crates/dispatch/src/gossip.rs
@@ -69,8 +69,9 @@
         }
     }
 
-    /// Returns the entries for the next frame: all of them when a full list is due, because
-    /// receivers also need their ages, otherwise those that became known since.
+    /// Returns the entries for the next frame. These are all entries when a full list is due,
+    /// because receivers also need their ages. Otherwise they are only the entries that became
+    /// known since the last list.
     fn next_entries(
         &mut self,
         now_ms: u64,
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -10,7 +10,7 @@
 use crate::Queue;
 use crate::Resources;
 
-/// Number of a caller that waits at an entry for the outcome of a job.
+/// Identifies a caller that waits at an entry for the outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
@@ -25,7 +25,7 @@
     pub index: u32,
 }
 
-/// A number of tasks of a job that are alike.
+/// A group of tasks of a job with the same resources, declared run time and constraints.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// Number of tasks.
@@ -115,8 +115,8 @@
 pub enum JobOutcome {
     /// All tasks are done.
     Completed,
-    /// A task failed in as many runs as its queue allows, or minions crashed under it too
-    /// often.
+    /// A task failed in as many runs as its queue allows, or minions crashed too often while
+    /// it ran.
     Failed,
     /// Some tasks ran or may have run, and the rest can't end in time.
     TooLate,
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -18,8 +18,8 @@
 /// Length of the lease that an agent requests from its minion, in milliseconds. The minion
 /// kills all its runs this long after the agent's last call.
 pub const MINION_LEASE_MS: u64 = 450;
-/// Time after which an unanswered stop makes the agent no longer extend the minion's lease,
-/// in milliseconds.
+/// Time for which a stop may be unanswered before the agent no longer extends the minion's
+/// lease, in milliseconds.
 pub const STOP_TIMEOUT_MS: u64 = 250;
 /// Time for a minion to end a run whose lease has expired, and for rounding, in
 /// milliseconds.
--- a/crates/dispatch/src/ledger/jobs.rs
+++ b/crates/dispatch/src/ledger/jobs.rs
@@ -240,7 +240,7 @@
         .and_then(|job| job.position(&end.task));
     let is_known_end = match position {
         Some(position) => owned_job.progress.has_end(position, end.run),
-        // Only the numbers of the runs are left of an ended job.
+        // An ended job only has the numbers of its runs left.
         None => owned_job.progress.done.values().any(|run| *run == end.run),
     };
     if is_known_end {
--- a/crates/dispatch/src/ledger/mod.rs
+++ b/crates/dispatch/src/ledger/mod.rs
@@ -1,6 +1,6 @@
 //! The ledger: the partitions of the job log that an entry owns, and their stored jobs.
 //!
-//! The platform's store assigns the partitions to the members, the entries that have joined.
+//! The platform's store assigns the partitions to the members: the entries that have joined.
 //! It fences an owner's appends once another entry has claimed the partition, but it doesn't
 //! stop the runs of the former owner. An owner therefore lets tasks run only for
 //! [`OWNER_LEASE_MS`] after the store last listed the partition as its own. The next owner
@@ -36,7 +36,7 @@
 use crate::ledger::partition::Stage;
 
 /// Time for which an owner lets tasks run after the store last listed the partition as its
-/// own, in milliseconds: five joins, of which one may take long.
+/// own, in milliseconds: five join intervals, so that one join may take long.
 pub const OWNER_LEASE_MS: u64 = 1_500;
 /// Time without a join after which the store assigns an entry's partitions to other members,
 /// in milliseconds: three joins may be lost.
@@ -96,8 +96,8 @@
         epoch: u32,
         /// Number of the append in the epoch. The store carries out each number once.
         number: u64,
-        /// Offset at which the partition must end; otherwise the store does nothing. `None`: at
-        /// any offset.
+        /// Offset at which the partition must end; otherwise the store does nothing. `None`
+        /// allows any offset.
         expected_end: Option<u64>,
         /// Records to append.
         records: Vec<LogRecord>,
@@ -145,7 +145,7 @@
 }
 
 impl Ledger {
-    /// Returns a ledger that is not active, so that the entry is no member yet.
+    /// Returns a ledger that is not active, so the entry is not a member yet.
     #[must_use]
     pub fn new(settings: LedgerSettings) -> Self {
         Self {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Returns whether a planned stop may go on, because the entry owns no partition any more.
+    /// Returns whether a planned stop may proceed: the entry no longer owns a partition.
     #[must_use]
     pub fn may_stop(&self) -> bool {
         self.partitions.is_empty()
@@ -348,8 +348,11 @@
     /// Gives up the partitions that the store has not listed as this entry's for more than
     /// [`OWNER_LEASE_MS`].
     fn expire(&mut self, now_ms: u64, dispatcher: &mut Dispatcher) {
-        let is_over = |owned: &OwnedPartition| now_ms > owned.confirmed_ms + OWNER_LEASE_MS;
-        let unconfirmed = self.partitions.iter().filter(|(_, owned)| is_over(owned));
+        let is_expired = |owned: &OwnedPartition| now_ms > owned.confirmed_ms + OWNER_LEASE_MS;
+        let unconfirmed = self
+            .partitions
+            .iter()
+            .filter(|(_, owned)| is_expired(owned));
         let unconfirmed: Vec<Partition> = unconfirmed.map(|(partition, _)| *partition).collect();
         for partition in unconfirmed {
             self.give_up(partition, "unconfirmed", dispatcher);
--- a/crates/dispatch/src/ledger/partition.rs
+++ b/crates/dispatch/src/ledger/partition.rs
@@ -19,8 +19,8 @@
 /// Longest time for which changes that are not urgent wait for others to share their append,
 /// in milliseconds. The platform counts an end 100 ms after the minion listed it.
 const MAX_GATHER_MS: u64 = 50;
-/// Largest number of changes in one append. 64 texts of 4,000 bytes are an eighth of what the
-/// platform takes.
+/// Largest number of changes in one append. 64 texts of 4,000 bytes are an eighth of the size
+/// that the platform accepts.
 const MAX_BATCH_CHANGES: usize = 64;
 
 /// Result of an append to the job log.
@@ -49,7 +49,7 @@
     Loading,
     /// The owner answers calls and runs jobs.
     Serving,
-    /// Jobs run on while an append finds out whether another entry has owned the partition in
+    /// Jobs continue while an append finds out whether another entry has owned the partition in
     /// between and accepted jobs. Calls about jobs meanwhile get
     /// [`StoredAnswer::NotOwner`](crate::StoredAnswer::NotOwner).
     Verifying,
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -9,7 +9,7 @@
 //!   job log, and the entry that owns a partition runs its jobs ([`Ledger`]).
 //!
 //! This crate does no I/O, starts no thread and reads no clock. Callers pass in events and
-//! the present time in milliseconds, and carry out the actions that come out.
+//! the present time in milliseconds, and carry out the resulting actions.
 //!
 //! ```
 //! use gannetvane_dispatch::Resources;
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -47,7 +47,7 @@
 pub struct StoredRequest {
     /// Number of the call, unique on its connection.
     pub number: u64,
-    /// What is called for.
+    /// Call that the owner is to carry out.
     pub call: StoredCall,
 }
 
--- a/crates/dispatch/src/minion_calls.rs
+++ b/crates/dispatch/src/minion_calls.rs
@@ -48,7 +48,7 @@
 
     /// Returns whether an answer with this start time can be from this incarnation. The call
     /// named the incarnation's id. Only listings state a start time, so the answer to any
-    /// other call can be.
+    /// other call can always be from it.
     #[must_use]
     pub fn can_be_from(&self, started_unix_ms: Option<u64>) -> bool {
         match (self.started_unix_ms, started_unix_ms) {
@@ -93,7 +93,7 @@
 pub enum StartResult {
     /// The minion has started the run, now or on an earlier call.
     Started,
-    /// The minion has seen this run or a higher one of the task.
+    /// The minion has already seen this run of the task, or one with a higher number.
     OldRun,
     /// The call arrived after its deadline, and the minion did nothing.
     Late,
@@ -141,7 +141,7 @@
 /// A run in progress, as a minion lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActiveRun {
-    /// The run; `None` if this project did not assign the name under which it runs.
+    /// The run; `None` if no agent of this project assigned the name under which it runs.
     pub key: Option<RunKey>,
     /// Percentage of the work that is done.
     pub percent: u8,
@@ -152,7 +152,7 @@
 pub struct EndedRun {
     /// Number of the end, unique for the minion's incarnation.
     pub number: u64,
-    /// The run; `None` if this project did not assign the name under which it ran.
+    /// The run; `None` if no agent of this project assigned the name under which it ran.
     pub key: Option<RunKey>,
     /// How the run ended.
     pub end: crate::RunEnd,
--- a/crates/dispatch/src/policy/backlog.rs
+++ b/crates/dispatch/src/policy/backlog.rs
@@ -1,8 +1,8 @@
 //! Limit of the backlog, which is lowered when admitted jobs have to be shed.
 //!
 //! A burst of a few seconds can be absorbed by a backlog. In an overload that
-//! lasts, a backlog only makes every job wait before some are refused all the
-//! same. If jobs that were admitted are shed later, this shows that an overload
+//! lasts, a backlog only makes every job wait before some are refused anyway.
+//! If jobs that were admitted are shed later, this shows that an overload
 //! lasts, and the limit is lowered.
 
 /// Largest fraction of the jobs' slack that the backlog may take: a short burst
@@ -14,8 +14,8 @@
 const MIN_BACKLOG_FRACTION: f64 = 0.1;
 /// Factor by which the fraction shrinks when admitted jobs are shed.
 const SHRINK_FACTOR: f64 = 0.75;
-/// Shortest time between two reductions of the fraction, in milliseconds: by
-/// then the smaller backlog shows in what waits.
+/// Shortest time between two reductions of the fraction, in milliseconds:
+/// within it, the waiting work adapts to the smaller limit.
 const SHRINK_PAUSE_MS: u64 = 50;
 /// Growth of the fraction per second while no admitted job is shed. It takes
 /// two and a half seconds from the smallest to the largest fraction, longer
--- a/crates/dispatch/src/stored.rs
+++ b/crates/dispatch/src/stored.rs
@@ -23,13 +23,14 @@
 use crate::Step;
 use crate::TaskId;
 
-/// Run numbers per epoch of an owner: the runs of a stored task are numbered from the owner's
-/// epoch times this. The run numbers of other jobs stay below this, so that a restarted agent
-/// can tell which ends on its minion may still have to be recorded. A million epochs fit: 29
-/// years with a hundred changes of the members a day.
+/// Run numbers per epoch of an owner. The numbers of a stored task's runs rise from the
+/// product of this constant and the owner's epoch. The run numbers of other jobs stay below
+/// this constant, so that a restarted agent can distinguish the ends on its minion that may
+/// still have to be recorded. A million epochs fit: 29 years with a hundred changes of the
+/// members a day.
 pub(crate) const RUNS_PER_EPOCH: u32 = 4_096;
 
-/// Key of the record that says that the last owner left no run behind. Job ids are longer
+/// Key of the record that states that the last owner left no run behind. Job ids are longer
 /// than this key and the two below, so they never collide.
 pub(crate) const RELEASED_KEY: &str = "released";
 /// Key of the record with the last epoch whose owner started jobs accepted in earlier epochs.
@@ -166,8 +167,8 @@
 pub enum StoredEnd {
     /// All tasks are done.
     Completed,
-    /// A task failed in as many runs as its queue allows, or minions crashed under it too
-    /// often.
+    /// A task failed in as many runs as its queue allows, or minions crashed too often while
+    /// it ran.
     Failed,
     /// The job was cancelled.
     Cancelled,
@@ -267,8 +268,8 @@
         self.done.get(&position) == Some(&run) || failures.is_some_and(|runs| runs.contains(&run))
     }
 
-    /// Returns whether the end of this run must not count, because a run at least as late was
-    /// lost.
+    /// Returns whether the end of this run must not count, because this run or a later one of
+    /// the task was lost.
     pub(crate) fn is_superseded(&self, position: u32, run: u32) -> bool {
         self.last_lost_runs
             .get(&position)
@@ -296,7 +297,7 @@
     pub cause: String,
 }
 
-/// Decoded content of a record. Job ids stand beside the records that belong to a job.
+/// Decoded content of a record, with the job's id if the record belongs to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RecordContent {
     Job(Name, JobRecord),
@@ -349,7 +350,7 @@
         &*self.key == OWNER_KEY
     }
 
-    /// Returns the record by which an owner says that it is about to start jobs that earlier
+    /// Returns the record with which an owner states that it is about to start jobs that earlier
     /// owners accepted.
     pub(crate) fn started(epoch: u32) -> Self {
         Self {
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Returns the record by which an owner says that it left no run behind.
+    /// Returns the record with which an owner states that it left no run behind.
     pub(crate) fn released() -> Self {
         Self {
             key: RELEASED_KEY.into(),
--- a/crates/dispatch/tests/crashing.rs
+++ b/crates/dispatch/tests/crashing.rs
@@ -150,7 +150,7 @@
     assert!(session.violations.is_empty(), "{:?}", session.violations);
 }
 
-/// Four of eleven minions crash at once, again and again, while short and long jobs run.
+/// Four of eleven minions crash at once, repeatedly, while short and long jobs run.
 /// Some of these minions are idle, so that their agents detect the crash by the next
 /// starts.
 #[parameterized(
--- a/crates/dispatch/tests/replay/pattern.rs
+++ b/crates/dispatch/tests/replay/pattern.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pattern {
-    /// Time in which jobs arrive, in milliseconds.
+    /// Length of the period in which jobs arrive, in milliseconds.
     pub length_ms: u64,
     /// Weight of each entry: its share of the arrivals.
     pub entries: Vec<f64>,
@@ -81,7 +81,7 @@
     pub cpu_milli: f64,
 }
 
-/// Time in which the rate of arrivals is multiplied.
+/// Period in which the rate of arrivals is multiplied by `factor`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
--- a/crates/node/src/dialers.rs
+++ b/crates/node/src/dialers.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Dials an entry again and again while it is a target.
+/// Dials an entry repeatedly while it is a target.
 async fn keep_dialing<F, R>(
     entry: SocketAddr,
     directory: SharedDirectory,
--- a/crates/node/src/entry_handle.rs
+++ b/crates/node/src/entry_handle.rs
@@ -34,7 +34,7 @@
 use crate::links::FrameSender;
 use crate::stored_calls::StoredCalls;
 
-/// Time in which the entries divide the job log among themselves for the first
+/// Time for the entries to divide the job log among themselves for the first
 /// time, in milliseconds: all entries have learned of the first stored job and
 /// joined the group of owners by then.
 const GROUP_FORMATION_MS: u64 = 2_000;
--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -33,8 +33,8 @@
 const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Age up to which an answer counts as recent, in milliseconds, or the timeout of
-/// the call if that is shorter. A call that times out without a recent answer makes
-/// all idle connections suspect.
+/// the call if that is shorter. After a call that times out without a recent answer,
+/// the client drops all idle connections.
 const RECENT_ANSWER_MS: u64 = 250;
 
 /// Number of rounds of the event loop in which an answer that has arrived passes
--- a/crates/node/tests/hedging.rs
+++ b/crates/node/tests/hedging.rs
@@ -24,7 +24,7 @@
 /// Time after which an unanswered call fails. It is longer than a test, so no entry
 /// retries its first call, and all further calls are hedged ones.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time in which the store answers.
+/// Time that the store takes to answer.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 /// Longest time that is allowed from the end of the store's outage until an entry has
 /// the configuration.
