--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -24,8 +24,8 @@
     /// Where the other process receives, once known.
     pub(crate) peer: Option<SocketAddr>,
     pub(crate) is_established: bool,
-    pub(crate) opened_ms: u64,
-    pub(crate) used_ms: u64,
+    pub(crate) opened_at_ms: u64,
+    pub(crate) last_used_at_ms: u64,
     received: Vec<u8>,
     queued: VecDeque<Frame>,
     queued_bytes: usize,
@@ -43,7 +43,7 @@
     /// Whole frames, without their lengths.
     pub(crate) frames: Vec<Vec<u8>>,
     /// The other side closed the connection as planned.
-    pub(crate) is_goodbye: bool,
+    pub(crate) is_closed_by_peer: bool,
     /// The other side is gone, or sent nonsense.
     pub(crate) is_broken: bool,
 }
@@ -54,8 +54,8 @@
             stream,
             is_established: peer.is_none(),
             peer,
-            opened_ms: now_ms,
-            used_ms: now_ms,
+            opened_at_ms: now_ms,
+            last_used_at_ms: now_ms,
             received: Vec::new(),
             queued: VecDeque::new(),
             queued_bytes: 0,
@@ -95,15 +95,15 @@
     }
 
     /// Reads all that is there, through a buffer that the caller keeps.
-    pub(crate) fn receive(&mut self, chunk: &mut [u8]) -> Received {
+    pub(crate) fn receive(&mut self, buffer: &mut [u8]) -> Received {
         let mut result = Received::default();
         loop {
-            match self.stream.read(chunk) {
+            match self.stream.read(buffer) {
                 Ok(0) => {
                     result.is_broken = true;
                     break;
                 }
-                Ok(read) => self.received.extend_from_slice(&chunk[..read]),
+                Ok(read) => self.received.extend_from_slice(&buffer[..read]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
@@ -125,24 +125,24 @@
     }
 
     fn split_frames(&mut self, result: &mut Received) {
-        let mut at = 0;
-        while let Some(length) = frame_length(&self.received[at..]) {
+        let mut start = 0;
+        while let Some(length) = frame_length(&self.received[start..]) {
             if length == 0 {
-                result.is_goodbye = true;
+                result.is_closed_by_peer = true;
                 break;
             }
             if length > MAX_FRAME_BYTES {
                 result.is_broken = true;
                 break;
             }
-            let end = at + LENGTH_BYTES + length;
-            let Some(frame) = self.received.get(at + LENGTH_BYTES..end) else {
+            let end = start + LENGTH_BYTES + length;
+            let Some(frame) = self.received.get(start + LENGTH_BYTES..end) else {
                 break;
             };
             result.frames.push(frame.to_vec());
-            at = end;
+            start = end;
         }
-        self.received.drain(..at);
+        self.received.drain(..start);
     }
 }
 
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -44,22 +44,22 @@
 use crate::settings::Settings;
 
 /// Interval between announcements until one is known to be in the log.
-const ANNOUNCE_AGAIN_MS: u64 = 30_000;
+const ANNOUNCE_RETRY_INTERVAL_MS: u64 = 30_000;
 
 /// An agent announces itself again after this share of the log's retention.
 const ANNOUNCEMENTS_PER_RETENTION: u64 = 3;
 
 /// Interval between looks for first contacts while no agent is known.
-const CONTACTS_MS: u64 = 2_000;
+const FIND_CONTACTS_INTERVAL_MS: u64 = 2_000;
 
 /// Interval between records of the sizes, in milliseconds.
-const SIZES_MS: u64 = 1_000;
+const SIZES_INTERVAL_MS: u64 = 1_000;
 
 /// Interval between ticks of the core.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The means of a process.
-pub(crate) struct Parts {
+pub(crate) struct Runtime {
     pub(crate) addr: SocketAddr,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) metrics: Arc<Metrics>,
@@ -67,11 +67,11 @@
     pub(crate) log: LogWorker,
     pub(crate) log_retention_ms: u64,
     pub(crate) minion: Option<MinionWorkers>,
-    pub(crate) announces: bool,
+    pub(crate) should_announce: bool,
     pub(crate) is_ready: Arc<AtomicBool>,
 }
 
-impl Parts {
+impl Runtime {
     pub(crate) fn start(
         settings: &Settings,
         node: NodeId,
@@ -80,9 +80,14 @@
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::default());
         let metrics = Arc::new(Metrics::new());
         let addr = settings.node.address;
-        let me = Identity { node, addr };
-        let network = Network::start(me, inputs.clone(), Arc::clone(&metrics), Arc::clone(&clock))
-            .map_err(|source| start_error(&format!("address {addr}"), source))?;
+        let identity = Identity { node, addr };
+        let network = Network::start(
+            identity,
+            inputs.clone(),
+            Arc::clone(&metrics),
+            Arc::clone(&clock),
+        )
+        .map_err(|source| start_error(&format!("address {addr}"), source))?;
         let timeout = Duration::from_millis(settings.log.timeout_ms);
         let balancer_url = settings.contact.balancer_url.as_deref();
         let client = HttpLog::new(&settings.log.url, balancer_url, timeout);
@@ -96,59 +101,59 @@
             log,
             log_retention_ms: settings.log.retention_ms,
             minion: None,
-            announces: false,
+            should_announce: false,
             is_ready: Arc::new(AtomicBool::new(false)),
         })
     }
 }
 
-pub(crate) struct Loop {
+pub(crate) struct EventLoop {
     core: Box<dyn Core>,
-    parts: Parts,
+    runtime: Runtime,
     http: HttpServer,
     log: Logger,
     stop: Arc<AtomicBool>,
     is_stopping: bool,
-    is_over: bool,
+    has_ended: bool,
     callers: BTreeMap<CallerId, Sender<Reply>>,
-    next_caller: u64,
-    next_sizes_ms: u64,
-    next_contacts_ms: u64,
-    next_announcement_ms: u64,
+    next_caller_id: u64,
+    next_sizes_at_ms: u64,
+    next_contacts_at_ms: u64,
+    next_announcement_at_ms: u64,
 }
 
-impl Loop {
+impl EventLoop {
     pub(crate) fn new(
         core: Box<dyn Core>,
-        parts: Parts,
+        runtime: Runtime,
         http: HttpServer,
         log: Logger,
         stop: Arc<AtomicBool>,
     ) -> Self {
-        let now_ms = parts.clock.now_ms();
+        let now_ms = runtime.clock.now_ms();
         Self {
             core,
-            parts,
+            runtime,
             http,
             log,
             stop,
             is_stopping: false,
-            is_over: false,
+            has_ended: false,
             callers: BTreeMap::new(),
-            next_caller: 0,
-            next_sizes_ms: now_ms,
-            next_contacts_ms: now_ms,
-            next_announcement_ms: now_ms,
+            next_caller_id: 0,
+            next_sizes_at_ms: now_ms,
+            next_contacts_at_ms: now_ms,
+            next_announcement_at_ms: now_ms,
         }
     }
 
     pub(crate) fn run(mut self, queue: &Receiver<Input>) {
         let mut next_tick = std::time::Instant::now();
-        while !self.is_over {
+        while !self.has_ended {
             match queue.recv_deadline(next_tick) {
                 Ok(input) => self.handle(input),
                 Err(RecvTimeoutError::Timeout) => {
-                    next_tick = std::time::Instant::now() + TICK;
+                    next_tick = std::time::Instant::now() + TICK_INTERVAL;
                     self.tick();
                 }
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -162,99 +167,99 @@
             Input::PeerDown(addr) => CoreInput::PeerDown(addr),
             Input::Undelivered(message) => CoreInput::Undelivered(message),
             Input::TaskEnded { credit, result } => CoreInput::TaskEnded(credit, result),
-            Input::Asked(asked) => {
-                let caller = CallerId(self.next_caller);
-                self.next_caller += 1;
-                self.callers.insert(caller, asked.reply_to);
-                CoreInput::Command(caller, asked.command)
+            Input::Command(request) => {
+                let caller = CallerId(self.next_caller_id);
+                self.next_caller_id += 1;
+                self.callers.insert(caller, request.reply_to);
+                CoreInput::Command(caller, request.command)
             }
             Input::Log(LogReply::Page(page)) => CoreInput::LogPage(page),
-            Input::Log(LogReply::Announced) => return self.announced(),
+            Input::Log(LogReply::Announced) => return self.schedule_next_announcement(),
             Input::Log(LogReply::Contacts(contacts)) => return self.core.add_contacts(contacts),
             Input::Log(LogReply::Failed(error)) => {
                 warn!(self.log, "log-call-failed"; "error" => %error);
                 CoreInput::LogFailed
             }
-            Input::Failed(error) => {
+            Input::NetworkError(error) => {
                 warn!(self.log, "network-error"; "error" => error);
                 return;
             }
         };
-        let now_ms = self.parts.clock.now_ms();
-        let actions = self.core.input(now_ms, input);
-        self.carry_out(actions);
+        let now_ms = self.runtime.clock.now_ms();
+        let actions = self.core.handle(now_ms, input);
+        self.execute(actions);
     }
 
     fn tick(&mut self) {
-        let now_ms = self.parts.clock.now_ms();
+        let now_ms = self.runtime.clock.now_ms();
         if self.stop.load(Ordering::SeqCst) && !self.is_stopping {
             self.is_stopping = true;
             info!(self.log, "stop-requested");
-            let actions = self.core.begin_stop(now_ms);
-            self.carry_out(actions);
+            let actions = self.core.start_stop(now_ms);
+            self.execute(actions);
         }
         let actions = self.core.tick(now_ms);
-        self.carry_out(actions);
-        self.parts
+        self.execute(actions);
+        self.runtime
             .is_ready
             .store(self.core.is_ready(), Ordering::SeqCst);
-        self.is_over |= self.core.may_stop(now_ms, &self.http);
-        if now_ms >= self.next_sizes_ms {
-            self.next_sizes_ms = now_ms + SIZES_MS;
-            self.parts.metrics.sizes(self.core.sizes());
+        self.has_ended |= self.core.can_stop(now_ms, &self.http);
+        if now_ms >= self.next_sizes_at_ms {
+            self.next_sizes_at_ms = now_ms + SIZES_INTERVAL_MS;
+            self.runtime.metrics.record_sizes(self.core.sizes());
         }
-        if self.core.is_alone() && now_ms >= self.next_contacts_ms {
-            self.next_contacts_ms = now_ms + CONTACTS_MS;
-            self.parts.log.call(LogCall::FindContacts);
+        if self.core.has_no_other_agents() && now_ms >= self.next_contacts_at_ms {
+            self.next_contacts_at_ms = now_ms + FIND_CONTACTS_INTERVAL_MS;
+            self.runtime.log.call(LogCall::FindContacts);
         }
-        if self.parts.announces && now_ms >= self.next_announcement_ms {
+        if self.runtime.should_announce && now_ms >= self.next_announcement_at_ms {
             self.announce(now_ms);
         }
     }
 
     fn announce(&mut self, now_ms: u64) {
-        self.next_announcement_ms = now_ms + ANNOUNCE_AGAIN_MS;
-        self.parts.log.call(LogCall::Announce(self.parts.addr));
+        self.next_announcement_at_ms = now_ms + ANNOUNCE_RETRY_INTERVAL_MS;
+        self.runtime.log.call(LogCall::Announce(self.runtime.addr));
     }
 
-    fn announced(&mut self) {
-        let interval_ms = self.parts.log_retention_ms / ANNOUNCEMENTS_PER_RETENTION;
-        self.next_announcement_ms = self.parts.clock.now_ms() + interval_ms;
+    fn schedule_next_announcement(&mut self) {
+        let interval_ms = self.runtime.log_retention_ms / ANNOUNCEMENTS_PER_RETENTION;
+        self.next_announcement_at_ms = self.runtime.clock.now_ms() + interval_ms;
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(to, message),
                 Action::Run(start) => self.run_task(start),
                 Action::StopTask(task_id) => self.stop_task(task_id),
                 Action::Reply { caller, reply } => self.reply(caller, reply),
-                Action::Append(record) => self.parts.log.call(LogCall::Append(record)),
+                Action::Append(record) => self.runtime.log.call(LogCall::Append(record)),
                 Action::ReadLog { from_offset } => {
-                    self.parts.log.call(LogCall::Read { from_offset });
+                    self.runtime.log.call(LogCall::Read { from_offset });
                 }
-                Action::Count(counter) => self.parts.metrics.count(counter),
+                Action::Count(counter) => self.runtime.metrics.count(counter),
                 Action::Log(notice) => {
                     info!(self.log, "{}", notice.event; "subject" => notice.subject);
                 }
-                Action::Stop => self.is_over = true,
+                Action::Stop => self.has_ended = true,
             }
         }
     }
 
     fn send(&self, to: Peer, message: Message) {
         debug!(self.log, "send"; "to" => %to.addr, "message" => message.name());
-        self.parts.transport.send(to, message);
+        self.runtime.transport.send(to, message);
     }
 
     fn run_task(&self, start: TaskStart) {
-        if let Some(minion) = &self.parts.minion {
+        if let Some(minion) = &self.runtime.minion {
             minion.run(start);
         }
     }
 
     fn stop_task(&self, task_id: TaskId) {
-        if let Some(minion) = &self.parts.minion {
+        if let Some(minion) = &self.runtime.minion {
             minion.stop(task_id);
         }
     }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -22,7 +22,7 @@
 /// refusal.
 const SPARE_CONNECTIONS: usize = 128;
 /// When to come back after a refusal, in milliseconds.
-const RETRY_SOON_MS: u32 = 1_000;
+const RETRY_AFTER_MS: u32 = 1_000;
 
 /// Bounds on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     pub(crate) method: String,
     pub(crate) path: String,
     pub(crate) query: String,
-    pub(crate) has_own_key: bool,
+    pub(crate) has_idempotency_key: bool,
     pub(crate) body: Vec<u8>,
 }
 
@@ -75,7 +75,7 @@
     ) -> std::io::Result<Self> {
         let server = Self::default();
         let active = Arc::clone(&server.active);
-        let listening = Server::new(move |request| {
+        let listener = Server::new(move |request| {
             let count = active.fetch_add(1, Ordering::SeqCst);
             let _guard = ActiveGuard(Arc::clone(&active));
             if count >= limits.max_requests {
@@ -91,7 +91,7 @@
         .with_global_timeout(limits.io_timeout)
         .spawn()?;
         // The listener runs until the process ends.
-        std::mem::forget(listening);
+        std::mem::forget(listener);
         Ok(server)
     }
 
@@ -104,7 +104,7 @@
 
 fn overloaded() -> Response<Body> {
     // Another entry may have run it already, so "not run" would be a guess.
-    let answer = Answer::refusal(Ran::Unknown, Reason::EntryOverloaded, Some(RETRY_SOON_MS));
+    let answer = Answer::refusal(Ran::Unknown, Reason::EntryOverloaded, Some(RETRY_AFTER_MS));
     refusal_response(&answer, "try any other entry".to_owned())
 }
 
@@ -128,7 +128,7 @@
         method: request.method().as_str().to_owned(),
         path: request.uri().path().to_owned(),
         query: request.uri().query().unwrap_or_default().to_owned(),
-        has_own_key: request.headers().contains_key("idempotency-key"),
+        has_idempotency_key: request.headers().contains_key("idempotency-key"),
         body,
     })
 }
--- a/crates/daemon/src/input.rs
+++ b/crates/daemon/src/input.rs
@@ -22,7 +22,7 @@
     /// A message never left this process.
     Undelivered(Message),
     /// A caller or operator asks.
-    Asked(Asked),
+    Command(CommandRequest),
     /// The minion ended a task.
     TaskEnded {
         /// The credit of its start.
@@ -33,12 +33,12 @@
     /// The platform's log answered.
     Log(LogReply),
     /// Something failed that only a log line can tell.
-    Failed(String),
+    NetworkError(String),
 }
 
 /// A command and where its reply goes.
 #[derive(Debug)]
-pub(crate) struct Asked {
+pub(crate) struct CommandRequest {
     pub(crate) command: Command,
     pub(crate) reply_to: Sender<Reply>,
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -83,16 +83,20 @@
         eprintln!("gannetvaned: a command is needed: entry or agent; see --help");
         return ExitCode::from(EXIT_SETTINGS);
     };
-    let ended = match &command {
-        Command::Entry(arguments) | Command::Agent(arguments) => run(&command, arguments),
+    let result = match &command {
+        Command::Entry(arguments) | Command::Agent(arguments) => run_role(&command, arguments),
         Command::PlatformEntry(arguments) => {
-            return exit_code(load(arguments).and_then(|s| gannetvane_platform::run_entry(&s)));
+            return exit_code(
+                load_platform_settings(arguments).and_then(|s| gannetvane_platform::run_entry(&s)),
+            );
         }
         Command::PlatformAgent(arguments) => {
-            return exit_code(load(arguments).and_then(|s| gannetvane_platform::run_agent(&s)));
+            return exit_code(
+                load_platform_settings(arguments).and_then(|s| gannetvane_platform::run_agent(&s)),
+            );
         }
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("gannetvaned: {error}");
@@ -104,14 +108,16 @@
     }
 }
 
-fn load(arguments: &PlatformArguments) -> Result<PlatformSettings, PlatformError> {
+fn load_platform_settings(
+    arguments: &PlatformArguments,
+) -> Result<PlatformSettings, PlatformError> {
     let named = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
     let path = arguments.settings.clone().or(named).unwrap_or_default();
     Ok(PlatformSettings::load(&path)?)
 }
 
-fn exit_code(ended: Result<(), PlatformError>) -> ExitCode {
-    let Err(error) = ended else {
+fn exit_code(result: Result<(), PlatformError>) -> ExitCode {
+    let Err(error) = result else {
         return ExitCode::SUCCESS;
     };
     eprintln!("gannetvaned: {error}");
@@ -121,30 +127,30 @@
     }
 }
 
-fn run(command: &Command, arguments: &RoleArguments) -> Result<(), ProcessError> {
+fn run_role(command: &Command, arguments: &RoleArguments) -> Result<(), ProcessError> {
     let settings = Settings::load(&arguments.settings, &arguments.set)?;
-    let stop = stop_flag()?;
+    let stop = register_stop_signals()?;
     let node = settings.node.address.to_string();
     match command {
         Command::Entry(_) => run_entry(
             &settings,
-            &logger(level(&settings), "entry", node, std::io::stderr()),
+            &logger(log_level(&settings), "entry", node, std::io::stderr()),
             stop,
         ),
         _ => run_agent(
             &settings,
-            &logger(level(&settings), "agent", node, std::io::stderr()),
+            &logger(log_level(&settings), "agent", node, std::io::stderr()),
             stop,
         ),
     }
 }
 
-fn stop_flag() -> Result<Arc<AtomicBool>, ProcessError> {
+fn register_stop_signals() -> Result<Arc<AtomicBool>, ProcessError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
         signal_hook::flag::register(signal, Arc::clone(&stop)).map_err(|source| {
             ProcessError::Start {
-                what: "signal handler".to_owned(),
+                component: "signal handler".to_owned(),
                 source,
             }
         })?;
@@ -152,6 +158,6 @@
     Ok(stop)
 }
 
-fn level(settings: &Settings) -> Level {
+fn log_level(settings: &Settings) -> Level {
     settings.logging.level.parse().unwrap_or(Level::Info)
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -67,27 +67,27 @@
     /// Counts something that a core decided.
     pub fn count(&self, counter: Counter) {
         match counter {
-            Counter::Completed => self.submission("complete", Reason::None),
-            Counter::Refused(reason) => self.submission("refused", reason),
-            Counter::Failed(reason) => self.submission("failed", reason),
+            Counter::Completed => self.count_submission("complete", Reason::None),
+            Counter::Refused(reason) => self.count_submission("refused", reason),
+            Counter::Failed(reason) => self.count_submission("failed", reason),
             Counter::Retried(reason) => self.retries.add(1, &[reason_label(reason)]),
             Counter::Resent(reason) => self.resends.add(1, &[reason_label(reason)]),
-            Counter::TaskStarted => self.event("task-started"),
-            Counter::RepeatedStart => self.event("repeated-start"),
-            Counter::MinionEjected => self.event("minion-ejected"),
-            Counter::CreditsReclaimed => self.event("credits-reclaimed"),
+            Counter::TaskStarted => self.count_event("task-started"),
+            Counter::RepeatedStart => self.count_event("repeated-start"),
+            Counter::MinionEjected => self.count_event("minion-ejected"),
+            Counter::CreditsReclaimed => self.count_event("credits-reclaimed"),
         }
     }
 
     /// Counts a message that was sent.
-    pub fn sent(&self, message: &'static str, bytes: usize) {
+    pub fn count_sent(&self, message: &'static str, bytes: usize) {
         let label = [KeyValue::new("message", message)];
         self.messages_sent.add(1, &label);
         self.bytes_sent.add(bytes as u64, &label);
     }
 
     /// Records the present sizes.
-    pub fn sizes(&self, sizes: Sizes) {
+    pub fn record_sizes(&self, sizes: Sizes) {
         self.waiting.record(sizes.waiting as u64, &[]);
         self.retained.record(sizes.retained as u64, &[]);
         self.members.record(sizes.members as u64, &[]);
@@ -101,14 +101,14 @@
         exported_text(&self.registry)
     }
 
-    fn submission(&self, outcome: &'static str, reason: Reason) {
+    fn count_submission(&self, outcome: &'static str, reason: Reason) {
         self.submissions.add(
             1,
             &[KeyValue::new("outcome", outcome), reason_label(reason)],
         );
     }
 
-    fn event(&self, event: &'static str) {
+    fn count_event(&self, event: &'static str) {
         self.events.add(1, &[KeyValue::new("event", event)]);
     }
 }
--- a/crates/daemon/src/minion.rs
+++ b/crates/daemon/src/minion.rs
@@ -83,17 +83,17 @@
     }
 
     /// The connection broke, so the task may have run.
-    fn unknown(&self, task_id: TaskId, error: &std::io::Error) -> TaskResult {
+    fn unknown_result(&self, task_id: TaskId, error: &std::io::Error) -> TaskResult {
         warn!(self.log, "task-outcome-unknown"; "task" => %task_id, "error" => %error);
         TaskResult::Unknown
     }
 
-    fn result_of(&self, response: Response<Body>, task_id: TaskId) -> TaskResult {
+    fn task_result(&self, response: Response<Body>, task_id: TaskId) -> TaskResult {
         let status = response.status();
         let mut text = String::new();
         let mut body = response.into_body().take(MAX_OUTPUT_BYTES + 1);
         if let Err(error) = body.read_to_string(&mut text) {
-            return self.unknown(task_id, &error);
+            return self.unknown_result(task_id, &error);
         }
         if text.len() as u64 > MAX_OUTPUT_BYTES {
             return TaskResult::Failed(Name::from("output over the limit"));
@@ -114,11 +114,11 @@
             return TaskResult::Failed(Name::from("kind of task is not a valid header value"));
         };
         match self.client.request(request) {
-            Ok(response) => self.result_of(response, start.task_id),
+            Ok(response) => self.task_result(response, start.task_id),
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
                 TaskResult::NotStarted(Reason::MinionUnreachable)
             }
-            Err(error) => self.unknown(start.task_id, &error),
+            Err(error) => self.unknown_result(start.task_id, &error),
         }
     }
 
@@ -148,19 +148,19 @@
         slots: u16,
         inputs: &Sender<Input>,
     ) -> std::io::Result<Self> {
-        let (starts, to_run) = unbounded();
-        let (stops, to_stop) = unbounded();
+        let (starts, start_queue) = unbounded();
+        let (stops, stop_queue) = unbounded();
         for slot in 0..slots {
             let minion = Arc::clone(&minion);
-            let to_run: Receiver<TaskStart> = to_run.clone();
+            let start_queue: Receiver<TaskStart> = start_queue.clone();
             let inputs = inputs.clone();
             thread::Builder::new()
                 .name(format!("slot-{slot}"))
-                .spawn(move || run_tasks(&*minion, &to_run, &inputs))?;
+                .spawn(move || run_tasks(&*minion, &start_queue, &inputs))?;
         }
         thread::Builder::new()
             .name("stop-tasks".into())
-            .spawn(move || to_stop.iter().for_each(|task_id| minion.stop(task_id)))?;
+            .spawn(move || stop_queue.iter().for_each(|task_id| minion.stop(task_id)))?;
         Ok(Self { starts, stops })
     }
 
@@ -174,8 +174,8 @@
     }
 }
 
-fn run_tasks(minion: &dyn Minion, to_run: &Receiver<TaskStart>, inputs: &Sender<Input>) {
-    for start in to_run {
+fn run_tasks(minion: &dyn Minion, start_queue: &Receiver<TaskStart>, inputs: &Sender<Input>) {
+    for start in start_queue {
         let result = minion.run(&start);
         if inputs
             .send(Input::TaskEnded {
--- a/crates/daemon/src/net.rs
+++ b/crates/daemon/src/net.rs
@@ -51,13 +51,13 @@
 /// Receive buffer of the datagram socket in bytes.
 const DATAGRAM_BUFFER_BYTES: usize = 2 * 1024 * 1024;
 /// Time without use after which a connection is closed.
-const IDLE_CLOSE_MS: u64 = 60_000;
+const IDLE_TIMEOUT_MS: u64 = 60_000;
 /// Time to wait for a connection to open.
 const CONNECT_TIMEOUT_MS: u64 = 2_000;
 /// Time for which data may stay unacknowledged before a connection is broken.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Interval between looks for idle connections.
-const SWEEP_MS: u64 = 500;
+const SWEEP_INTERVAL_MS: u64 = 500;
 /// Connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
@@ -96,33 +96,33 @@
     ///
     /// When the address cannot be bound.
     pub fn start(
-        me: Identity,
+        identity: Identity,
         inputs: Sender<Input>,
         metrics: Arc<Metrics>,
         clock: Arc<dyn Clock>,
     ) -> io::Result<Self> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-        let (outgoing, to_send) = unbounded();
-        let mut server = Server {
-            listener: listen(me.addr)?,
-            datagrams: bind_datagrams(me.addr)?,
-            me,
+        let (outgoing, outgoing_queue) = unbounded();
+        let mut network = NetworkThread {
+            listener: listen(identity.addr)?,
+            datagrams: bind_datagrams(identity.addr)?,
+            identity,
             poll,
             connections: BTreeMap::new(),
             by_peer: BTreeMap::new(),
             next_token: FIRST_CONNECTION,
-            next_sweep_ms: 0,
-            chunk: vec![0; READ_BYTES],
+            next_sweep_at_ms: 0,
+            read_buffer: vec![0; READ_BYTES],
             inputs,
-            to_send,
+            outgoing_queue,
             metrics,
             clock,
         };
-        server.register()?;
+        network.register()?;
         thread::Builder::new()
             .name("network".into())
-            .spawn(move || server.run())?;
+            .spawn(move || network.run())?;
         Ok(Self { outgoing, waker })
     }
 }
@@ -136,24 +136,24 @@
     }
 }
 
-struct Server {
-    me: Identity,
+struct NetworkThread {
+    identity: Identity,
     poll: Poll,
     listener: TcpListener,
     datagrams: UdpSocket,
     connections: BTreeMap<Token, Connection>,
     by_peer: BTreeMap<SocketAddr, Token>,
     next_token: usize,
-    next_sweep_ms: u64,
+    next_sweep_at_ms: u64,
     /// Buffer for reads, kept to spare its allocation.
-    chunk: Vec<u8>,
+    read_buffer: Vec<u8>,
     inputs: Sender<Input>,
-    to_send: Receiver<Outgoing>,
+    outgoing_queue: Receiver<Outgoing>,
     metrics: Arc<Metrics>,
     clock: Arc<dyn Clock>,
 }
 
-impl Server {
+impl NetworkThread {
     fn register(&mut self) -> io::Result<()> {
         let registry = self.poll.registry();
         registry.register(&mut self.listener, LISTENER, Interest::READABLE)?;
@@ -163,12 +163,12 @@
     fn run(mut self) {
         let mut events = Events::with_capacity(1_024);
         loop {
-            let timeout = Duration::from_millis(SWEEP_MS);
+            let timeout = Duration::from_millis(SWEEP_INTERVAL_MS);
             if let Err(error) = self.poll.poll(&mut events, Some(timeout)) {
                 if error.kind() == io::ErrorKind::Interrupted {
                     continue;
                 }
-                self.input(Input::Failed(error.to_string()));
+                self.deliver(Input::NetworkError(error.to_string()));
                 return;
             }
             for event in &events {
@@ -176,10 +176,10 @@
                     LISTENER => self.accept(),
                     DATAGRAMS => self.read_datagrams(),
                     WAKER => {}
-                    token => self.serve(token, event),
+                    token => self.handle_event(token, event),
                 }
             }
-            while let Ok(outgoing) = self.to_send.try_recv() {
+            while let Ok(outgoing) = self.outgoing_queue.try_recv() {
                 self.send(&outgoing);
             }
             self.sweep();
@@ -189,13 +189,13 @@
     fn accept(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
             let now_ms = self.clock.now_ms();
-            if let Err(error) = self.add(Connection::new(stream, None, now_ms)) {
-                self.input(Input::Failed(error.to_string()));
+            if let Err(error) = self.add_connection(Connection::new(stream, None, now_ms)) {
+                self.deliver(Input::NetworkError(error.to_string()));
             }
         }
     }
 
-    fn add(&mut self, mut connection: Connection) -> io::Result<Token> {
+    fn add_connection(&mut self, mut connection: Connection) -> io::Result<Token> {
         let token = Token(self.next_token);
         self.next_token += 1;
         let _ = connection.stream.set_nodelay(true);
@@ -214,9 +214,9 @@
 
     fn read_datagrams(&mut self) {
         loop {
-            match self.datagrams.recv_from(&mut self.chunk) {
+            match self.datagrams.recv_from(&mut self.read_buffer) {
                 Ok((read, _)) => {
-                    self.received(&self.chunk[..read]);
+                    self.deliver_frame(&self.read_buffer[..read]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 // An earlier datagram met a closed port.
@@ -225,21 +225,21 @@
         }
     }
 
-    fn received(&self, bytes: &[u8]) -> Option<SocketAddr> {
+    fn deliver_frame(&self, bytes: &[u8]) -> Option<SocketAddr> {
         match decode(bytes) {
             Ok(envelope) => {
                 let from = envelope.from_addr;
-                self.input(Input::Message(envelope));
+                self.deliver(Input::Message(envelope));
                 Some(from)
             }
             Err(error) => {
-                self.input(Input::Failed(error.to_string()));
+                self.deliver(Input::NetworkError(error.to_string()));
                 None
             }
         }
     }
 
-    fn serve(&mut self, token: Token, event: &Event) {
+    fn handle_event(&mut self, token: Token, event: &Event) {
         let now_ms = self.clock.now_ms();
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
@@ -248,34 +248,34 @@
             match is_connected(&connection.stream) {
                 Ok(true) => connection.is_established = true,
                 Ok(false) => {}
-                Err(_) => return self.broken(token),
+                Err(_) => return self.close_broken(token),
             }
         }
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
         if event.is_writable() && connection.flush().is_err() {
-            return self.broken(token);
+            return self.close_broken(token);
         }
         if !event.is_readable() || !connection.is_established {
             return;
         }
-        connection.used_ms = now_ms;
-        let received = connection.receive(&mut self.chunk);
+        connection.last_used_at_ms = now_ms;
+        let received = connection.receive(&mut self.read_buffer);
         for frame in &received.frames {
-            if let Some(from) = self.received(frame) {
-                self.learn_peer(token, from);
+            if let Some(from) = self.deliver_frame(frame) {
+                self.set_peer(token, from);
             }
         }
-        if received.is_goodbye {
-            self.remove(token);
+        if received.is_closed_by_peer {
+            self.remove_connection(token);
         } else if received.is_broken {
-            self.broken(token);
+            self.close_broken(token);
         }
     }
 
     /// Answers go back over the connection that a peer opened.
-    fn learn_peer(&mut self, token: Token, from: SocketAddr) {
+    fn set_peer(&mut self, token: Token, from: SocketAddr) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
@@ -287,16 +287,17 @@
 
     fn send(&mut self, outgoing: &Outgoing) {
         let envelope = Envelope {
-            from: self.me.node,
-            from_addr: self.me.addr,
+            from: self.identity.node,
+            from_addr: self.identity.addr,
             to: outgoing.to.node,
             message: outgoing.message.clone(),
         };
         let bytes = match encode(&envelope) {
             Ok(bytes) => bytes,
-            Err(error) => return self.input(Input::Failed(error.to_string())),
+            Err(error) => return self.deliver(Input::NetworkError(error.to_string())),
         };
-        self.metrics.sent(outgoing.message.name(), bytes.len());
+        self.metrics
+            .count_sent(outgoing.message.name(), bytes.len());
         let to = outgoing.to.addr;
         if outgoing.message.is_control() && bytes.len() <= MAX_DATAGRAM_BYTES {
             // Lost datagrams are made up for by the next probe or pull.
@@ -311,42 +312,44 @@
         let token = match self.by_peer.get(&to) {
             Some(token) => *token,
             None => {
-                match connect(to).and_then(|s| self.add(Connection::new(s, Some(to), now_ms))) {
+                match connect(to)
+                    .and_then(|s| self.add_connection(Connection::new(s, Some(to), now_ms)))
+                {
                     Ok(token) => token,
-                    Err(_) => return self.undelivered(to, std::iter::once(bytes.to_vec())),
+                    Err(_) => return self.report_undelivered(to, std::iter::once(bytes.to_vec())),
                 }
             }
         };
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        connection.used_ms = now_ms;
-        let has_room = connection.queue(bytes);
-        if !has_room || connection.flush().is_err() {
-            self.broken(token);
+        connection.last_used_at_ms = now_ms;
+        let is_within_limit = connection.queue(bytes);
+        if !is_within_limit || connection.flush().is_err() {
+            self.close_broken(token);
         }
     }
 
-    fn broken(&mut self, token: Token) {
-        let Some(connection) = self.remove(token) else {
+    fn close_broken(&mut self, token: Token) {
+        let Some(connection) = self.remove_connection(token) else {
             return;
         };
         if let Some(peer) = connection.peer {
             let unsent: Vec<Vec<u8>> = connection.unsent().collect();
-            self.undelivered(peer, unsent.into_iter());
+            self.report_undelivered(peer, unsent.into_iter());
         }
     }
 
-    fn undelivered(&self, peer: SocketAddr, frames: impl Iterator<Item = Vec<u8>>) {
+    fn report_undelivered(&self, peer: SocketAddr, frames: impl Iterator<Item = Vec<u8>>) {
         for frame in frames {
             if let Ok(envelope) = decode(&frame) {
-                self.input(Input::Undelivered(envelope.message));
+                self.deliver(Input::Undelivered(envelope.message));
             }
         }
-        self.input(Input::PeerDown(peer));
+        self.deliver(Input::PeerDown(peer));
     }
 
-    fn remove(&mut self, token: Token) -> Option<Connection> {
+    fn remove_connection(&mut self, token: Token) -> Option<Connection> {
         let mut connection = self.connections.remove(&token)?;
         let _ = self.poll.registry().deregister(&mut connection.stream);
         if let Some(peer) = connection.peer
@@ -359,34 +362,34 @@
 
     fn sweep(&mut self) {
         let now_ms = self.clock.now_ms();
-        if now_ms < self.next_sweep_ms {
+        if now_ms < self.next_sweep_at_ms {
             return;
         }
-        self.next_sweep_ms = now_ms + SWEEP_MS;
+        self.next_sweep_at_ms = now_ms + SWEEP_INTERVAL_MS;
         let is_stuck = |c: &Connection| {
-            !c.is_established && now_ms.saturating_sub(c.opened_ms) > CONNECT_TIMEOUT_MS
+            !c.is_established && now_ms.saturating_sub(c.opened_at_ms) > CONNECT_TIMEOUT_MS
         };
-        let is_idle = |c: &Connection| now_ms.saturating_sub(c.used_ms) > IDLE_CLOSE_MS;
+        let is_idle = |c: &Connection| now_ms.saturating_sub(c.last_used_at_ms) > IDLE_TIMEOUT_MS;
         let tokens_of = |connections: &BTreeMap<Token, Connection>,
-                         is: &dyn Fn(&Connection) -> bool| {
+                         predicate: &dyn Fn(&Connection) -> bool| {
             connections
                 .iter()
-                .filter(|(_, c)| is(c))
+                .filter(|(_, c)| predicate(c))
                 .map(|(t, _)| *t)
                 .collect::<Vec<_>>()
         };
         for token in tokens_of(&self.connections, &is_stuck) {
-            self.broken(token);
+            self.close_broken(token);
         }
         for token in tokens_of(&self.connections, &is_idle) {
-            if let Some(mut connection) = self.remove(token) {
+            if let Some(mut connection) = self.remove_connection(token) {
                 connection.queue(&[]);
                 let _ = connection.flush();
             }
         }
     }
 
-    fn input(&self, input: Input) {
+    fn deliver(&self, input: Input) {
         // Fails only when the process is stopping.
         let _ = self.inputs.send(input);
     }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -23,13 +23,13 @@
 use crate::input::Input;
 
 /// Stream of configuration records.
-const CONFIGURATION: &str = "configuration";
+const CONFIGURATION_STREAM: &str = "configuration";
 /// Stream in which agents announce where they receive.
-const AGENTS: &str = "agents";
+const AGENTS_STREAM: &str = "agents";
 /// Records in one page.
-const PAGE_RECORDS: usize = 256;
+const MAX_PAGE_RECORDS: usize = 256;
 /// Calls that wait for the log before further ones are dropped.
-const QUEUED_CALLS: usize = 64;
+const MAX_QUEUED_CALLS: usize = 64;
 /// Newest announcements that are used as contacts.
 const MAX_CONTACTS: usize = 64;
 /// Largest reply of the log in bytes.
@@ -162,18 +162,18 @@
 
     fn read_from(&self, stream: &str, offset: u64) -> Result<Page, LogError> {
         let url = format!(
-            "{}/streams/{stream}/records?from={offset}&limit={PAGE_RECORDS}",
+            "{}/streams/{stream}/records?from={offset}&limit={MAX_PAGE_RECORDS}",
             self.url
         );
         let bytes = self.call(Method::GET, url, Vec::new())?;
         Ok(serde_json::from_slice(&bytes)?)
     }
 
-    fn announced(&self) -> Result<Vec<SocketAddr>, LogError> {
+    fn announced_addresses(&self) -> Result<Vec<SocketAddr>, LogError> {
         let mut addresses: Vec<SocketAddr> = Vec::new();
         let mut offset = 0;
         loop {
-            let page = self.read_from(AGENTS, offset)?;
+            let page = self.read_from(AGENTS_STREAM, offset)?;
             for record in &page.records {
                 if let Ok(announcement) = serde_json::from_str::<Announcement>(&record.data) {
                     addresses.retain(|address| *address != announcement.address);
@@ -189,7 +189,7 @@
         Ok(addresses.split_off(excess))
     }
 
-    fn contacts_of_entry(&self, balancer_url: &str) -> Result<Vec<SocketAddr>, LogError> {
+    fn contacts_from_entry(&self, balancer_url: &str) -> Result<Vec<SocketAddr>, LogError> {
         let url = format!("{balancer_url}/v1/contacts");
         let bytes = self.call(Method::GET, url, Vec::new())?;
         Ok(serde_json::from_slice::<ContactsBody>(&bytes)?.addresses)
@@ -198,11 +198,11 @@
 
 impl LogClient for HttpLog {
     fn append(&self, record: &LogRecord) -> Result<(), LogError> {
-        self.append_to(CONFIGURATION, serde_json::to_vec(record)?)
+        self.append_to(CONFIGURATION_STREAM, serde_json::to_vec(record)?)
     }
 
     fn read(&self, from_offset: u64) -> Result<LogPage, LogError> {
-        let page = self.read_from(CONFIGURATION, from_offset)?;
+        let page = self.read_from(CONFIGURATION_STREAM, from_offset)?;
         let records = page.records.into_iter().map(|record| LoggedRecord {
             offset: record.offset,
             record: serde_json::from_str(&record.data).ok(),
@@ -216,14 +216,17 @@
     }
 
     fn announce(&self, address: SocketAddr) -> Result<(), LogError> {
-        self.append_to(AGENTS, serde_json::to_vec(&Announcement { address })?)
+        self.append_to(
+            AGENTS_STREAM,
+            serde_json::to_vec(&Announcement { address })?,
+        )
     }
 
     fn contacts(&self) -> Result<Vec<SocketAddr>, LogError> {
-        let announced = self.announced();
+        let announced = self.announced_addresses();
         match (&announced, &self.balancer_url) {
             (Ok(addresses), _) if !addresses.is_empty() => announced,
-            (_, Some(url)) => self.contacts_of_entry(url),
+            (_, Some(url)) => self.contacts_from_entry(url),
             _ => announced,
         }
     }
@@ -256,10 +259,10 @@
 
 impl LogWorker {
     pub(crate) fn start(log: Box<dyn LogClient>, inputs: Sender<Input>) -> std::io::Result<Self> {
-        let (calls, queue) = bounded(QUEUED_CALLS);
+        let (calls, queue) = bounded(MAX_QUEUED_CALLS);
         thread::Builder::new()
             .name("platform-log".into())
-            .spawn(move || serve(&*log, &queue, &inputs))?;
+            .spawn(move || run_calls(&*log, &queue, &inputs))?;
         Ok(Self { calls })
     }
 
@@ -269,7 +272,7 @@
     }
 }
 
-fn serve(log: &dyn LogClient, queue: &Receiver<LogCall>, inputs: &Sender<Input>) {
+fn run_calls(log: &dyn LogClient, queue: &Receiver<LogCall>, inputs: &Sender<Input>) {
     let mut next = queue.recv().ok();
     while let Some(call) = next {
         let reply = match call {
--- a/crates/daemon/src/problem.rs
+++ b/crates/daemon/src/problem.rs
@@ -20,7 +20,7 @@
 const PROBLEM_JSON: &str = "application/problem+json";
 
 /// How a reason is told to the caller.
-struct Text {
+struct StatusAndTitle {
     status: u16,
     title: &'static str,
 }
@@ -41,12 +41,12 @@
             },
         );
     }
-    problem_response(&problem_of(answer, format!("submission {id}")))
+    problem_response(&build_problem(answer, format!("submission {id}")))
 }
 
 /// The response to a refusal of something other than a submission.
 pub(crate) fn refusal_response(answer: &Answer, detail: String) -> Response<Body> {
-    problem_response(&problem_of(answer, detail))
+    problem_response(&build_problem(answer, detail))
 }
 
 /// The response to a request that can never be served as it is.
@@ -68,12 +68,12 @@
     response(status, "text/plain; charset=utf-8", text.to_owned())
 }
 
-fn problem_of(answer: &Answer, detail: String) -> Problem {
-    let text = text_of(answer.reason);
+fn build_problem(answer: &Answer, detail: String) -> Problem {
+    let status_and_title = status_and_title(answer.reason);
     Problem {
         kind: format!("urn:gannetvane:problem:{}", reason_name(answer.reason)),
-        title: text.title.to_owned(),
-        status: text.status,
+        title: status_and_title.title.to_owned(),
+        status: status_and_title.status,
         detail,
         ran: answer.ran,
         reason: answer.reason,
@@ -108,7 +108,7 @@
         .unwrap_or_default()
 }
 
-fn text_of(reason: Reason) -> Text {
+fn status_and_title(reason: Reason) -> StatusAndTitle {
     let (status, title) = match reason {
         Reason::None => (500, "no reason was given"),
         Reason::BadRequest => (400, "the request is malformed"),
@@ -149,5 +149,5 @@
         Reason::LogDown => (503, "the platform's log cannot be reached; confirm again"),
         Reason::ChangePending => (504, "the outcome is not known yet; confirm again"),
     };
-    Text { status, title }
+    StatusAndTitle { status, title }
 }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -24,8 +24,8 @@
 use slog::info;
 use thiserror::Error;
 
-use crate::event_loop::Loop;
-use crate::event_loop::Parts;
+use crate::event_loop::EventLoop;
+use crate::event_loop::Runtime;
 use crate::http::HttpCall;
 use crate::http::HttpLimits;
 use crate::http::HttpServer;
@@ -48,10 +48,10 @@
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// An address cannot be bound, or a thread cannot start.
-    #[error("{what}: {source}")]
+    #[error("{component}: {source}")]
     Start {
         /// What was to start.
-        what: String,
+        component: String,
         /// Why it did not.
         source: std::io::Error,
     },
@@ -69,7 +69,7 @@
 ) -> Result<(), ProcessError> {
     let node = NodeId(rand::random());
     let (inputs, queue) = unbounded();
-    let parts = Parts::start(settings, node, inputs.clone())?;
+    let runtime = Runtime::start(settings, node, inputs.clone())?;
     let entry_settings = EntrySettings {
         node,
         addr: settings.node.address,
@@ -77,11 +77,11 @@
         max_waiting: settings.http.max_requests,
         retention_ms: retention_ms(settings),
     };
-    let now_ms = parts.clock.now_ms();
+    let now_ms = runtime.clock.now_ms();
     let routes = Routes {
         inputs,
-        metrics: Arc::clone(&parts.metrics),
-        is_ready: Arc::clone(&parts.is_ready),
+        metrics: Arc::clone(&runtime.metrics),
+        is_ready: Arc::clone(&runtime.is_ready),
         max_deadline_ms: settings.entry.max_deadline_ms,
     };
     let http = start_http(settings, Box::new(move |call| routes.handle(call)))?;
@@ -91,7 +91,7 @@
         stopping_since_ms: None,
     };
     info!(log, "started"; "address" => %settings.node.address, "http" => %settings.http.address);
-    Loop::new(Box::new(core), parts, http, log.clone(), stop).run(&queue);
+    EventLoop::new(Box::new(core), runtime, http, log.clone(), stop).run(&queue);
     info!(log, "stopped");
     Ok(())
 }
@@ -109,7 +109,7 @@
     let section = settings.agent()?;
     let node = NodeId(rand::random());
     let (inputs, queue) = unbounded();
-    let mut parts = Parts::start(settings, node, inputs.clone())?;
+    let mut runtime = Runtime::start(settings, node, inputs.clone())?;
     let task_timeout = Duration::from_millis(section.task_timeout_ms);
     let minion = Arc::new(HttpMinion::new(
         &section.minion_url,
@@ -117,21 +117,21 @@
         log.clone(),
     ));
     let workers = MinionWorkers::start(minion, section.slots, &inputs);
-    parts.minion = Some(workers.map_err(|source| start_error("slot threads", source))?);
-    parts.announces = true;
-    let now_ms = parts.clock.now_ms();
+    runtime.minion = Some(workers.map_err(|source| start_error("slot threads", source))?);
+    runtime.should_announce = true;
+    let now_ms = runtime.clock.now_ms();
     let mut agent = Agent::new(agent_settings(settings, node)?, now_ms);
     agent.add_contacts(settings.contact.addresses.iter().copied());
-    let metrics = Arc::clone(&parts.metrics);
-    let is_ready = Arc::clone(&parts.is_ready);
+    let metrics = Arc::clone(&runtime.metrics);
+    let is_ready = Arc::clone(&runtime.is_ready);
     let http = start_http(
         settings,
-        Box::new(move |call| observe(call, &metrics, &is_ready)),
+        Box::new(move |call| handle_agent_request(call, &metrics, &is_ready)),
     )?;
     info!(log, "started"; "address" => %settings.node.address, "service" => &section.service);
-    Loop::new(
+    EventLoop::new(
         Box::new(AgentCore { agent }),
-        parts,
+        runtime,
         http,
         log.clone(),
         stop,
@@ -200,7 +200,11 @@
 }
 
 /// The HTTP interface of an agent.
-fn observe(call: &HttpCall, metrics: &Metrics, is_ready: &AtomicBool) -> Response<Body> {
+fn handle_agent_request(
+    call: &HttpCall,
+    metrics: &Metrics,
+    is_ready: &AtomicBool,
+) -> Response<Body> {
     match (call.method.as_str(), call.path.as_str()) {
         ("GET", "/healthz") => text_response(200, "ok\n"),
         ("GET", "/readyz") => readiness(is_ready),
@@ -212,9 +216,9 @@
     }
 }
 
-pub(crate) fn start_error(what: &str, source: std::io::Error) -> ProcessError {
+pub(crate) fn start_error(component: &str, source: std::io::Error) -> ProcessError {
     ProcessError::Start {
-        what: what.to_owned(),
+        component: component.to_owned(),
         source,
     }
 }
--- a/crates/daemon/src/role.rs
+++ b/crates/daemon/src/role.rs
@@ -18,19 +18,19 @@
 /// The core of a process, whatever its role.
 pub(crate) trait Core {
     /// Handles an event.
-    fn input(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action>;
+    fn handle(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action>;
     /// Does what is due.
     fn tick(&mut self, now_ms: u64) -> Vec<Action>;
     /// Adds addresses for the first contact.
     fn add_contacts(&mut self, contacts: Vec<SocketAddr>);
     /// Begins a planned stop.
-    fn begin_stop(&mut self, now_ms: u64) -> Vec<Action>;
+    fn start_stop(&mut self, now_ms: u64) -> Vec<Action>;
     /// Whether the balancer may send requests here.
     fn is_ready(&self) -> bool;
     /// Whether a stop that was asked for may end the process now.
-    fn may_stop(&self, now_ms: u64, http: &HttpServer) -> bool;
+    fn can_stop(&self, now_ms: u64, http: &HttpServer) -> bool;
     /// Whether no other agent is known.
-    fn is_alone(&self) -> bool;
+    fn has_no_other_agents(&self) -> bool;
     /// Present sizes, for the metrics.
     fn sizes(&self) -> Sizes;
 }
@@ -57,7 +57,7 @@
 }
 
 impl Core for AgentCore {
-    fn input(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action> {
+    fn handle(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action> {
         match input {
             CoreInput::Message(envelope) => self.agent.message(now_ms, envelope),
             CoreInput::PeerDown(addr) => self.agent.peer_down(now_ms, addr),
@@ -76,7 +76,7 @@
         self.agent.add_contacts(contacts);
     }
 
-    fn begin_stop(&mut self, now_ms: u64) -> Vec<Action> {
+    fn start_stop(&mut self, now_ms: u64) -> Vec<Action> {
         self.agent.leave(now_ms)
     }
 
@@ -84,12 +84,12 @@
         !self.agent.is_leaving()
     }
 
-    fn may_stop(&self, _now_ms: u64, _http: &HttpServer) -> bool {
+    fn can_stop(&self, _now_ms: u64, _http: &HttpServer) -> bool {
         // The core says when its table has moved.
         false
     }
 
-    fn is_alone(&self) -> bool {
+    fn has_no_other_agents(&self) -> bool {
         self.agent.view().len() <= 1
     }
 
@@ -104,7 +104,7 @@
 }
 
 impl Core for EntryCore {
-    fn input(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action> {
+    fn handle(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action> {
         match input {
             CoreInput::Message(envelope) => self.entry.message(now_ms, envelope),
             CoreInput::PeerDown(addr) => self.entry.peer_down(now_ms, addr),
@@ -123,7 +123,7 @@
         self.entry.add_contacts(contacts);
     }
 
-    fn begin_stop(&mut self, now_ms: u64) -> Vec<Action> {
+    fn start_stop(&mut self, now_ms: u64) -> Vec<Action> {
         self.stopping_since_ms.get_or_insert(now_ms);
         Vec::new()
     }
@@ -132,14 +132,14 @@
         self.entry.is_ready() && self.stopping_since_ms.is_none()
     }
 
-    fn may_stop(&self, now_ms: u64, http: &HttpServer) -> bool {
-        let is_noticed = self
+    fn can_stop(&self, now_ms: u64, http: &HttpServer) -> bool {
+        let has_notice_passed = self
             .stopping_since_ms
             .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= self.stop_notice_ms);
-        is_noticed && self.entry.waiting() == 0 && http.active() == 0
+        has_notice_passed && self.entry.waiting() == 0 && http.active() == 0
     }
 
-    fn is_alone(&self) -> bool {
+    fn has_no_other_agents(&self) -> bool {
         self.entry.view().is_empty()
     }
 
--- a/crates/daemon/src/routes.rs
+++ b/crates/daemon/src/routes.rs
@@ -28,7 +28,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::http::HttpCall;
-use crate::input::Asked;
+use crate::input::CommandRequest;
 use crate::input::Input;
 use crate::metrics::Metrics;
 use crate::problem::answer_response;
@@ -48,9 +48,9 @@
 /// Time that a question for an answer waits when it does not say.
 const DEFAULT_WAIT_MS: u64 = 30_000;
 /// Time after which a core that does not reply counts as stopped.
-const CORE_GRACE: Duration = Duration::from_secs(10);
+const CORE_REPLY_GRACE: Duration = Duration::from_secs(10);
 
-type Refused = Box<Response<Body>>;
+type Refusal = Box<Response<Body>>;
 
 /// Routes requests to the core of an entry.
 #[derive(Debug)]
@@ -64,8 +64,8 @@
 impl Routes {
     /// Answers one request.
     pub(crate) fn handle(&self, call: &HttpCall) -> Response<Body> {
-        let parts: Vec<&str> = call.path.trim_matches('/').split('/').collect();
-        let response = match (call.method.as_str(), parts.as_slice()) {
+        let segments: Vec<&str> = call.path.trim_matches('/').split('/').collect();
+        let response = match (call.method.as_str(), segments.as_slice()) {
             ("GET", ["healthz"]) => Ok(text_response(200, "ok\n")),
             ("GET", ["readyz"]) => Ok(readiness(&self.is_ready)),
             ("GET", ["metrics"]) => Ok(text_response(200, &self.metrics.text())),
@@ -85,16 +85,16 @@
                 format!("{} {}", call.method, call.path),
             )),
         };
-        response.unwrap_or_else(|refused| *refused)
+        response.unwrap_or_else(|refusal| *refusal)
     }
 
-    fn take_ids(&self, call: &HttpCall) -> Result<Response<Body>, Refused> {
+    fn take_ids(&self, call: &HttpCall) -> Result<Response<Body>, Refusal> {
         let service = query_value(&call.query, "service")
             .ok_or_else(|| refuse(Reason::BadRequest, "service: missing in the query"))?;
-        let service = name("service", service)?;
-        let count = number(&call.query, "count", 1, 1, MAX_IDS as u64)?;
+        let service = parse_name("service", service)?;
+        let count = query_number(&call.query, "count", 1, 1, MAX_IDS as u64)?;
         let count = usize::try_from(count).unwrap_or(MAX_IDS);
-        let reply = self.ask(
+        let reply = self.send_command(
             Command::TakeIds {
                 service: service.clone(),
                 count,
@@ -110,24 +110,24 @@
         })
     }
 
-    fn submit_job(&self, call: &HttpCall, id: &str) -> Result<Response<Body>, Refused> {
-        let body: JobBody = parse(call)?;
+    fn submit_job(&self, call: &HttpCall, id: &str) -> Result<Response<Body>, Refusal> {
+        let body: JobBody = parse_body(call)?;
         let tasks = body
             .tasks
             .into_iter()
-            .map(task)
-            .collect::<Result<Vec<Task>, Refused>>()?;
+            .map(parse_task)
+            .collect::<Result<Vec<Task>, Refusal>>()?;
         let submission = Submission {
-            service: name("service", &body.service)?,
-            team: name("team", &body.team)?,
+            service: parse_name("service", &body.service)?,
+            team: parse_name("team", &body.team)?,
             repeatable: false,
             tasks,
         };
         self.submit(call, id, submission, body.deadline_ms)
     }
 
-    fn submit_request(&self, call: &HttpCall, id: &str) -> Result<Response<Body>, Refused> {
-        let body: RequestBody = parse(call)?;
+    fn submit_request(&self, call: &HttpCall, id: &str) -> Result<Response<Body>, Refusal> {
+        let body: RequestBody = parse_body(call)?;
         let task_body = TaskBody {
             kind: body.kind,
             payload: body.payload,
@@ -135,10 +135,10 @@
             needs: body.needs,
         };
         let submission = Submission {
-            service: name("service", &body.service)?,
-            team: name("team", &body.team)?,
+            service: parse_name("service", &body.service)?,
+            team: parse_name("team", &body.team)?,
             repeatable: body.repeatable,
-            tasks: vec![task(task_body)?],
+            tasks: vec![parse_task(task_body)?],
         };
         self.submit(call, id, submission, body.deadline_ms)
     }
@@ -149,16 +149,16 @@
         id: &str,
         submission: Submission,
         deadline_ms: u64,
-    ) -> Result<Response<Body>, Refused> {
-        if call.has_own_key {
+    ) -> Result<Response<Body>, Refusal> {
+        if call.has_idempotency_key {
             let detail = "idempotency-key: not accepted; POST /v1/ids, then PUT under that id";
             return Err(refuse(Reason::OwnKey, detail));
         }
-        let id = submission_id(id)?;
+        let id = parse_submission_id(id)?;
         in_range("deadline_ms", deadline_ms, 1, self.max_deadline_ms)?;
         in_range("tasks", submission.tasks.len() as u64, 1, MAX_TASKS as u64)?;
         let submission = Arc::new(submission);
-        let reply = self.ask(
+        let reply = self.send_command(
             Command::Submit {
                 id,
                 submission,
@@ -169,28 +169,28 @@
         Ok(submission_response(id, reply))
     }
 
-    fn lookup(&self, call: &HttpCall, id: &str) -> Result<Response<Body>, Refused> {
-        let id = submission_id(id)?;
+    fn lookup(&self, call: &HttpCall, id: &str) -> Result<Response<Body>, Refusal> {
+        let id = parse_submission_id(id)?;
         let default_ms = DEFAULT_WAIT_MS.min(self.max_deadline_ms);
-        let wait_ms = number(&call.query, "wait_ms", default_ms, 1, self.max_deadline_ms)?;
-        let reply = self.ask(Command::Lookup { id, wait_ms }, wait_ms)?;
+        let wait_ms = query_number(&call.query, "wait_ms", default_ms, 1, self.max_deadline_ms)?;
+        let reply = self.send_command(Command::Lookup { id, wait_ms }, wait_ms)?;
         Ok(submission_response(id, reply))
     }
 
-    fn cancel(&self, id: &str) -> Result<Response<Body>, Refused> {
-        let id = submission_id(id)?;
-        let reply = self.ask(Command::Cancel { id }, DEFAULT_WAIT_MS)?;
+    fn cancel(&self, id: &str) -> Result<Response<Body>, Refusal> {
+        let id = parse_submission_id(id)?;
+        let reply = self.send_command(Command::Cancel { id }, DEFAULT_WAIT_MS)?;
         Ok(submission_response(id, reply))
     }
 
-    fn plan(&self, call: &HttpCall) -> Result<Response<Body>, Refused> {
-        let body: PlanRequest = parse(call)?;
-        let change_id = body.change_id.unwrap_or_else(drawn_change_id);
+    fn plan(&self, call: &HttpCall) -> Result<Response<Body>, Refusal> {
+        let body: PlanRequest = parse_body(call)?;
+        let change_id = body.change_id.unwrap_or_else(random_change_id);
         let command = Command::Plan {
             change_id,
             operations: body.operations,
         };
-        match self.ask(command, 0)? {
+        match self.send_command(command, 0)? {
             Reply::Plan(Ok(plan)) => {
                 let body = PlanBody {
                     change: plan.change,
@@ -203,8 +203,8 @@
         }
     }
 
-    fn confirm(&self, call: &HttpCall, id: &str) -> Result<Response<Body>, Refused> {
-        let body: PlanBody = parse(call)?;
+    fn confirm(&self, call: &HttpCall, id: &str) -> Result<Response<Body>, Refusal> {
+        let body: PlanBody = parse_body(call)?;
         if &*body.change.change_id != id {
             let detail = format!(
                 "change_id: {} in the body, {id} in the path",
@@ -213,7 +213,7 @@
             return Err(refuse(Reason::BadRequest, detail));
         }
         in_range("operations", body.change.operations.len() as u64, 1, 256)?;
-        let reply = self.ask(
+        let reply = self.send_command(
             Command::Confirm {
                 change: body.change,
             },
@@ -222,28 +222,28 @@
         Ok(change_response(id, reply))
     }
 
-    fn change_status(&self, id: &str) -> Result<Response<Body>, Refused> {
-        let change_id = name("change_id", id)?;
-        let reply = self.ask(Command::ChangeStatus { change_id }, DEFAULT_WAIT_MS)?;
+    fn change_status(&self, id: &str) -> Result<Response<Body>, Refusal> {
+        let change_id = parse_name("change_id", id)?;
+        let reply = self.send_command(Command::ChangeStatus { change_id }, DEFAULT_WAIT_MS)?;
         Ok(change_response(id, reply))
     }
 
-    fn configuration(&self) -> Result<Response<Body>, Refused> {
-        match self.ask(Command::Configuration, 0)? {
+    fn configuration(&self) -> Result<Response<Body>, Refusal> {
+        match self.send_command(Command::Configuration, 0)? {
             Reply::Configuration(snapshot) => Ok(json_response(200, &snapshot.configuration)),
             other => Ok(reply_response(other, "configuration")),
         }
     }
 
-    fn members(&self) -> Result<Response<Body>, Refused> {
-        match self.ask(Command::Members, 0)? {
+    fn members(&self) -> Result<Response<Body>, Refusal> {
+        match self.send_command(Command::Members, 0)? {
             Reply::Members(members) => Ok(json_response(200, &members)),
             other => Ok(reply_response(other, "members")),
         }
     }
 
-    fn contacts(&self) -> Result<Response<Body>, Refused> {
-        let Reply::Members(members) = self.ask(Command::Members, 0)? else {
+    fn contacts(&self) -> Result<Response<Body>, Refusal> {
+        let Reply::Members(members) = self.send_command(Command::Members, 0)? else {
             return Ok(json_response(
                 200,
                 &ContactsBody {
@@ -251,17 +251,17 @@
                 },
             ));
         };
-        let live = members
+        let alive = members
             .iter()
             .filter(|member| member.state == MemberState::Alive);
-        let addresses = live.map(|member| member.addr).take(MAX_CONTACTS).collect();
+        let addresses = alive.map(|member| member.addr).take(MAX_CONTACTS).collect();
         Ok(json_response(200, &ContactsBody { addresses }))
     }
 
     /// Hands a command to the core and waits for its reply.
-    fn ask(&self, command: Command, wait_ms: u64) -> Result<Reply, Refused> {
+    fn send_command(&self, command: Command, wait_ms: u64) -> Result<Reply, Refusal> {
         let (reply_to, reply) = bounded(1);
-        let stopped = || {
+        let stopping_response = || {
             let answer = gannetvane_wire::Answer::refusal(
                 gannetvane_wire::Ran::Unknown,
                 Reason::HomeSilent,
@@ -272,10 +272,10 @@
                 "this entry is stopping".to_owned(),
             ))
         };
-        let asked = Input::Asked(Asked { command, reply_to });
-        self.inputs.send(asked).map_err(|_| stopped())?;
-        let timeout = Duration::from_millis(wait_ms) + CORE_GRACE;
-        reply.recv_timeout(timeout).map_err(|_| stopped())
+        let input = Input::Command(CommandRequest { command, reply_to });
+        self.inputs.send(input).map_err(|_| stopping_response())?;
+        let timeout = Duration::from_millis(wait_ms) + CORE_REPLY_GRACE;
+        reply.recv_timeout(timeout).map_err(|_| stopping_response())
     }
 }
 
@@ -315,21 +315,21 @@
     }
 }
 
-fn refuse(reason: Reason, detail: impl Into<String>) -> Refused {
+fn refuse(reason: Reason, detail: impl Into<String>) -> Refusal {
     Box::new(rejection(reason, detail))
 }
 
-fn parse<T: DeserializeOwned>(call: &HttpCall) -> Result<T, Refused> {
+fn parse_body<T: DeserializeOwned>(call: &HttpCall) -> Result<T, Refusal> {
     serde_json::from_slice(&call.body)
         .map_err(|error| refuse(Reason::BadRequest, format!("body: {error}")))
 }
 
-fn submission_id(text: &str) -> Result<SubmissionId, Refused> {
+fn parse_submission_id(text: &str) -> Result<SubmissionId, Refusal> {
     text.parse()
         .map_err(|error| refuse(Reason::IdInvalid, format!("{error}")))
 }
 
-fn name(field: &str, text: &str) -> Result<Name, Refused> {
+fn parse_name(field: &str, text: &str) -> Result<Name, Refusal> {
     let is_plain = text.chars().all(|c| c.is_ascii_graphic());
     if text.is_empty() || text.len() > MAX_NAME_BYTES || !is_plain {
         let detail = format!(
@@ -340,8 +340,8 @@
     Ok(Name::from(text))
 }
 
-fn task(body: TaskBody) -> Result<Task, Refused> {
-    let kind = name("kind", &body.kind)?;
+fn parse_task(body: TaskBody) -> Result<Task, Refusal> {
+    let kind = parse_name("kind", &body.kind)?;
     Ok(Task {
         kind,
         payload: body.payload,
@@ -350,11 +350,11 @@
     })
 }
 
-fn in_range(field: &str, value: u64, least: u64, most: u64) -> Result<(), Refused> {
-    if (least..=most).contains(&value) {
+fn in_range(field: &str, value: u64, min: u64, max: u64) -> Result<(), Refusal> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    let detail = format!("{field}: {value} given, from {least} to {most} allowed");
+    let detail = format!("{field}: {value} given, from {min} to {max} allowed");
     Err(refuse(Reason::BadRequest, detail))
 }
 
@@ -366,7 +366,7 @@
         .map(|(_, v)| v)
 }
 
-fn number(query: &str, key: &str, default: u64, least: u64, most: u64) -> Result<u64, Refused> {
+fn query_number(query: &str, key: &str, default: u64, min: u64, max: u64) -> Result<u64, Refusal> {
     let Some(text) = query_value(query, key) else {
         return Ok(default);
     };
@@ -376,10 +376,10 @@
             format!("{key}: {text:?} is not a number"),
         )
     })?;
-    in_range(key, value, least, most)?;
+    in_range(key, value, min, max)?;
     Ok(value)
 }
 
-fn drawn_change_id() -> Name {
+fn random_change_id() -> Name {
     Name::from(format!("change-{:016x}", rand::random::<u64>()))
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -319,26 +319,26 @@
         self.check_http()?;
         self.check_log()?;
         self.check_membership()?;
-        range(
+        check_range(
             "entry.max_deadline_ms",
             self.entry.max_deadline_ms,
             100,
             300_000,
         )?;
-        range("entry.stop_notice_ms", self.entry.stop_notice_ms, 0, 60_000)?;
-        range(
+        check_range("entry.stop_notice_ms", self.entry.stop_notice_ms, 0, 60_000)?;
+        check_range(
             "answers.retention_min",
             self.answers.retention_min.into(),
             6,
             120,
         )?;
-        range(
+        check_range(
             "answers.max_bytes",
             self.answers.max_bytes as u64,
             1_000_000,
             1 << 33,
         )?;
-        one_of(
+        check_choice(
             "logging.level",
             &self.logging.level,
             &["debug", "info", "warning", "error"],
@@ -347,29 +347,29 @@
     }
 
     fn check_node(&self) -> Result<(), SettingsError> {
-        specific("node.address", self.node.address)?;
-        name("node.zone", &self.node.zone)
+        check_address("node.address", self.node.address)?;
+        check_name("node.zone", &self.node.zone)
     }
 
     fn check_http(&self) -> Result<(), SettingsError> {
         let http = &self.http;
-        range("http.max_requests", http.max_requests as u64, 1, 10_000)?;
-        range(
+        check_range("http.max_requests", http.max_requests as u64, 1, 10_000)?;
+        check_range(
             "http.max_body_bytes",
             http.max_body_bytes,
             1_024,
             7 * 1024 * 1024,
         )?;
-        range("http.io_timeout_ms", http.io_timeout_ms, 100, 300_000)
+        check_range("http.io_timeout_ms", http.io_timeout_ms, 100, 300_000)
     }
 
     fn check_log(&self) -> Result<(), SettingsError> {
-        url("log.url", &self.log.url)?;
+        check_url("log.url", &self.log.url)?;
         if let Some(balancer_url) = &self.contact.balancer_url {
-            url("contact.balancer_url", balancer_url)?;
+            check_url("contact.balancer_url", balancer_url)?;
         }
-        range("log.timeout_ms", self.log.timeout_ms, 50, 60_000)?;
-        range(
+        check_range("log.timeout_ms", self.log.timeout_ms, 50, 60_000)?;
+        check_range(
             "log.retention_ms",
             self.log.retention_ms,
             10_000,
@@ -379,15 +379,15 @@
 
     fn check_membership(&self) -> Result<(), SettingsError> {
         let membership = &self.membership;
-        range("membership.period_ms", membership.period_ms, 100, 10_000)?;
-        let most = membership.period_ms / 2;
-        range(
+        check_range("membership.period_ms", membership.period_ms, 100, 10_000)?;
+        let max = membership.period_ms / 2;
+        check_range(
             "membership.ack_timeout_ms",
             membership.ack_timeout_ms,
             20,
-            most,
+            max,
         )?;
-        range(
+        check_range(
             "membership.suspicion_ms",
             membership.suspicion_ms,
             200,
@@ -398,16 +398,16 @@
 
 impl AgentSection {
     fn check(&self) -> Result<(), SettingsError> {
-        name("agent.service", &self.service)?;
-        url("agent.minion_url", &self.minion_url)?;
-        range("agent.slots", self.slots.into(), 1, 1_024)?;
-        range(
+        check_name("agent.service", &self.service)?;
+        check_url("agent.minion_url", &self.minion_url)?;
+        check_range("agent.slots", self.slots.into(), 1, 1_024)?;
+        check_range(
             "agent.task_timeout_ms",
             self.task_timeout_ms,
             100,
             3_600_000,
         )?;
-        range("agent.leave_notice_ms", self.leave_notice_ms, 0, 60_000)
+        check_range("agent.leave_notice_ms", self.leave_notice_ms, 0, 60_000)
     }
 }
 
@@ -430,11 +430,11 @@
     Ok(())
 }
 
-fn range(field: &'static str, value: u64, least: u64, most: u64) -> Result<(), SettingsError> {
-    if (least..=most).contains(&value) {
+fn check_range(field: &'static str, value: u64, min: u64, max: u64) -> Result<(), SettingsError> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    let allowed = format!("from {least} to {most}");
+    let allowed = format!("from {min} to {max}");
     Err(SettingsError::Range {
         field,
         value: value.to_string(),
@@ -442,7 +442,7 @@
     })
 }
 
-fn one_of(field: &'static str, value: &str, choices: &[&str]) -> Result<(), SettingsError> {
+fn check_choice(field: &'static str, value: &str, choices: &[&str]) -> Result<(), SettingsError> {
     if choices.contains(&value) {
         return Ok(());
     }
@@ -454,7 +454,7 @@
     })
 }
 
-fn name(field: &'static str, value: &str) -> Result<(), SettingsError> {
+fn check_name(field: &'static str, value: &str) -> Result<(), SettingsError> {
     let is_plain = value.chars().all(|c| c.is_ascii_graphic());
     if !value.is_empty() && value.len() <= 64 && is_plain {
         return Ok(());
@@ -467,7 +467,7 @@
     })
 }
 
-fn url(field: &'static str, value: &str) -> Result<(), SettingsError> {
+fn check_url(field: &'static str, value: &str) -> Result<(), SettingsError> {
     if value.starts_with("http://") && value.len() > "http://".len() {
         return Ok(());
     }
@@ -480,7 +480,7 @@
 }
 
 /// The others must be able to reach the address as it stands.
-fn specific(field: &'static str, value: SocketAddr) -> Result<(), SettingsError> {
+fn check_address(field: &'static str, value: SocketAddr) -> Result<(), SettingsError> {
     if !value.ip().is_unspecified() && value.port() != 0 {
         return Ok(());
     }
--- a/crates/daemon/tests/fleet/mod.rs
+++ b/crates/daemon/tests/fleet/mod.rs
@@ -36,11 +36,11 @@
 use serde_json::json;
 
 /// Longest wait for a condition: far above what any takes, for slow machines.
-const PATIENCE: Duration = Duration::from_secs(90);
-const POLL: Duration = Duration::from_millis(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const ZONES: [&str; 3] = ["selfoss", "hella", "thorlak"];
 const FIRST_PORT: u16 = 20_000;
-const PORTS: u16 = 12_000;
+const PORT_COUNT: u16 = 12_000;
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
@@ -94,7 +94,7 @@
     Complete(AnswerBody),
     Problem(Problem),
     /// The connection broke or was refused.
-    Cut(String),
+    NoAnswer(String),
 }
 
 pub struct Fleet {
@@ -256,7 +256,7 @@
     }
 
     /// Checks what must hold of an end that a caller was told.
-    pub fn check(&self, id: &str, end: &End) {
+    pub fn check_end(&self, id: &str, end: &End) {
         let mut starts = self.starts_of(id);
         let count = starts.len();
         starts.sort();
@@ -271,7 +271,7 @@
             End::Problem(problem) if problem.ran == Ran::NotRun => {
                 assert_eq!(count, 0, "{id} was said not to have run: {problem:?}");
             }
-            End::Problem(_) | End::Cut(_) => {}
+            End::Problem(_) | End::NoAnswer(_) => {}
         }
     }
 }
@@ -285,24 +285,24 @@
     };
     let response = match call(entry, Method::PUT, &format!("/v1/{kind}/{id}"), body) {
         Ok(response) => response,
-        Err(error) => return End::Cut(error),
+        Err(error) => return End::NoAnswer(error),
     };
     if response.status == 200 {
         return match serde_json::from_str(&response.body) {
             Ok(answer) => End::Complete(answer),
-            Err(error) => End::Cut(error.to_string()),
+            Err(error) => End::NoAnswer(error.to_string()),
         };
     }
     match serde_json::from_str(&response.body) {
         Ok(problem) => End::Problem(problem),
-        Err(error) => End::Cut(error.to_string()),
+        Err(error) => End::NoAnswer(error.to_string()),
     }
 }
 
 pub fn reason(end: &End) -> Option<Reason> {
     match end {
         End::Problem(problem) => Some(problem.reason),
-        End::Complete(_) | End::Cut(_) => None,
+        End::Complete(_) | End::NoAnswer(_) => None,
     }
 }
 
@@ -337,7 +337,7 @@
         .uri(format!("http://{addr}{path}"))
         .body(Body::from(bytes))
         .map_err(|error| error.to_string())?;
-    let client = Client::new().with_global_timeout(PATIENCE);
+    let client = Client::new().with_global_timeout(WAIT_TIMEOUT);
     let response = client.request(request).map_err(|error| error.to_string())?;
     let status = response.status().as_u16();
     let mut text = String::new();
@@ -349,10 +349,13 @@
 }
 
 pub fn wait_until(what: &str, mut is_reached: impl FnMut() -> bool) {
-    let began = Instant::now();
+    let start = Instant::now();
     while !is_reached() {
-        assert!(began.elapsed() < PATIENCE, "waited in vain until {what}");
-        sleep(POLL);
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "waited in vain until {what}"
+        );
+        sleep(POLL_INTERVAL);
     }
 }
 
@@ -363,7 +366,7 @@
     let ip = Ipv4Addr::new(127, 1 + high % 250, low, 1);
     // Not tried out first: a child that another test starts at that moment
     // would hold the socket for a while.
-    let port = FIRST_PORT + NEXT_PORT.fetch_add(1, Ordering::SeqCst) % PORTS;
+    let port = FIRST_PORT + NEXT_PORT.fetch_add(1, Ordering::SeqCst) % PORT_COUNT;
     SocketAddr::new(ip.into(), port)
 }
 
--- a/crates/daemon/tests/http_interface.rs
+++ b/crates/daemon/tests/http_interface.rs
@@ -41,7 +41,7 @@
 }
 
 /// Sends a request as it stands and reads the response to its end.
-fn raw(addr: SocketAddr, request: &str) -> String {
+fn send_raw(addr: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
@@ -139,7 +139,7 @@
     let text = format!(
         "{method} {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
     );
-    let response = raw(addr, &text);
+    let response = send_raw(addr, &text);
     assert!(
         response.starts_with(&format!("HTTP/1.1 {status} ")),
         "{response}"
@@ -160,7 +160,7 @@
     let text = format!(
         "PUT /v1/requests/{id} HTTP/1.1\r\nhost: test\r\nconnection: close\r\nidempotency-key: mine\r\ncontent-length: {length}\r\n\r\n{body}"
     );
-    let response = raw(fleet.entry_http(0), &text);
+    let response = send_raw(fleet.entry_http(0), &text);
     assert!(response.contains("\"reason\":\"own-key\""), "{response}");
     assert!(response.contains("\"ran\":\"not-run\""), "{response}");
     assert!(fleet.starts_of(id).is_empty());
@@ -216,7 +216,7 @@
     let is_reached = AtomicBool::new(false);
     // Each caller keeps one request at the entry: the poll holds one of the
     // places itself, so a caller that it displaces has to come again.
-    let keep_one = || {
+    let keep_request_open = || {
         while !is_reached.load(Ordering::SeqCst) {
             let Some(id) = ids.lock().unwrap().pop() else {
                 return;
@@ -230,7 +230,7 @@
     };
     std::thread::scope(|scope| {
         for _ in 0..64 {
-            scope.spawn(keep_one);
+            scope.spawn(keep_request_open);
         }
         wait_until("the limit is reached", || {
             let response = call(addr, Method::GET, "/healthz", &Value::Null).unwrap();
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -44,7 +44,7 @@
     ids.into_iter().enumerate().map(submit_one).collect()
 }
 
-fn ends(calls: Vec<JoinHandle<(String, End)>>) -> Vec<(String, End)> {
+fn join_ends(calls: Vec<JoinHandle<(String, End)>>) -> Vec<(String, End)> {
     calls
         .into_iter()
         .map(|call| call.join().expect("the caller does not panic"))
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn whole_path_through_separate_processes() {
+fn jobs_and_requests_complete_through_separate_processes() {
     let fleet = Fleet::start(2, 3);
     let ids = fleet.take_ids(0, 4);
     let first = submit(fleet.entry_http(0), &ids[0], &job(&[30, 60, 10]));
@@ -68,11 +68,11 @@
         matches!(&first, End::Complete(answer) if answer.results.len() == 3),
         "{first:?}"
     );
-    fleet.check(&ids[0], &first);
+    fleet.check_end(&ids[0], &first);
     for entry in [0, 1, 0] {
         let end = submit(fleet.entry_http(entry), &ids[1], &booking(20));
         assert!(matches!(end, End::Complete(_)), "{end:?}");
-        fleet.check(&ids[1], &end);
+        fleet.check_end(&ids[1], &end);
     }
     assert_eq!(fleet.starts_of(&ids[1]).len(), 1);
     let other_content = submit(fleet.entry_http(1), &ids[1], &booking(21));
@@ -88,9 +88,9 @@
     let cancelled = fleet.call(1, Method::DELETE, &path, &Value::Null).unwrap();
     assert_eq!(cancelled.status, 409, "{}", cancelled.body);
     wait_until("the slot is free", || running(&fleet) == 0);
-    for (id, end) in ends(calls) {
+    for (id, end) in join_ends(calls) {
         assert_eq!(reason(&end), Some(Reason::Cancelled));
-        fleet.check(&id, &end);
+        fleet.check_end(&id, &end);
     }
 }
 
@@ -106,9 +106,9 @@
     }
     // Callers that do not trust the silence ask again through the other entry.
     let again = submit_all(entries.into_iter().rev().collect(), ids, job(&[400, 700]));
-    for (id, end) in ends(calls).into_iter().chain(ends(again)) {
-        assert!(!matches!(end, End::Cut(_)), "{end:?}");
-        fleet.check(&id, &end);
+    for (id, end) in join_ends(calls).into_iter().chain(join_ends(again)) {
+        assert!(!matches!(end, End::NoAnswer(_)), "{end:?}");
+        fleet.check_end(&id, &end);
     }
     fleet.wait_until_known(4);
     let id = &fleet.take_ids(1, 1)[0];
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn frozen_agents_that_resume_cause_no_second_start() {
+fn suspended_agents_that_resume_cause_no_second_start() {
     let fleet = Fleet::start(2, 6);
     let entries = vec![fleet.entry_http(0), fleet.entry_http(1)];
     let ids = fleet.take_ids(0, 40);
@@ -128,20 +128,20 @@
     fleet.wait_until_known(4);
     let again = submit_all(entries, ids, job(&[300, 500]));
     victims().for_each(|agent| agent.signal(Signal::CONT));
-    for (id, end) in ends(calls).into_iter().chain(ends(again)) {
-        assert!(!matches!(end, End::Cut(_)), "{end:?}");
-        fleet.check(&id, &end);
+    for (id, end) in join_ends(calls).into_iter().chain(join_ends(again)) {
+        assert!(!matches!(end, End::NoAnswer(_)), "{end:?}");
+        fleet.check_end(&id, &end);
     }
     fleet.wait_until_known(6);
     for id in fleet.take_ids(1, 20) {
         let end = submit(fleet.entry_http(0), &id, &booking(10));
         assert!(matches!(end, End::Complete(_)), "{end:?}");
-        fleet.check(&id, &end);
+        fleet.check_end(&id, &end);
     }
 }
 
 #[test]
-fn rolling_restart_of_everything_cuts_no_request() {
+fn rolling_restart_of_all_processes_fails_no_request() {
     let mut fleet = Fleet::start(2, 4);
     let stop = Arc::new(AtomicBool::new(false));
     let addresses = Arc::new(std::sync::Mutex::new(vec![
@@ -179,7 +179,7 @@
     for caller in callers {
         for (id, end) in caller.join().expect("the caller does not panic") {
             assert!(matches!(end, End::Complete(_)), "{id}: {end:?}");
-            fleet.check(&id, &end);
+            fleet.check_end(&id, &end);
             served += 1;
         }
     }
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn stopping_entry_is_not_ready_but_serves_what_comes() {
+fn stopping_entry_is_not_ready_but_serves_requests() {
     let mut fleet = Fleet::start(1, 3);
     let entry = fleet.entry_http(0);
     let ids = fleet.take_ids(0, 2);
@@ -232,9 +232,9 @@
     });
     let late = submit(entry, &ids[1], &booking(10));
     assert!(matches!(late, End::Complete(_)), "{late:?}");
-    for (id, end) in ends(calls) {
+    for (id, end) in join_ends(calls) {
         assert!(matches!(end, End::Complete(_)), "{end:?}");
-        fleet.check(&id, &end);
+        fleet.check_end(&id, &end);
     }
     assert!(process.stop().success());
 }
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn two_operators_race_and_one_is_told() {
+fn one_of_two_concurrent_changes_is_refused() {
     let fleet = Fleet::start(2, 3);
     let quota = |weight| {
         json!([{"operation": "put-team", "name": "desk", "team":
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn failed_booking_is_not_tried_again() {
+fn failed_booking_is_not_retried() {
     let fleet = Fleet::start(1, 3);
     let body = json!({
         "service": "bretti-desk", "team": "desk", "kind": "booking", "payload": "run_ms=10 fail",
@@ -334,6 +334,6 @@
         (problem.ran, problem.reason),
         (Ran::Ran, Reason::TaskFailed)
     );
-    fleet.check(id, &end);
+    fleet.check_end(id, &end);
     assert_eq!(fleet.starts_of(id).len(), 1, "a booking was tried again");
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -64,13 +64,13 @@
     missing = { "[node]\naddress = \"127.0.0.1:1\"", "missing field `zone`" },
     no_toml = { "[node", "TOML parse error at line 1" },
 )]
-fn text_that_is_no_settings_is_located(text: &str, expected: &str) {
+fn error_in_settings_text_is_located(text: &str, expected: &str) {
     let error = Settings::parse(text, &[]).unwrap_err().to_string();
     assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn override_goes_before_the_file_and_the_file_before_the_default() {
+fn override_takes_precedence_over_file_and_file_over_default() {
     let text = format!("{GOOD}slots = 4\n");
     assert_eq!(
         Settings::parse(GOOD, &[]).unwrap().agent().unwrap().slots,
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn occupied_address_has_an_exit_code_of_its_own() {
+fn occupied_address_has_its_own_exit_code() {
     let addr = fleet::free_addr();
     let _listener = std::net::TcpListener::bind(addr).unwrap();
     let text = GOOD.replace("127.0.0.1:7100", &addr.to_string());
--- a/crates/daemon/tests/soak/checks.rs
+++ b/crates/daemon/tests/soak/checks.rs
@@ -15,78 +15,78 @@
 use gannetvane_platform_standins::post_job;
 use gannetvane_platform_standins::stored_state;
 
-use crate::clients::JobLog;
-use crate::site::EMPTIED_PLACE;
+use crate::clients::JobRecord;
 use crate::site::EVACUATE_KEY;
-use crate::site::ROOM;
+use crate::site::EVACUATED_INDEX;
 use crate::site::Soak;
-use crate::site::ZONES_PART;
+use crate::site::TASKS_PER_MINION;
+use crate::site::ZONES_DIVISOR;
 
 /// Time from the request until nothing is started there any more, in calm.
-const EVACUATED_WITHIN_MS: u64 = 1_000;
+const EVACUATION_TIMEOUT_MS: u64 = 1_000;
 /// Runs of a task that may fail, as the queue says.
-const ATTEMPTS: usize = 2;
+const MAX_ATTEMPTS: usize = 2;
 /// Minions that must have crashed under a task before its job may be given up.
-const CRASHES_OF_A_FAILED_TASK: usize = 2;
+const MIN_CRASHES_OF_FAILED_TASK: usize = 2;
 /// Minions that a task may take down, wherever its job comes.
-const MOST_CRASHES: usize = 3;
+const MAX_CRASHES: usize = 3;
 /// A job whose task crashes minions, sent in calm, and one that is stored.
-const CALM_CRASHES: [(&str, bool); 2] = [("0000000000e0e0e2", false), ("0000000000e0e0e3", true)];
+const CRASHING_JOBS: [(&str, bool); 2] = [("0000000000e0e0e2", false), ("0000000000e0e0e3", true)];
 /// Time until a stored one has ended.
-const GIVEN_UP_WITHIN: Duration = Duration::from_secs(15);
+const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl Soak {
     /// Waits until every stored job is told as ended by each entry.
-    pub fn wait_stored(&self) {
+    pub fn wait_until_stored_jobs_end(&self) {
         let end = Instant::now() + Duration::from_secs(30);
         let mut jobs = self.jobs.lock().expect("no panic");
         for (id, job) in jobs.iter_mut().filter(|(_, job)| job.is_accepted) {
             for front in &self.fronts {
-                let mut told = JobLog::default();
-                while !told.has_ended() {
+                let mut record = JobRecord::default();
+                while !record.has_ended() {
                     if Instant::now() > end {
-                        self.violate(format!("stored job {id} has not ended"));
+                        self.report_violation(format!("stored job {id} has not ended"));
                         return;
                     }
-                    told.note(&stored_state(front.addr, id));
+                    record.record_answer(&stored_state(front.addr, id));
                     thread::sleep(Duration::from_millis(10));
                 }
-                job.is_completed |= told.is_completed;
-                job.is_failed |= told.is_failed;
+                job.is_completed |= record.is_completed;
+                job.is_failed |= record.is_failed;
             }
             if job.is_completed && job.is_failed {
-                self.violate(format!("stored job {id} was told complete and failed"));
+                self.report_violation(format!("stored job {id} was told complete and failed"));
             }
         }
     }
 
     /// Operators empty a zone and take it back, once all is calm.
     pub fn check_evacuation(&self) {
-        let emptied: Vec<&MinionStandIn> = self
+        let evacuated: Vec<&MinionStandIn> = self
             .minions
             .iter()
-            .skip(EMPTIED_PLACE)
-            .step_by(ZONES_PART)
+            .skip(EVACUATED_INDEX)
+            .step_by(ZONES_DIVISOR)
             .collect();
-        let starts = || -> usize { emptied.iter().map(|minion| minion.starts().len()).sum() };
+        let starts = || -> usize { evacuated.iter().map(|minion| minion.starts().len()).sum() };
         // More tasks than the other zone has room for at once.
-        let tasks = (self.minions.len() - emptied.len()) * ROOM + 4;
-        let fill = |id: &str| post_job(self.fronts[0].addr, id, tasks, 50);
+        let tasks = (self.minions.len() - evacuated.len()) * TASKS_PER_MINION + 4;
+        let post_filling_job = |id: &str| post_job(self.fronts[0].addr, id, tasks, 50);
         self.store.put("keyed.op", EVACUATE_KEY, b"{}");
-        thread::sleep(Duration::from_millis(EVACUATED_WITHIN_MS));
+        thread::sleep(Duration::from_millis(EVACUATION_TIMEOUT_MS));
         let before = starts();
-        fill("0000000000e0e0e0");
+        post_filling_job("0000000000e0e0e0");
         self.wait_served("while a zone is emptied");
         if starts() > before {
-            self.violate("a task was started in a zone that is emptied".to_owned());
+            self.report_violation("a task was started in a zone that is emptied".to_owned());
         }
         self.store.put("keyed.op", EVACUATE_KEY, b"");
         let end = Instant::now() + Duration::from_secs(10);
         while starts() == before && Instant::now() < end {
-            fill("0000000000e0e0e1");
+            post_filling_job("0000000000e0e0e1");
         }
         if starts() == before {
-            self.violate("nothing is started in a zone that was taken back".to_owned());
+            self.report_violation("nothing is started in a zone that was taken back".to_owned());
         }
     }
 
@@ -94,10 +94,10 @@
     fn records(&self) -> BTreeMap<String, TaskRecord> {
         let mut all: BTreeMap<String, TaskRecord> = BTreeMap::new();
         for (task, record) in self.minions.iter().flat_map(MinionStandIn::records) {
-            let sum = all.entry(task).or_default();
-            sum.failures += record.failures;
-            sum.crashes += record.crashes;
-            sum.ended_incarnations += record.ended_incarnations;
+            let total = all.entry(task).or_default();
+            total.failures += record.failures;
+            total.crashes += record.crashes;
+            total.ended_incarnations += record.ended_incarnations;
         }
         all
     }
@@ -108,29 +108,33 @@
         let records = self.records();
         let jobs = self.jobs.lock().expect("no panic");
         for id in jobs.keys() {
-            let of_job = records.iter().filter(|(task, _)| task.starts_with(id));
-            let crashes = of_job.map(|(_, record)| record.crashes).max().unwrap_or(0);
-            if crashes > MOST_CRASHES {
-                self.violate(format!("{id} took down {crashes} minions"));
+            let job_records = records.iter().filter(|(task, _)| task.starts_with(id));
+            let crashes = job_records
+                .map(|(_, record)| record.crashes)
+                .max()
+                .unwrap_or(0);
+            if crashes > MAX_CRASHES {
+                self.report_violation(format!("{id} took down {crashes} minions"));
             }
         }
         for (id, _) in jobs.iter().filter(|(_, job)| job.is_failed) {
-            let mut of_job = records.iter().filter(|(task, _)| task.starts_with(id));
-            let has_cause = of_job.any(|(_, record)| {
-                record.failures >= ATTEMPTS || record.ended_incarnations >= CRASHES_OF_A_FAILED_TASK
+            let mut job_records = records.iter().filter(|(task, _)| task.starts_with(id));
+            let has_cause = job_records.any(|(_, record)| {
+                record.failures >= MAX_ATTEMPTS
+                    || record.ended_incarnations >= MIN_CRASHES_OF_FAILED_TASK
             });
             if !has_cause {
-                self.violate(format!("job {id} was told as failed without cause"));
+                self.report_violation(format!("job {id} was told as failed without cause"));
             }
         }
         let overcommits = self.minions.iter().flat_map(MinionStandIn::overcommits);
-        overcommits.for_each(|what| self.violate(format!("over its room: {what}")));
+        overcommits.for_each(|what| self.report_violation(format!("over its room: {what}")));
     }
 
     /// In calm, a task that crashes minions is given up after a few.
     pub fn check_crashing(&self) {
         let front = self.fronts[0].addr;
-        for (id, is_stored) in CALM_CRASHES {
+        for (id, is_stored) in CRASHING_JOBS {
             let request = JobRequest {
                 id,
                 spec: "crash",
@@ -139,17 +143,17 @@
                 is_stored,
             };
             let mut answer = request.post(front);
-            let end = Instant::now() + GIVEN_UP_WITHIN;
+            let end = Instant::now() + GIVE_UP_TIMEOUT;
             while is_stored && !answer.1.contains("failed") && Instant::now() < end {
                 thread::sleep(Duration::from_millis(20));
                 answer = stored_state(front, id);
             }
-            let is_told = answer.1.contains("failed") || !is_stored && answer.0 == 504;
-            let of_job = self.records().into_iter();
-            let of_job = of_job.filter(|(task, _)| task.starts_with(id));
-            let crashes: usize = of_job.map(|(_, record)| record.crashes).sum();
-            if !is_told || crashes == 0 || crashes > MOST_CRASHES {
-                self.violate(format!("{id}: {crashes} crashes in calm, then {answer:?}"));
+            let is_reported = answer.1.contains("failed") || !is_stored && answer.0 == 504;
+            let job_records = self.records().into_iter();
+            let job_records = job_records.filter(|(task, _)| task.starts_with(id));
+            let crashes: usize = job_records.map(|(_, record)| record.crashes).sum();
+            if !is_reported || crashes == 0 || crashes > MAX_CRASHES {
+                self.report_violation(format!("{id}: {crashes} crashes in calm, then {answer:?}"));
             }
         }
     }
@@ -170,11 +174,12 @@
                 .all(|status| matches!(status, 429 | 503));
             let was_started = started.iter().any(|task| task.starts_with(id.as_str()));
             if is_refused && was_started {
-                self.violate(format!("job {id} was refused as not run, and ran"));
+                self.report_violation(format!("job {id} was refused as not run, and ran"));
             }
-            let is_whole = (0..job.tasks).all(|index| done.contains(&format!("{id}.0.0.{index}")));
-            if job.is_completed && !is_whole {
-                self.violate(format!("job {id} was told complete and is not"));
+            let are_all_tasks_done =
+                (0..job.tasks).all(|index| done.contains(&format!("{id}.0.0.{index}")));
+            if job.is_completed && !are_all_tasks_done {
+                self.report_violation(format!("job {id} was told complete and is not"));
             }
         }
     }
@@ -185,7 +190,7 @@
     while !stop.load(Ordering::Relaxed) {
         let mut seen = BTreeSet::new();
         for tasks in MinionStandIn::running_by_minion(minions) {
-            if tasks.len() > ROOM {
+            if tasks.len() > TASKS_PER_MINION {
                 violations
                     .lock()
                     .expect("no panic")
--- a/crates/daemon/tests/soak/clients.rs
+++ b/crates/daemon/tests/soak/clients.rs
@@ -17,11 +17,11 @@
 /// Pause before a client sends a job again whose answer did not come.
 const RESEND_MS: u64 = 1_300;
 /// One job in this many crashes each minion that starts a task of it, and one fails.
-const BAD_PART: u32 = 30;
+const FAULTY_JOB_DIVISOR: u32 = 30;
 
 /// What callers learned of one job.
 #[derive(Clone, Debug, Default)]
-pub struct JobLog {
+pub struct JobRecord {
     pub tasks: usize,
     pub statuses: Vec<u16>,
     /// Whether it is stored.
@@ -30,9 +30,9 @@
     pub is_failed: bool,
 }
 
-impl JobLog {
+impl JobRecord {
     /// Notes what an answer says of the job's end.
-    pub fn note(&mut self, (status, body): &(u16, String)) {
+    pub fn record_answer(&mut self, (status, body): &(u16, String)) {
         self.is_completed |= *status == 200 && body.contains("completed");
         self.is_failed |= *status == 200 && body.contains("failed");
     }
@@ -55,7 +55,7 @@
         let work_ms = rng.random_range(10..500);
         Self {
             id: format!("{client:04x}{:04x}{sent:08x}", seed & 0xffff),
-            spec: match rng.random_range(0..BAD_PART) {
+            spec: match rng.random_range(0..FAULTY_JOB_DIVISOR) {
                 0 => "crash".to_owned(),
                 1 => "fail".to_owned(),
                 _ => format!("ms={work_ms}"),
@@ -76,10 +76,10 @@
         request.post(front)
     }
 
-    pub fn log(&self) -> JobLog {
-        JobLog {
+    pub fn new_record(&self) -> JobRecord {
+        JobRecord {
             tasks: self.tasks,
-            ..JobLog::default()
+            ..JobRecord::default()
         }
     }
 }
@@ -90,7 +90,7 @@
     number: usize,
     seed: u64,
     fronts: &[SocketAddr],
-    jobs: &Mutex<BTreeMap<String, JobLog>>,
+    jobs: &Mutex<BTreeMap<String, JobRecord>>,
     stop: &AtomicBool,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 1_000 + number as u64);
@@ -98,23 +98,23 @@
     while !stop.load(Ordering::Relaxed) {
         sent += 1;
         let job = ClientJob::draw(number, seed, sent, &mut rng);
-        let mut log = job.log();
-        while !stop.load(Ordering::Relaxed) && !log.is_accepted {
+        let mut record = job.new_record();
+        while !stop.load(Ordering::Relaxed) && !record.is_accepted {
             let front = fronts[rng.random_range(0..fronts.len())];
             let (status, _) = job.post(front, true);
-            log.statuses.push(status);
-            log.is_accepted = status == 200;
-            if matches!(status, 422 | 429 | 503) && log.statuses.len() == 1 {
+            record.statuses.push(status);
+            record.is_accepted = status == 200;
+            if matches!(status, 422 | 429 | 503) && record.statuses.len() == 1 {
                 break;
             }
             thread::sleep(Duration::from_millis(50));
         }
-        while !stop.load(Ordering::Relaxed) && log.is_accepted && !log.has_ended() {
+        while !stop.load(Ordering::Relaxed) && record.is_accepted && !record.has_ended() {
             let front = fronts[rng.random_range(0..fronts.len())];
-            log.note(&stored_state(front, &job.id));
+            record.record_answer(&stored_state(front, &job.id));
             thread::sleep(Duration::from_millis(20));
         }
-        jobs.lock().expect("no panic").insert(job.id, log);
+        jobs.lock().expect("no panic").insert(job.id, record);
     }
 }
 
@@ -123,7 +123,7 @@
     number: usize,
     seed: u64,
     fronts: &[SocketAddr],
-    jobs: &Mutex<BTreeMap<String, JobLog>>,
+    jobs: &Mutex<BTreeMap<String, JobRecord>>,
     stop: &AtomicBool,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 1_000 + number as u64);
@@ -131,17 +131,17 @@
     while !stop.load(Ordering::Relaxed) {
         sent += 1;
         let job = ClientJob::draw(number, seed, sent, &mut rng);
-        let mut log = job.log();
+        let mut record = job.new_record();
         for _ in 0..3 {
             let front = fronts[rng.random_range(0..fronts.len())];
             let answer = job.post(front, false);
-            log.statuses.push(answer.0);
-            log.note(&answer);
+            record.statuses.push(answer.0);
+            record.record_answer(&answer);
             if matches!(answer.0, 200 | 422 | 429 | 503 | 504) {
                 break;
             }
             thread::sleep(Duration::from_millis(RESEND_MS));
         }
-        jobs.lock().expect("no panic").insert(job.id, log);
+        jobs.lock().expect("no panic").insert(job.id, record);
     }
 }
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -6,31 +6,31 @@
 use rand_chacha::ChaCha8Rng;
 use rustix::process::Signal;
 
-use crate::program::Due;
+use crate::program::DueAction;
 use crate::site::EVACUATE_KEY;
-use crate::site::ROOM_MILLI;
+use crate::site::MINION_CPU_MILLI;
 use crate::site::Soak;
 
 impl Soak {
-    pub fn disturb(&mut self, rng: &mut ChaCha8Rng) {
+    pub fn inject_fault(&mut self, rng: &mut ChaCha8Rng) {
         let program = rng.random_range(0..self.programs.len());
         let program = &mut self.programs[program];
         let minion = &self.minions[rng.random_range(0..self.minions.len())];
-        let inner = &self.inner[rng.random_range(0..self.inner.len())];
+        let inner = &self.inner_proxies[rng.random_range(0..self.inner_proxies.len())];
         let front = &self.fronts[rng.random_range(0..self.fronts.len())];
         match rng.random_range(0..27) {
             0 | 1 => {
                 program.signal(Signal::STOP);
-                program.plan(rng.random_range(50..2_500), Due::Resume);
+                program.schedule(rng.random_range(50..2_500), DueAction::Resume);
             }
             2 | 3 => {
                 program.signal(Signal::KILL);
-                program.plan(rng.random_range(20..1_500), Due::Start);
-                program.plan(2_000, Due::Start);
+                program.schedule(rng.random_range(20..1_500), DueAction::Start);
+                program.schedule(2_000, DueAction::Start);
             }
             4 => {
                 program.signal(Signal::TERM);
-                program.plan(6_500, Due::Start);
+                program.schedule(6_500, DueAction::Start);
             }
             5 => program.signal(Signal::HUP),
             6 => self.store.set_fault(StoreFault::Refuses(503)),
@@ -58,8 +58,8 @@
                 self.store.put_raw("keyed.op", &foreign);
             }
             21 => minion.restart_with_same_id(),
-            22 => minion.resize(rng.random_range(1..=ROOM_MILLI)),
-            23 => minion.resize(ROOM_MILLI),
+            22 => minion.resize(rng.random_range(1..=MINION_CPU_MILLI)),
+            23 => minion.resize(MINION_CPU_MILLI),
             24 => self.crash_together(rng),
             _ => {
                 let fault = match rng.random_range(0..6) {
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -31,16 +31,16 @@
 
 /// Entries, agents and clients of a usual run; `GANNETVANE_SOAK_SIZE=10,40,60`
 /// plays larger ones by hand.
-const USUAL_SIZE: Size = Size {
+const DEFAULT_SIZE: Size = Size {
     entries: 2,
     agents: 3,
     clients: 6,
 };
 /// Time with faults, and time for the last of them to pass, in milliseconds.
-const FAULTS_MS: u64 = 7_000;
+const FAULT_PERIOD_MS: u64 = 7_000;
 const SETTLE_MS: u64 = 5_000;
 /// One client in this many sends jobs that are stored.
-const STORING_PART: usize = 3;
+const STORING_CLIENT_DIVISOR: usize = 3;
 
 /// Seeds that every run plays.
 const SEEDS: std::ops::Range<u64> = 0..2;
@@ -52,7 +52,7 @@
 ];
 
 /// What a run came to.
-struct Tally {
+struct RunSummary {
     jobs: usize,
     completed: usize,
     failed: usize,
@@ -60,9 +60,9 @@
     crashes: usize,
 }
 
-fn play(seed: u64) -> Tally {
+fn run_seed(seed: u64) -> RunSummary {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let size = Size::named().unwrap_or(USUAL_SIZE);
+    let size = Size::from_environment().unwrap_or(DEFAULT_SIZE);
     let mut soak = Soak::start(seed, size);
     soak.wait_served("start");
     let stop = Arc::new(AtomicBool::new(false));
@@ -83,26 +83,26 @@
                 Arc::clone(&soak.jobs),
                 Arc::clone(&clients_stop),
             );
-            let run = match number % STORING_PART {
+            let run = match number % STORING_CLIENT_DIVISOR {
                 0 => run_storing_client,
                 _ => run_client,
             };
             thread::spawn(move || run(number, seed, &fronts, &jobs, &stop))
         })
         .collect();
-    let faults_end = Instant::now() + Duration::from_millis(FAULTS_MS);
+    let faults_end = Instant::now() + Duration::from_millis(FAULT_PERIOD_MS);
     while Instant::now() < faults_end {
-        soak.disturb(&mut rng);
+        soak.inject_fault(&mut rng);
         let pause_end = Instant::now() + Duration::from_millis(rng.random_range(20..500));
         while Instant::now() < pause_end {
-            soak.carry_out_due();
+            soak.run_due_actions();
             thread::sleep(Duration::from_millis(5));
         }
     }
-    soak.heal();
+    soak.clear_faults();
     let settle_end = Instant::now() + Duration::from_millis(SETTLE_MS);
     while Instant::now() < settle_end {
-        soak.carry_out_due();
+        soak.run_due_actions();
         thread::sleep(Duration::from_millis(5));
     }
     clients_stop.store(true, Ordering::Relaxed);
@@ -114,7 +114,7 @@
         program.start();
     }
     soak.wait_served("after the faults");
-    soak.wait_stored();
+    soak.wait_until_stored_jobs_end();
     soak.check_evacuation();
     soak.check_crashing();
     stop.store(true, Ordering::Relaxed);
@@ -124,7 +124,7 @@
     let violations = soak.violations.lock().expect("no panic").clone();
     assert!(violations.is_empty(), "seed {seed}: {violations:?}");
     let jobs = soak.jobs.lock().expect("no panic");
-    Tally {
+    RunSummary {
         jobs: jobs.len(),
         completed: jobs.values().filter(|job| job.is_completed).count(),
         failed: jobs.values().filter(|job| job.is_failed).count(),
@@ -133,19 +133,19 @@
 }
 
 #[test]
-fn promises_hold_while_processes_and_connections_fail() {
-    let named = std::env::var("GANNETVANE_SOAK_SEEDS").ok();
-    let named = named.and_then(|range| {
+fn guarantees_hold_while_processes_and_connections_fail() {
+    let requested = std::env::var("GANNETVANE_SOAK_SEEDS").ok();
+    let requested = requested.and_then(|range| {
         let (from, to) = range.split_once("..")?;
         Some(from.parse().ok()?..to.parse().ok()?)
     });
-    let seeds = named.unwrap_or(SEEDS);
+    let seeds = requested.unwrap_or(SEEDS);
     for seed in REGRESSIONS.iter().copied().chain(seeds) {
-        let tally = play(seed);
+        let summary = run_seed(seed);
         println!(
             "seed {seed}: {} of {} jobs complete, {} failed, {} crashes by tasks",
-            tally.completed, tally.jobs, tally.failed, tally.crashes,
+            summary.completed, summary.jobs, summary.failed, summary.crashes,
         );
-        assert!(tally.completed > 0, "seed {seed}: nothing was served");
+        assert!(summary.completed > 0, "seed {seed}: nothing was served");
     }
 }
--- a/crates/daemon/tests/soak/program.rs
+++ b/crates/daemon/tests/soak/program.rs
@@ -13,7 +13,7 @@
 use rustix::process::kill_process;
 
 /// The folder that `GANNETVANE_SOAK_LOGS` names.
-pub fn logs() -> Option<PathBuf> {
+pub fn log_folder() -> Option<PathBuf> {
     std::env::var_os("GANNETVANE_SOAK_LOGS").map(PathBuf::from)
 }
 
@@ -22,11 +22,11 @@
     role: &'static str,
     settings: PathBuf,
     child: Option<Child>,
-    pub due: Vec<(Instant, Due)>,
+    pub due: Vec<(Instant, DueAction)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum DueAction {
     Resume,
     Start,
 }
@@ -60,7 +60,7 @@
 
     /// Where it logs: nowhere, or beside the others in the folder of a run by hand.
     fn output(&self) -> Stdio {
-        let (Some(folder), Some(name)) = (logs(), self.settings.file_stem()) else {
+        let (Some(folder), Some(name)) = (log_folder(), self.settings.file_stem()) else {
             return Stdio::null();
         };
         let path = folder.join(name).with_extension("log");
@@ -87,19 +87,19 @@
         }
     }
 
-    pub fn plan(&mut self, after_ms: u64, due: Due) {
+    pub fn schedule(&mut self, after_ms: u64, due: DueAction) {
         self.due
             .push((Instant::now() + Duration::from_millis(after_ms), due));
     }
 
-    pub fn carry_out_due(&mut self) {
+    pub fn run_due_actions(&mut self) {
         let now = Instant::now();
         let (due, later): (Vec<_>, Vec<_>) = self.due.drain(..).partition(|(at, _)| now >= *at);
         self.due = later;
         for (_, due) in due {
             match due {
-                Due::Resume => self.signal(Signal::CONT),
-                Due::Start => self.start(),
+                DueAction::Resume => self.signal(Signal::CONT),
+                DueAction::Start => self.start(),
             }
         }
     }
--- a/crates/daemon/tests/soak/site.rs
+++ b/crates/daemon/tests/soak/site.rs
@@ -21,18 +21,18 @@
 use gannetvane_platform_standins::settings;
 use rustix::process::Signal;
 
-use crate::clients::JobLog;
-use crate::program::Due;
+use crate::clients::JobRecord;
+use crate::program::DueAction;
 use crate::program::Program;
-use crate::program::logs;
+use crate::program::log_folder;
 
 /// Tasks of one thousandth of a core times thousand that fit on a minion.
-pub const ROOM: usize = 8;
-pub const ROOM_MILLI: u32 = 8_000;
+pub const TASKS_PER_MINION: usize = 8;
+pub const MINION_CPU_MILLI: u32 = 8_000;
 /// One agent in this many, with this place among them, is in another zone, which
 /// operators empty.
-pub const ZONES_PART: usize = 2;
-pub const EMPTIED_PLACE: usize = 1;
+pub const ZONES_DIVISOR: usize = 2;
+pub const EVACUATED_INDEX: usize = 1;
 /// Key of the operators' request to empty it.
 pub const EVACUATE_KEY: &str = "evacuate/hella";
 
@@ -44,7 +44,7 @@
 }
 
 impl Size {
-    pub fn named() -> Option<Self> {
+    pub fn from_environment() -> Option<Self> {
         let text = std::env::var("GANNETVANE_SOAK_SIZE").ok()?;
         let mut numbers = text.split(',').map(str::parse);
         Some(Self {
@@ -60,8 +60,8 @@
     pub minions: Vec<MinionStandIn>,
     pub store: StoreStandIn,
     pub fronts: Vec<Proxy>,
-    pub inner: Vec<Proxy>,
-    pub jobs: Arc<Mutex<BTreeMap<String, JobLog>>>,
+    pub inner_proxies: Vec<Proxy>,
+    pub jobs: Arc<Mutex<BTreeMap<String, JobRecord>>>,
     pub violations: Arc<Mutex<Vec<String>>>,
     folder: PathBuf,
 }
@@ -78,7 +78,7 @@
             minions: Vec::new(),
             store,
             fronts: Vec::new(),
-            inner: Vec::new(),
+            inner_proxies: Vec::new(),
             jobs: Arc::default(),
             violations: Arc::default(),
             folder,
@@ -104,7 +104,7 @@
     fn store_proxy(&mut self) -> SocketAddr {
         let proxy = Proxy::start(self.store.addr);
         let addr = proxy.addr;
-        self.inner.push(proxy);
+        self.inner_proxies.push(proxy);
         addr
     }
 
@@ -126,8 +126,8 @@
         let name = format!("host-{agent}");
         let seed = SocketAddr::new(seed.ip(), link.port());
         let shared = settings(&name, seed, free_addr(), seed, store);
-        let shared = match agent % ZONES_PART {
-            EMPTIED_PLACE => shared.replace("zone = \"selfoss\"", "zone = \"hella\""),
+        let shared = match agent % ZONES_DIVISOR {
+            EVACUATED_INDEX => shared.replace("zone = \"selfoss\"", "zone = \"hella\""),
             _ => shared,
         };
         let text = shared
@@ -137,12 +137,12 @@
             );
         self.add_program("platform-agent", &name, &text);
         self.minions.push(MinionStandIn::start(minion, control));
-        self.inner.push(proxy);
+        self.inner_proxies.push(proxy);
     }
 
     fn add_program(&mut self, role: &'static str, name: &str, text: &str) {
         let path = self.folder.join(format!("{name}.toml"));
-        let text = match logs() {
+        let text = match log_folder() {
             Some(_) => text.replace("log_level = \"critical\"", "log_level = \"info\""),
             None => text.to_owned(),
         };
@@ -168,27 +168,27 @@
         }
     }
 
-    pub fn heal(&mut self) {
+    pub fn clear_faults(&mut self) {
         self.store.set_fault(StoreFault::None);
-        self.inner
+        self.inner_proxies
             .iter()
             .for_each(|proxy| proxy.set_fault(ProxyFault::None));
         self.minions.iter().for_each(|minion| {
             minion.set_unresponsive(false);
             minion.leave_unanswered(0);
-            minion.resize(ROOM_MILLI);
+            minion.resize(MINION_CPU_MILLI);
         });
         for program in &mut self.programs {
             program.signal(Signal::CONT);
-            program.plan(0, Due::Start);
+            program.schedule(0, DueAction::Start);
         }
     }
 
-    pub fn carry_out_due(&mut self) {
-        self.programs.iter_mut().for_each(Program::carry_out_due);
+    pub fn run_due_actions(&mut self) {
+        self.programs.iter_mut().for_each(Program::run_due_actions);
     }
 
-    pub fn violate(&self, what: String) {
+    pub fn report_violation(&self, what: String) {
         self.violations.lock().expect("no panic").push(what);
     }
 }
