--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,15 +1,15 @@
-//! Where the time comes from.
+//! The clock of a process.
 
 use std::fmt::Debug;
 use std::time::Instant;
 
 /// A clock that never goes back.
 pub(crate) trait Clock: Debug + Send + Sync {
-    /// Milliseconds since some fixed point.
+    /// Returns the milliseconds since a fixed point in time.
     fn now_ms(&self) -> u64;
 }
 
-/// The monotonic clock of the machine.
+/// The monotonic clock of the host, counted from the creation of the value.
 #[derive(Debug)]
 pub(crate) struct SystemClock {
     started: Instant,
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -1,4 +1,5 @@
-//! One TCP connection between two processes, with its frames.
+//! One TCP connection between two processes, with its framing: each frame is
+//! preceded by its length, and an empty frame announces the close.
 
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -10,18 +11,18 @@
 use gannetvane_wire::MAX_FRAME_BYTES;
 use mio::net::TcpStream;
 
-/// Bytes of the length before each frame.
+/// Size in bytes of the length before each frame.
 const LENGTH_BYTES: usize = 4;
-/// Bytes that one read takes at most.
+/// Size in bytes of the buffer for one read.
 pub(crate) const READ_BYTES: usize = 64 * 1024;
-/// Bytes that may wait to be written before the connection is given up.
+/// Largest number of queued bytes; with more, the connection is closed as broken.
 const MAX_QUEUED_BYTES: usize = 64 * 1024 * 1024;
 
-/// A connection and what waits on it.
+/// A connection with the bytes received so far and the frames to be written.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
-    /// Where the other process receives, once known.
+    /// Address at which the other process receives, once known.
     pub(crate) peer: Option<SocketAddr>,
     pub(crate) is_established: bool,
     pub(crate) opened_at_ms: u64,
@@ -37,14 +38,14 @@
     written: usize,
 }
 
-/// What reading from a connection gave.
+/// The result of reading from a connection.
 #[derive(Debug, Default)]
 pub(crate) struct Received {
-    /// Whole frames, without their lengths.
+    /// Complete frames, without their lengths.
     pub(crate) frames: Vec<Vec<u8>>,
-    /// The other side closed the connection as planned.
+    /// Whether the other process announced the close with an empty frame.
     pub(crate) is_closed_by_peer: bool,
-    /// The other side is gone, or sent nonsense.
+    /// Whether the connection ended, failed, or carried a frame over the limit.
     pub(crate) is_broken: bool,
 }
 
@@ -62,7 +63,9 @@
         }
     }
 
-    /// Queues a frame; an empty one says goodbye. False when too much waits.
+    /// Queues a frame; an empty payload announces the close.
+    ///
+    /// Returns false when the queue exceeds [`MAX_QUEUED_BYTES`].
     pub(crate) fn queue(&mut self, payload: &[u8]) -> bool {
         let length = u32::try_from(payload.len()).unwrap_or(u32::MAX);
         let mut bytes = Vec::with_capacity(LENGTH_BYTES + payload.len());
@@ -73,7 +76,7 @@
         self.queued_bytes <= MAX_QUEUED_BYTES
     }
 
-    /// Writes what the socket takes.
+    /// Writes queued frames until the socket would block.
     pub(crate) fn flush(&mut self) -> Result<()> {
         if !self.is_established {
             return Ok(());
@@ -94,7 +97,8 @@
         Ok(())
     }
 
-    /// Reads all that is there, through a buffer that the caller keeps.
+    /// Reads until the socket would block, through a buffer of the caller, and
+    /// returns the complete frames.
     pub(crate) fn receive(&mut self, buffer: &mut [u8]) -> Received {
         let mut result = Received::default();
         loop {
@@ -116,7 +120,7 @@
         result
     }
 
-    /// Frames of which nothing was written.
+    /// Returns the payloads of the frames of which no byte was written.
     pub(crate) fn unsent(self) -> impl Iterator<Item = Vec<u8>> {
         self.queued
             .into_iter()
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop of a process: one thread feeds the core and carries out
-//! what it decides.
+//! The event loop of a process: one thread passes inputs to the core and
+//! executes the actions that the core returns.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,22 +43,23 @@
 use crate::role::CoreInput;
 use crate::settings::Settings;
 
-/// Interval between announcements until one is known to be in the log.
+/// Interval between announcements until the log confirms one.
 const ANNOUNCE_RETRY_INTERVAL_MS: u64 = 30_000;
 
-/// An agent announces itself again after this share of the log's retention.
+/// An agent repeats its announcement after the log's retention divided by this.
 const ANNOUNCEMENTS_PER_RETENTION: u64 = 3;
 
-/// Interval between looks for first contacts while no agent is known.
+/// Interval between searches for agents to contact while no agent is known.
 const FIND_CONTACTS_INTERVAL_MS: u64 = 2_000;
 
-/// Interval between records of the sizes, in milliseconds.
+/// Interval between updates of the gauges.
 const SIZES_INTERVAL_MS: u64 = 1_000;
 
 /// Interval between ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The means of a process.
+/// What the event loop uses to execute actions: clock, metrics, transport, log
+/// and, in an agent, the minion.
 pub(crate) struct Runtime {
     pub(crate) addr: SocketAddr,
     pub(crate) clock: Arc<dyn Clock>,
@@ -266,7 +267,7 @@
 
     fn reply(&mut self, caller: CallerId, reply: Reply) {
         if let Some(reply_to) = self.callers.remove(&caller) {
-            // The caller may have gone away.
+            // Fails when the caller no longer waits.
             let _ = reply_to.send(reply);
         }
     }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server and its limits.
+//! The HTTP server of a process and its limits.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -18,24 +18,24 @@
 use crate::problem::refusal_response;
 use crate::problem::rejection;
 
-/// Connections beyond the limit on requests that are still answered, with a
-/// refusal.
+/// Connections accepted beyond the limit on requests, so that their requests
+/// get a refusal as answer.
 const SPARE_CONNECTIONS: usize = 128;
-/// When to come back after a refusal, in milliseconds.
+/// Time after which a refused caller may try again.
 const RETRY_AFTER_MS: u32 = 1_000;
 
-/// Bounds on what callers may send.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HttpLimits {
-    /// Requests served at one time; further ones are refused.
+    /// Largest number of concurrent requests; further ones are refused.
     pub max_requests: usize,
     /// Largest body in bytes.
     pub max_body_bytes: u64,
-    /// Longest pause of a caller while it sends or receives.
+    /// Longest time without progress while a caller sends or receives.
     pub io_timeout: Duration,
 }
 
-/// A request whose body was read.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpCall {
     pub(crate) method: String,
@@ -45,10 +45,10 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// Answers a request.
+/// Returns the response to a request.
 pub(crate) type Handler = dyn Fn(&HttpCall) -> Response<Body> + Send + Sync;
 
-/// Serves callers, operators, scrapers and the balancer.
+/// The HTTP server for callers, operators, metrics scrapers and the balancer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HttpServer {
     active: Arc<AtomicUsize>,
@@ -63,11 +63,11 @@
 }
 
 impl HttpServer {
-    /// Binds the address and serves it on threads of its own.
+    /// Binds the address and serves requests on the server's own threads.
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// An I/O error when the address cannot be bound.
     pub(crate) fn start(
         addr: SocketAddr,
         limits: HttpLimits,
@@ -95,7 +95,7 @@
         Ok(server)
     }
 
-    /// Requests that are being served.
+    /// Returns the number of requests that are being served.
     #[must_use]
     pub fn active(&self) -> usize {
         self.active.load(Ordering::SeqCst)
@@ -103,7 +103,8 @@
 }
 
 fn overloaded() -> Response<Body> {
-    // Another entry may have run it already, so "not run" would be a guess.
+    // Another entry may already have run the submission, so whether it ran is
+    // unknown here.
     let answer = Answer::refusal(Ran::Unknown, Reason::EntryOverloaded, Some(RETRY_AFTER_MS));
     refusal_response(&answer, "try any other entry".to_owned())
 }
--- a/crates/daemon/src/input.rs
+++ b/crates/daemon/src/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the event loop of a process.
+//! The inputs of the event loop of a process.
 
 use std::net::SocketAddr;
 
@@ -12,31 +12,31 @@
 
 use crate::platform::LogReply;
 
-/// What reaches the event loop.
+/// One input of the event loop.
 #[derive(Debug)]
 pub(crate) enum Input {
     /// A message from another process.
     Message(Envelope),
-    /// A connection broke.
+    /// The connection to this address broke.
     PeerDown(SocketAddr),
-    /// A message never left this process.
+    /// No byte of this message was written to its connection.
     Undelivered(Message),
-    /// A caller or operator asks.
+    /// A command of a caller or operator.
     Command(CommandRequest),
-    /// The minion ended a task.
+    /// The run of a task on the minion ended.
     TaskEnded {
-        /// The credit of its start.
+        /// The credit under which the task was started.
         credit: Credit,
-        /// How it ended.
+        /// The result of the run.
         result: TaskResult,
     },
-    /// The platform's log answered.
+    /// A reply of the platform's log.
     Log(LogReply),
-    /// Something failed that only a log line can tell.
+    /// An error of the network thread; it is only logged.
     NetworkError(String),
 }
 
-/// A command and where its reply goes.
+/// A command and the channel for its reply.
 #[derive(Debug)]
 pub(crate) struct CommandRequest {
     pub(crate) command: Command,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The processes of gannetvane: threads, sockets and HTTP around the cores of
-//! `gannetvane-core`.
+//! The processes of gannetvane: they run the cores of `gannetvane-core` and
+//! provide their threads, sockets and HTTP interface.
 
 mod clock;
 mod connection;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,5 @@
-//! `gannetvaned`: runs an entry or an agent.
+//! The program `gannetvaned`: it parses the command line and runs an entry or
+//! an agent.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -22,7 +23,8 @@
 /// Exit code for a process that could not start.
 const EXIT_START: u8 = 3;
 
-/// Variable that names the settings file on the users' platform.
+/// Environment variable with the path of the settings file, used by the
+/// commands for the users' platform when `--settings` is absent.
 const SETTINGS_VARIABLE: &str = "GANNETVANE_CONFIG";
 
 /// Runs a process of gannetvane.
@@ -68,7 +70,7 @@
     /// settings file in TOML
     #[options(required, meta = "FILE")]
     settings: PathBuf,
-    /// section.field=value, before the file
+    /// section.field=value; takes precedence over the file
     #[options(no_short, meta = "FIELD")]
     set: Vec<String>,
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by OpenTelemetry, read by a scraper over HTTP.
+//! OpenTelemetry metrics of a process, exported in the Prometheus text format.
 
 use std::fmt;
 
@@ -29,21 +29,21 @@
     configuration_version: Gauge<u64>,
 }
 
-/// Present sizes of what a process holds.
+/// Current values of the gauges of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Sizes {
-    /// Submissions or callers without an answer.
+    /// Open submissions of an agent, or callers of an entry that wait for an answer.
     pub waiting: usize,
-    /// Submissions whose ids are held.
+    /// Submissions whose ids are retained.
     pub retained: usize,
-    /// Members known.
+    /// Known members.
     pub members: usize,
     /// Version of the configuration in force.
     pub configuration_version: u64,
 }
 
 impl Metrics {
-    /// New metrics, all at zero.
+    /// Creates the metrics, all at zero.
     #[must_use]
     pub fn new() -> Self {
         let (registry, provider) = exported_provider();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Counts something that a core decided.
+    /// Counts one event reported by a core.
     pub fn count(&self, counter: Counter) {
         match counter {
             Counter::Completed => self.count_submission("complete", Reason::None),
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Counts a message that was sent.
+    /// Counts a sent message and its bytes.
     pub fn count_sent(&self, message: &'static str, bytes: usize) {
         let label = [KeyValue::new("message", message)];
         self.messages_sent.add(1, &label);
         self.bytes_sent.add(bytes as u64, &label);
     }
 
-    /// Records the present sizes.
+    /// Sets the gauges.
     pub fn record_sizes(&self, sizes: Sizes) {
         self.waiting.record(sizes.waiting as u64, &[]);
         self.retained.record(sizes.retained as u64, &[]);
@@ -95,7 +95,7 @@
             .record(sizes.configuration_version, &[]);
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         exported_text(&self.registry)
@@ -131,7 +131,7 @@
     KeyValue::new("reason", reason_name(reason))
 }
 
-/// The name of a reason, as in JSON.
+/// Returns the name of a reason as it is written in JSON.
 pub(crate) fn reason_name(reason: Reason) -> String {
     match serde_json::to_value(reason) {
         Ok(serde_json::Value::String(name)) => name,
--- a/crates/daemon/src/minion.rs
+++ b/crates/daemon/src/minion.rs
@@ -1,4 +1,4 @@
-//! The minion beside an agent, over HTTP.
+//! The HTTP client of the minion beside an agent, and the threads that call it.
 
 use std::fmt::Debug;
 use std::io::ErrorKind;
@@ -26,21 +26,21 @@
 
 use crate::input::Input;
 
-/// Largest output of a task in bytes.
+/// Largest size of the output of a task.
 const MAX_OUTPUT_BYTES: u64 = 256 * 1024;
-/// Time to wait for the minion to take a request to stop a task.
+/// Timeout of a request to stop a task.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs tasks.
+/// A minion that runs tasks.
 pub(crate) trait Minion: Debug + Send + Sync {
-    /// Runs a task to its end.
+    /// Runs a task and returns its result after its end.
     fn run(&self, start: &TaskStart) -> TaskResult;
 
-    /// Asks for a running task to be stopped; its run then ends early.
+    /// Requests the stop of a running task; [`Self::run`] then returns early.
     fn stop(&self, task_id: TaskId);
 }
 
-/// A minion that takes tasks over HTTP.
+/// A minion that is called over HTTP.
 pub(crate) struct HttpMinion {
     url: String,
     log: Logger,
@@ -57,8 +57,9 @@
 }
 
 impl HttpMinion {
-    /// The minion at `url`; a task that takes longer than `timeout` counts as
-    /// one whose end is not known.
+    /// Creates a client of the minion at `url`.
+    ///
+    /// A task that takes longer than `timeout` has an unknown result.
     #[must_use]
     pub fn new(url: &str, timeout: Duration, log: Logger) -> Self {
         Self {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// `None` when the kind of task is not a valid header value.
+    /// Builds the request that starts a task; returns `None` when the kind of
+    /// the task is not a valid header value.
     fn request(&self, start: &TaskStart) -> Option<Request<Body>> {
         Request::builder()
             .method(Method::POST)
@@ -82,7 +84,8 @@
             .ok()
     }
 
-    /// The connection broke, so the task may have run.
+    /// Logs an error after which it is unknown whether the task ran, and returns
+    /// the unknown result.
     fn unknown_result(&self, task_id: TaskId, error: &std::io::Error) -> TaskResult {
         warn!(self.log, "task-outcome-unknown"; "task" => %task_id, "error" => %error);
         TaskResult::Unknown
@@ -129,13 +132,13 @@
             .uri(url)
             .body(Body::empty());
         if let Ok(request) = request {
-            // The task runs to its end when the minion does not hear of it.
+            // If the request fails, the task runs to its end.
             let _ = self.stop_client.request(request);
         }
     }
 }
 
-/// One thread for each slot, and one to stop tasks.
+/// The threads that call the minion: one for each slot, and one that stops tasks.
 #[derive(Debug)]
 pub(crate) struct MinionWorkers {
     starts: Sender<TaskStart>,
@@ -165,7 +168,7 @@
     }
 
     pub(crate) fn run(&self, start: TaskStart) {
-        // Fails only when the threads have ended, with the process.
+        // Fails only when the threads have ended together with the process.
         let _ = self.starts.send(start);
     }
 
--- a/crates/daemon/src/net.rs
+++ b/crates/daemon/src/net.rs
@@ -1,7 +1,8 @@
-//! Messages between processes: datagrams for membership, TCP for the rest.
+//! Messages between processes: datagrams for small control messages, such as
+//! those of the membership, and TCP for the rest.
 //!
-//! One thread serves all sockets, so that the number of peers costs neither
-//! threads nor, once idle, connections.
+//! One thread serves all sockets and closes idle connections, so more peers
+//! need no more threads, and idle peers hold no connections.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -46,24 +47,24 @@
 const WAKER: Token = Token(2);
 const FIRST_CONNECTION: usize = 3;
 
-/// Largest message that travels as a datagram, in bytes.
+/// Largest size of a message that is sent as a datagram.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Receive buffer of the datagram socket in bytes.
+/// Size of the receive buffer that is requested for the datagram socket.
 const DATAGRAM_BUFFER_BYTES: usize = 2 * 1024 * 1024;
-/// Time without use after which a connection is closed.
+/// Idle time after which a connection is closed.
 const IDLE_TIMEOUT_MS: u64 = 60_000;
-/// Time to wait for a connection to open.
+/// Time within which a connection must be established.
 const CONNECT_TIMEOUT_MS: u64 = 2_000;
-/// Time for which data may stay unacknowledged before a connection is broken.
+/// Time without acknowledgement of sent data after which TCP breaks a connection.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// Interval between looks for idle connections.
+/// Interval between searches for idle and unestablished connections.
 const SWEEP_INTERVAL_MS: u64 = 500;
-/// Connections that wait to be accepted.
+/// Largest number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
 /// Sends messages to other processes.
 pub(crate) trait Transport: Debug + Send + Sync {
-    /// Sends a message; whether it arrives is not known.
+    /// Sends a message without confirmation that it arrives.
     fn send(&self, to: Peer, message: Message);
 }
 
@@ -83,9 +84,9 @@
 /// The process that the sockets belong to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Identity {
-    /// Its run.
+    /// Identity of this run of the process.
     pub node: NodeId,
-    /// Where it receives.
+    /// Address at which the process receives.
     pub addr: SocketAddr,
 }
 
@@ -94,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// An I/O error when the address cannot be bound or the thread cannot start.
     pub fn start(
         identity: Identity,
         inputs: Sender<Input>,
@@ -129,7 +130,7 @@
 
 impl Transport for Network {
     fn send(&self, to: Peer, message: Message) {
-        // Both fail only when the thread has ended, with the process.
+        // Both fail only when the thread has ended together with the process.
         if self.outgoing.send(Outgoing { to, message }).is_ok() {
             let _ = self.waker.wake();
         }
@@ -145,7 +146,7 @@
     by_peer: BTreeMap<SocketAddr, Token>,
     next_token: usize,
     next_sweep_at_ms: u64,
-    /// Buffer for reads, kept to spare its allocation.
+    /// Buffer for reads, reused to avoid an allocation for each read.
     read_buffer: Vec<u8>,
     inputs: Sender<Input>,
     outgoing_queue: Receiver<Outgoing>,
@@ -219,7 +220,7 @@
                     self.deliver_frame(&self.read_buffer[..read]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // An earlier datagram met a closed port.
+                // An earlier datagram was sent to a closed port.
                 Err(_) => {}
             }
         }
@@ -274,7 +275,8 @@
         }
     }
 
-    /// Answers go back over the connection that a peer opened.
+    /// Assigns a peer to the connection that it opened, so that answers are sent
+    /// over the same connection.
     fn set_peer(&mut self, token: Token, from: SocketAddr) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
@@ -300,7 +302,7 @@
             .count_sent(outgoing.message.name(), bytes.len());
         let to = outgoing.to.addr;
         if outgoing.message.is_control() && bytes.len() <= MAX_DATAGRAM_BYTES {
-            // Lost datagrams are made up for by the next probe or pull.
+            // The next probe or pull compensates for a lost datagram.
             let _ = self.datagrams.send_to(&bytes, to);
             return;
         }
@@ -390,7 +392,7 @@
     }
 
     fn deliver(&self, input: Input) {
-        // Fails only when the process is stopping.
+        // Fails only when the event loop has ended.
         let _ = self.inputs.send(input);
     }
 }
@@ -407,7 +409,7 @@
 fn bind_datagrams(addr: SocketAddr) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(addr), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_nonblocking(true)?;
-    // The system may grant less.
+    // The system may grant a smaller buffer.
     let _ = socket.set_recv_buffer_size(DATAGRAM_BUFFER_BYTES);
     socket.bind(&addr.into())?;
     Ok(UdpSocket::from_std(socket.into()))
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log, over HTTP.
+//! The HTTP client of the platform's append-only log, and the thread that calls it.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -24,18 +24,19 @@
 
 /// Stream of configuration records.
 const CONFIGURATION_STREAM: &str = "configuration";
-/// Stream in which agents announce where they receive.
+/// Stream in which agents announce the addresses at which they receive.
 const AGENTS_STREAM: &str = "agents";
-/// Records in one page.
+/// Largest number of records in one page.
 const MAX_PAGE_RECORDS: usize = 256;
-/// Calls that wait for the log before further ones are dropped.
+/// Largest number of queued calls; further ones are dropped.
 const MAX_QUEUED_CALLS: usize = 64;
-/// Newest announcements that are used as contacts.
+/// Largest number of announced addresses used as contacts; the newest are used.
 const MAX_CONTACTS: usize = 64;
-/// Largest reply of the log in bytes.
+/// Size at which a reply of the log is cut off.
 const MAX_REPLY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A call to the log that failed. An append may have taken effect.
+/// The error of a failed call to the log. An append may have taken effect all
+/// the same.
 #[derive(Debug, Error)]
 pub(crate) enum LogError {
     /// The log cannot be reached or did not answer in time.
@@ -47,18 +48,18 @@
         /// The HTTP status.
         status: u16,
     },
-    /// The log's answer cannot be read.
+    /// The log's answer is not the expected JSON.
     #[error("log answer not understood: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The call cannot be made.
+    /// The request cannot be built.
     #[error("call not valid: {reason}")]
     Invalid {
-        /// Why not.
+        /// Why the request is invalid.
         reason: String,
     },
 }
 
-/// The platform's log.
+/// A client of the platform's log.
 pub(crate) trait LogClient: Debug + Send {
     /// Appends a configuration record.
     ///
@@ -67,29 +68,30 @@
     /// [`LogError`]; the record may have been appended all the same.
     fn append(&self, record: &LogRecord) -> Result<(), LogError>;
 
-    /// Reads configuration records from an offset on.
+    /// Returns a page of configuration records that starts at an offset.
     ///
     /// # Errors
     ///
-    /// [`LogError`] when the log gives no page.
+    /// [`LogError`] when the log returns no page.
     fn read(&self, from_offset: u64) -> Result<LogPage, LogError>;
 
-    /// Announces where this agent receives.
+    /// Announces the address at which this agent receives.
     ///
     /// # Errors
     ///
     /// [`LogError`]; the announcement may have been appended all the same.
     fn announce(&self, addr: SocketAddr) -> Result<(), LogError>;
 
-    /// Where agents lately announced that they receive.
+    /// Returns the addresses that agents announced most recently, or addresses
+    /// from an entry when the log returns none.
     ///
     /// # Errors
     ///
-    /// [`LogError`] when neither the log nor an entry can be reached.
+    /// [`LogError`] when neither the log nor an entry returns addresses.
     fn contacts(&self) -> Result<Vec<SocketAddr>, LogError>;
 }
 
-/// The log's own HTTP protocol.
+/// A client that uses the HTTP protocol of the log.
 pub(crate) struct HttpLog {
     url: String,
     balancer_url: Option<String>,
@@ -124,8 +126,10 @@
 }
 
 impl HttpLog {
-    /// A client of the log at `url`; `balancer_url` leads to any entry, for
-    /// first contact while the log is down.
+    /// Creates a client of the log at `url`.
+    ///
+    /// The balancer at `balancer_url` forwards to any entry; the client asks it
+    /// for contacts while the log is down or has none.
     #[must_use]
     pub fn new(url: &str, balancer_url: Option<&str>, timeout: Duration) -> Self {
         let trimmed = |url: &str| url.trim_end_matches('/').to_owned();
@@ -232,7 +236,7 @@
     }
 }
 
-/// A call for the thread that talks to the log.
+/// A call to be made by the thread of a [`LogWorker`].
 #[derive(Debug)]
 pub(crate) enum LogCall {
     Append(LogRecord),
@@ -241,7 +245,7 @@
     FindContacts,
 }
 
-/// What the log answered.
+/// The result of a call to the log.
 #[derive(Debug)]
 pub(crate) enum LogReply {
     Page(LogPage),
@@ -251,7 +255,7 @@
     Failed(LogError),
 }
 
-/// The thread that talks to the log, one call at a time.
+/// A handle of the thread that makes calls to the log, one at a time.
 #[derive(Clone, Debug)]
 pub(crate) struct LogWorker {
     calls: Sender<LogCall>,
@@ -266,7 +270,8 @@
         Ok(Self { calls })
     }
 
-    /// Queues a call; dropped when the log is too slow, and made again later.
+    /// Queues a call. When the queue is full because the log is slow, the call
+    /// is dropped; its sender makes it again later.
     pub(crate) fn call(&self, call: LogCall) {
         let _ = self.calls.try_send(call);
     }
--- a/crates/daemon/src/problem.rs
+++ b/crates/daemon/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures as HTTP responses.
+//! HTTP responses for answers, refusals and failures.
 
 use gannetvane_wire::Answer;
 use gannetvane_wire::Outcome;
@@ -19,13 +19,13 @@
 const JSON: &str = "application/json";
 const PROBLEM_JSON: &str = "application/problem+json";
 
-/// How a reason is told to the caller.
+/// The HTTP status and the problem title for a reason.
 struct StatusAndTitle {
     status: u16,
     title: &'static str,
 }
 
-/// The response to a final answer.
+/// Returns the response for a final answer.
 pub(crate) fn answer_response(id: SubmissionId, answer: &Answer) -> Response<Body> {
     if answer.outcome == Outcome::Complete {
         let results = answer
@@ -44,17 +44,17 @@
     problem_response(&build_problem(answer, format!("submission {id}")))
 }
 
-/// The response to a refusal of something other than a submission.
+/// Returns the response for a refusal of something other than a submission.
 pub(crate) fn refusal_response(answer: &Answer, detail: String) -> Response<Body> {
     problem_response(&build_problem(answer, detail))
 }
 
-/// The response to a request that can never be served as it is.
+/// Returns the response for a request that cannot be served without a change.
 pub(crate) fn rejection(reason: Reason, detail: impl Into<String>) -> Response<Body> {
     refusal_response(&Answer::refusal(Ran::NotRun, reason, None), detail.into())
 }
 
-/// A response with a JSON body.
+/// Returns a response with a JSON body.
 pub(crate) fn json_response(status: u16, body: &impl Serialize) -> Response<Body> {
     response(
         status,
@@ -63,7 +63,7 @@
     )
 }
 
-/// A response with a text body.
+/// Returns a response with a text body.
 pub(crate) fn text_response(status: u16, text: &str) -> Response<Body> {
     response(status, "text/plain; charset=utf-8", text.to_owned())
 }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,5 +1,5 @@
-//! The event loop of a process: one thread feeds the core and carries out
-//! what it decides.
+//! The start of an entry or agent process: it builds the core, the event loop
+//! and the HTTP server from the settings and runs them.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -41,23 +41,23 @@
 use crate::settings::Settings;
 use crate::settings::SettingsError;
 
-/// A process that could not start.
+/// The error of a process that cannot start.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// The settings do not suit the role.
+    /// The settings cannot be used, or lack the section of the role.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// An address cannot be bound, or a thread cannot start.
     #[error("{component}: {source}")]
     Start {
-        /// What was to start.
+        /// What could not start.
         component: String,
-        /// Why it did not.
+        /// Why it could not start.
         source: std::io::Error,
     },
 }
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until `stop` is set and the planned stop has ended.
 ///
 /// # Errors
 ///
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until `stop` is set and the planned stop has ended.
 ///
 /// # Errors
 ///
@@ -181,7 +181,7 @@
     u32::try_from(retention_ms / GENERATION_MS + 1).unwrap_or(u32::MAX)
 }
 
-/// Members are remembered for longer than any id that names them is held.
+/// Returns the retention of members: longer than that of any id that names them.
 fn retention_ms(settings: &Settings) -> u64 {
     (u64::from(kept_generations(settings)) + 2) * GENERATION_MS
 }
@@ -199,7 +199,7 @@
     HttpServer::start(addr, limits, handler).map_err(|e| start_error(&format!("http {addr}"), e))
 }
 
-/// The HTTP interface of an agent.
+/// Returns the response of an agent to an HTTP request.
 fn handle_agent_request(
     call: &HttpCall,
     metrics: &Metrics,
--- a/crates/daemon/src/role.rs
+++ b/crates/daemon/src/role.rs
@@ -1,4 +1,4 @@
-//! The cores of an entry and an agent, as the event loop sees them.
+//! The interface between the event loop and the core of an entry or an agent.
 
 use std::net::SocketAddr;
 
@@ -15,27 +15,28 @@
 use crate::http::HttpServer;
 use crate::metrics::Sizes;
 
-/// The core of a process, whatever its role.
+/// The core of an entry or an agent.
 pub(crate) trait Core {
-    /// Handles an event.
+    /// Handles an input and returns the actions to execute.
     fn handle(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action>;
-    /// Does what is due.
+    /// Does the work that is due and returns the actions to execute.
     fn tick(&mut self, now_ms: u64) -> Vec<Action>;
-    /// Adds addresses for the first contact.
+    /// Adds addresses of agents to contact first.
     fn add_contacts(&mut self, contacts: Vec<SocketAddr>);
-    /// Begins a planned stop.
+    /// Starts a planned stop and returns the actions to execute.
     fn start_stop(&mut self, now_ms: u64) -> Vec<Action>;
-    /// Whether the balancer may send requests here.
+    /// Returns whether the process is ready; the balancer sends requests only to
+    /// ready processes.
     fn is_ready(&self) -> bool;
-    /// Whether a stop that was asked for may end the process now.
+    /// Returns whether the process may end now because of a requested stop.
     fn can_stop(&self, now_ms: u64, http: &HttpServer) -> bool;
-    /// Whether no other agent is known.
+    /// Returns whether no other agent is known.
     fn has_no_other_agents(&self) -> bool;
-    /// Present sizes, for the metrics.
+    /// Returns the current values of the gauges.
     fn sizes(&self) -> Sizes;
 }
 
-/// What a core handles, without the means of the process.
+/// One input of a core.
 pub(crate) enum CoreInput {
     Message(Envelope),
     PeerDown(SocketAddr),
@@ -85,7 +86,7 @@
     }
 
     fn can_stop(&self, _now_ms: u64, _http: &HttpServer) -> bool {
-        // The core says when its table has moved.
+        // The core returns `Action::Stop` once its table has moved to other agents.
         false
     }
 
--- a/crates/daemon/src/routes.rs
+++ b/crates/daemon/src/routes.rs
@@ -1,4 +1,5 @@
-//! The HTTP interface of an entry, as commands to its core.
+//! The HTTP interface of an entry: it turns requests into commands for the
+//! core, and replies into responses.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -37,17 +38,19 @@
 use crate::problem::rejection;
 use crate::problem::text_response;
 
-/// Most ids in one reply.
+/// Largest number of ids in one reply.
 const MAX_IDS: usize = 10_000;
-/// Most tasks that any submission may have; services may allow fewer.
+/// Largest number of tasks of any submission; services may allow fewer.
 const MAX_TASKS: usize = 1_024;
-/// Longest name in bytes.
+/// Largest length of a name.
 const MAX_NAME_BYTES: usize = 64;
-/// Addresses in a reply to a process that looks for agents.
+/// Largest number of addresses in a reply to a process that looks for agents.
 const MAX_CONTACTS: usize = 16;
-/// Time that a question for an answer waits when it does not say.
+/// Time for which a lookup without `wait_ms`, a cancellation or a change waits
+/// for the answer.
 const DEFAULT_WAIT_MS: u64 = 30_000;
-/// Time after which a core that does not reply counts as stopped.
+/// Time beyond the wait of a command after which a core that does not reply is
+/// taken to be stopping.
 const CORE_REPLY_GRACE: Duration = Duration::from_secs(10);
 
 type Refusal = Box<Response<Body>>;
@@ -62,7 +65,7 @@
 }
 
 impl Routes {
-    /// Answers one request.
+    /// Returns the response to one request.
     pub(crate) fn handle(&self, call: &HttpCall) -> Response<Body> {
         let segments: Vec<&str> = call.path.trim_matches('/').split('/').collect();
         let response = match (call.method.as_str(), segments.as_slice()) {
@@ -258,7 +261,8 @@
         Ok(json_response(200, &ContactsBody { addresses }))
     }
 
-    /// Hands a command to the core and waits for its reply.
+    /// Sends a command to the core and waits for its reply, for at most `wait_ms`
+    /// and [`CORE_REPLY_GRACE`].
     fn send_command(&self, command: Command, wait_ms: u64) -> Result<Reply, Refusal> {
         let (reply_to, reply) = bounded(1);
         let stopping_response = || {
@@ -279,7 +283,7 @@
     }
 }
 
-/// The response of `/readyz`.
+/// Returns the response of `/readyz`.
 pub(crate) fn readiness(is_ready: &AtomicBool) -> Response<Body> {
     if is_ready.load(Ordering::SeqCst) {
         text_response(200, "ready\n")
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of a process, from a TOML file.
+//! The settings of a process, read from a TOML file.
 //!
-//! Precedence: a `--set section.field=value` on the command line goes before
-//! the file, and the file before the defaults.
+//! A `--set section.field=value` on the command line takes precedence over the
+//! file, and the file over the defaults.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,15 +11,15 @@
 use toml::Table;
 use toml::Value;
 
-/// Settings that cannot be used.
+/// The error of settings that cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// Why the file cannot be read.
         source: std::io::Error,
     },
     /// The text is not valid TOML, or a field has the wrong name or type.
@@ -28,25 +28,25 @@
     /// An override is not of the form `section.field=value`.
     #[error("--set {text}: not of the form section.field=value")]
     Override {
-        /// The override.
+        /// The text of the override.
         text: String,
     },
     /// A field is out of its range.
     #[error("{field}: {value} given, {allowed} allowed")]
     Range {
-        /// The field with its section.
+        /// The field, preceded by its section and a dot.
         field: &'static str,
         /// The value given.
         value: String,
-        /// What would be accepted.
+        /// The values that are allowed.
         allowed: String,
     },
-    /// A section is missing that the role needs.
+    /// A section that the role needs is missing.
     #[error("[{section}]: missing, needed by {role}")]
     Missing {
-        /// The section.
+        /// The name of the section.
         section: &'static str,
-        /// The role.
+        /// The role that needs the section.
         role: &'static str,
     },
 }
@@ -55,24 +55,24 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Addresses and place.
+    /// Address and availability zone.
     pub node: NodeSection,
     /// HTTP interface.
     pub http: HttpSection,
-    /// First contact.
+    /// First contact with the agents.
     #[serde(default)]
     pub contact: ContactSection,
     /// The platform's log.
     pub log: LogSection,
-    /// Entry only.
+    /// Settings that only an entry uses.
     #[serde(default)]
     pub entry: EntrySection,
-    /// Agent only.
+    /// Settings that only an agent uses.
     pub agent: Option<AgentSection>,
-    /// Membership.
+    /// Failure detection between agents.
     #[serde(default)]
     pub membership: MembershipSection,
-    /// Retained answers.
+    /// Retention of answers.
     #[serde(default)]
     pub answers: AnswersSection,
     /// Log lines of this process.
@@ -80,53 +80,54 @@
     pub logging: LoggingSection,
 }
 
-/// Addresses and place of the process.
+/// Address and availability zone of the process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSection {
-    /// Where it receives UDP and TCP from other processes.
+    /// Address at which the process receives UDP and TCP from other processes.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the process.
     pub zone: String,
 }
 
-/// HTTP interface.
+/// Settings of the HTTP interface.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HttpSection {
-    /// Where it listens.
+    /// Address at which the HTTP server listens.
     pub address: SocketAddr,
-    /// Requests served at one time.
+    /// Largest number of concurrent requests.
     #[serde(default = "defaults::max_requests")]
     pub max_requests: usize,
-    /// Largest body in bytes.
+    /// Largest size of a request body, in bytes.
     #[serde(default = "defaults::max_body_bytes")]
     pub max_body_bytes: u64,
-    /// Longest pause of a caller while it sends or receives, in milliseconds.
+    /// Longest time without progress while a caller sends or receives, in
+    /// milliseconds.
     #[serde(default = "defaults::io_timeout_ms")]
     pub io_timeout_ms: u64,
 }
 
-/// First contact with the agents.
+/// Settings of the first contact with the agents.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ContactSection {
-    /// Addresses of agents, besides those announced in the log.
+    /// Addresses of agents, in addition to those announced in the log.
     pub addresses: Vec<SocketAddr>,
-    /// The balancer before the entries, for use while the log is down.
+    /// URL of the balancer in front of the entries, used while the log is down.
     pub balancer_url: Option<String>,
 }
 
-/// The platform's log.
+/// Settings of the platform's log.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSection {
-    /// Its HTTP address.
+    /// URL of the log.
     pub url: String,
-    /// Time to wait for an answer, in milliseconds.
+    /// Timeout of a call to the log, in milliseconds.
     #[serde(default = "defaults::log_timeout_ms")]
     pub timeout_ms: u64,
-    /// Time for which it keeps records, in milliseconds.
+    /// Time for which the log retains records, in milliseconds.
     #[serde(default = "defaults::log_retention_ms")]
     pub retention_ms: u64,
 }
@@ -135,10 +136,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntrySection {
-    /// Longest deadline that a caller may ask for, in milliseconds.
+    /// Longest deadline that a caller may request, in milliseconds.
     pub max_deadline_ms: u64,
-    /// Time for which requests are still served after a stop was asked for, at
-    /// least, in milliseconds: the balancer needs it to move on.
+    /// Shortest time for which requests are still served after a stop was
+    /// requested, in milliseconds. The balancer needs it to switch to other entries.
     pub stop_notice_ms: u64,
 }
 
@@ -155,37 +156,38 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSection {
-    /// The service of its minion.
+    /// Service of the minion.
     pub service: String,
-    /// The minion's HTTP address.
+    /// URL of the minion.
     pub minion_url: String,
-    /// Slots of the minion.
+    /// Number of slots of the minion.
     #[serde(default = "defaults::slots")]
     pub slots: u16,
-    /// Time after which a running task is given up, in milliseconds.
+    /// Time after which the agent stops waiting for the result of a running task,
+    /// in milliseconds.
     #[serde(default = "defaults::task_timeout_ms")]
     pub task_timeout_ms: u64,
-    /// Memory of the worker for one task, in megabytes.
+    /// Memory that the worker has for one task, in megabytes.
     #[serde(default)]
     pub memory_mb: u32,
-    /// Accelerators of the worker for one task.
+    /// Accelerators that the worker has for one task.
     #[serde(default)]
     pub accelerators: u16,
-    /// Time after the start of a planned stop for which new submissions are
-    /// still taken, in milliseconds.
+    /// Time for which new submissions are still accepted after the start of a
+    /// planned stop, in milliseconds.
     #[serde(default = "defaults::leave_notice_ms")]
     pub leave_notice_ms: u64,
 }
 
-/// Times of the failure detector.
+/// Settings of the failure detector.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipSection {
-    /// Interval between probes in milliseconds.
+    /// Interval between probes, in milliseconds.
     pub period_ms: u64,
-    /// Time to wait for the answer to a probe, in milliseconds.
+    /// Timeout of the answer to a probe, in milliseconds.
     pub ack_timeout_ms: u64,
-    /// Time from suspicion to death in milliseconds.
+    /// Time after which a suspected member is declared dead, in milliseconds.
     pub suspicion_ms: u64,
 }
 
@@ -199,13 +201,13 @@
     }
 }
 
-/// Answers that are kept for callers that ask again.
+/// Settings of the answers that are retained for repeated requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AnswersSection {
-    /// Time for which ids and answers are kept, in minutes.
+    /// Time for which ids and answers are retained, in minutes.
     pub retention_min: u32,
-    /// Most bytes of task output kept.
+    /// Largest total size of the retained task output, in bytes.
     pub max_bytes: usize,
 }
 
@@ -218,11 +220,11 @@
     }
 }
 
-/// Log lines.
+/// Settings of the log lines of this process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoggingSection {
-    /// Least level: `debug`, `info`, `warning` or `error`.
+    /// Lowest level that is logged: `debug`, `info`, `warning` or `error`.
     pub level: String,
 }
 
@@ -273,7 +275,9 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the field, its value and what is allowed.
+    /// [`SettingsError`] when the file cannot be read, an override is malformed, or
+    /// a field has a wrong name, type or value; its text names the field, its value
+    /// and what is allowed.
     pub fn load(path: &Path, overrides: &[String]) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::File {
             path: path.display().to_string(),
@@ -282,14 +286,16 @@
         Self::parse(&text, overrides)
     }
 
-    /// Like [`Self::load`], from the text of a file.
+    /// Parses the text of a settings file, applies overrides and checks every
+    /// field.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the field, its value and what is allowed.
+    /// [`SettingsError`] when an override is malformed, or a field has a wrong name,
+    /// type or value; its text names the field, its value and what is allowed.
     pub fn parse(text: &str, overrides: &[String]) -> Result<Self, SettingsError> {
         let settings: Self = if overrides.is_empty() {
-            // Straight from the text, so that errors name the line.
+            // Parsed directly from the text, so that errors name the line.
             toml::from_str(text)?
         } else {
             let mut table: Table = toml::from_str(text)?;
@@ -302,7 +308,7 @@
         Ok(settings)
     }
 
-    /// The section of an agent.
+    /// Returns the section of an agent.
     ///
     /// # Errors
     ///
@@ -411,7 +417,8 @@
     }
 }
 
-/// Sets `section.field` to a value, read as TOML or else as a string.
+/// Sets `section.field` to a value, which is parsed as TOML, or taken as a
+/// string when it is not valid TOML.
 fn apply_override(table: &mut Table, text: &str) -> Result<(), SettingsError> {
     let invalid = || SettingsError::Override {
         text: text.to_owned(),
@@ -479,7 +486,8 @@
     })
 }
 
-/// The others must be able to reach the address as it stands.
+/// Checks that other processes can reach the address as it is written: it needs
+/// an IP address other than the unspecified one, and a port.
 fn check_address(field: &'static str, value: SocketAddr) -> Result<(), SettingsError> {
     if !value.ip().is_unspecified() && value.port() != 0 {
         return Ok(());
--- a/crates/daemon/tests/fleet/mod.rs
+++ b/crates/daemon/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet of real processes on loopback, with stand-ins for the
-//! platform inside the test. All waits are on conditions.
+//! A small fleet of real processes on loopback, with stand-ins for the platform
+//! inside the test process. The tests wait for conditions, not for fixed times.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -35,7 +35,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Longest wait for a condition: far above what any takes, for slow machines.
+/// Longest wait for a condition, far above the usual time, for slow hosts.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const ZONES: [&str; 3] = ["selfoss", "hella", "thorlak"];
@@ -44,7 +44,7 @@
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// A process of gannetvane; ended with the test.
+/// A process of gannetvane; it is killed when the value is dropped.
 pub struct Process {
     pub child: Child,
     pub addr: SocketAddr,
@@ -64,7 +64,7 @@
         kill_process(pid, signal).expect("the process exists");
     }
 
-    /// Asks for a planned stop and waits for its end.
+    /// Requests a planned stop and waits until the process ends.
     pub fn stop(mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         let mut status = None;
@@ -88,12 +88,12 @@
     pub body: String,
 }
 
-/// How a submission ended, as its caller saw it.
+/// The end of a submission as its caller saw it.
 #[derive(Clone, Debug)]
 pub enum End {
     Complete(AnswerBody),
     Problem(Problem),
-    /// The connection broke or was refused.
+    /// The connection broke or was refused, or the body was not the expected JSON.
     NoAnswer(String),
 }
 
@@ -107,7 +107,8 @@
 }
 
 impl Fleet {
-    /// Processes that are in touch, with the service `bretti-desk` configured.
+    /// Starts entries and agents, waits until the entries know all agents, and
+    /// configures the service `bretti-desk`.
     pub fn start(entries: usize, agents: usize) -> Self {
         let log = LogService::new(Duration::from_secs(3_600));
         let log_addr = free_addr();
@@ -198,7 +199,7 @@
         self.call(0, Method::PUT, &path, &body).expect("an answer")
     }
 
-    /// Waits until each entry sees this many live agents.
+    /// Waits until each entry reports this many live agents.
     pub fn wait_until_known(&self, agents: usize) {
         for index in self.running_entries() {
             wait_until("all agents are known", || {
@@ -248,14 +249,15 @@
             .ids
     }
 
-    /// All starts of tasks of a submission that may run only once.
+    /// Returns the starts of those tasks of a submission that may run only once.
     pub fn starts_of(&self, id: &str) -> Vec<String> {
         let starts = self.minions.iter().flat_map(MinionStandIn::starts);
         let own = starts.filter(|start| start.task.starts_with(id) && !start.is_repeatable);
         own.map(|start| start.task).collect()
     }
 
-    /// Checks what must hold of an end that a caller was told.
+    /// Checks that no task was started twice, and that the end reported to the caller
+    /// matches the starts.
     pub fn check_end(&self, id: &str, end: &End) {
         let mut starts = self.starts_of(id);
         let count = starts.len();
@@ -276,7 +278,7 @@
     }
 }
 
-/// Submits to the HTTP address of an entry and waits for the end.
+/// Submits a job or request to the HTTP address of an entry and returns its end.
 pub fn submit(entry: SocketAddr, id: &str, body: &Value) -> End {
     let kind = if body.get("tasks").is_some() {
         "jobs"
@@ -359,25 +361,25 @@
     }
 }
 
-/// An address on loopback that nothing else uses: each test process has an
-/// address of its own, apart from that of outgoing connections.
+/// Returns an unused loopback address: each test process has its own IP address,
+/// which outgoing connections do not use.
 pub fn free_addr() -> SocketAddr {
     let [low, high, ..] = std::process::id().to_le_bytes();
     let ip = Ipv4Addr::new(127, 1 + high % 250, low, 1);
-    // Not tried out first: a child that another test starts at that moment
-    // would hold the socket for a while.
+    // The port is not bound first to test it: a child process that another test
+    // starts at that moment would inherit the socket and hold it for a while.
     let port = FIRST_PORT + NEXT_PORT.fetch_add(1, Ordering::SeqCst) % PORT_COUNT;
     SocketAddr::new(ip.into(), port)
 }
 
-/// Where a process writes its log lines; read when a test fails.
+/// Creates the file for the log lines of a process, for use when a test fails.
 fn log_file(role: &str, addr: SocketAddr) -> std::fs::File {
     let name = format!("{role}-{}-{}.log", std::process::id(), addr.port());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::File::create(path).expect("the folder can be written to")
 }
 
-/// A settings file with this text, in a folder for this test run.
+/// Writes a settings file with this text to the temporary folder of the tests.
 pub fn settings_file(text: &str) -> PathBuf {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
--- a/crates/daemon/tests/http_interface.rs
+++ b/crates/daemon/tests/http_interface.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what they are told when it is too much.
+//! Checks the limits of the HTTP interface and its answers to invalid requests.
 
 #![allow(clippy::unwrap_used, reason = "tests")]
 
@@ -28,7 +28,7 @@
 use serde_json::json;
 use yare::parameterized;
 
-/// A fleet that the tests share; it is ended with the last test that uses it.
+/// Returns the fleet that the tests share; it ends when no test uses it.
 fn shared() -> Arc<Fleet> {
     static FLEET: Mutex<Weak<Fleet>> = Mutex::new(Weak::new());
     let mut shared = FLEET.lock().unwrap_or_else(PoisonError::into_inner);
@@ -40,13 +40,13 @@
     fleet
 }
 
-/// Sends a request as it stands and reads the response to its end.
+/// Sends the text of a request unchanged and returns the complete response.
 fn send_raw(addr: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
         .unwrap();
-    // The server may answer and close before all is sent.
+    // Fails when the server answers and closes before it has read everything.
     let _ = stream.write_all(request.as_bytes());
     let mut response = Vec::new();
     let mut chunk = [0; 4096];
@@ -202,7 +202,7 @@
         assert!(matches!(end, End::Complete(_)), "{end:?}");
     }
     for stream in &mut slow {
-        // Ends when the server gives up on the header.
+        // Ends when the server's timeout for the header expires.
         let mut response = Vec::new();
         let _ = stream.read_to_end(&mut response);
     }
@@ -214,8 +214,8 @@
     let addr = fleet.entry_http(0);
     let ids = Mutex::new(fleet.take_ids(0, 1_024));
     let is_reached = AtomicBool::new(false);
-    // Each caller keeps one request at the entry: the poll holds one of the
-    // places itself, so a caller that it displaces has to come again.
+    // Each caller keeps one request open. The poll below also takes one of the
+    // allowed requests, so a caller that is refused because of it must try again.
     let keep_request_open = || {
         while !is_reached.load(Ordering::SeqCst) {
             let Some(id) = ids.lock().unwrap().pop() else {
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -1,4 +1,5 @@
-//! The promises, kept by real processes that are killed, frozen and stopped.
+//! Checks the guarantees with real processes that are killed, suspended and
+//! stopped.
 
 #![allow(clippy::unwrap_used, clippy::needless_pass_by_value, reason = "tests")]
 
@@ -27,7 +28,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Submits in the background; the result is the end of each id.
+/// Submits `body` under each id on its own thread; each thread returns the id and
+/// its end.
 fn submit_all(
     entries: Vec<SocketAddr>,
     ids: Vec<String>,
@@ -104,7 +106,7 @@
     for victim in [0, 1] {
         fleet.agents[victim].take().expect("runs").kill();
     }
-    // Callers that do not trust the silence ask again through the other entry.
+    // The callers repeat their unanswered submissions through the other entry.
     let again = submit_all(entries.into_iter().rev().collect(), ids, job(&[400, 700]));
     for (id, end) in join_ends(calls).into_iter().chain(join_ends(again)) {
         assert!(!matches!(end, End::NoAnswer(_)), "{end:?}");
@@ -161,7 +163,7 @@
         fleet.wait_until_known(4);
     }
     for index in 0..fleet.entries.len() {
-        // The balancer takes the entry out when it is no longer ready.
+        // The balancer removes the entry when it is no longer ready.
         let leaving = fleet.entry_http(index);
         addresses
             .lock()
@@ -257,7 +259,8 @@
         let end = submit(fleet.entry_http(0), &id, &job(&[10, 20]));
         assert!(matches!(end, End::Complete(_)), "{end:?}");
     }
-    // An entry that starts now has only the other processes to learn from.
+    // While the log is down, an entry that starts now can learn only from other
+    // processes, and it has no contact among them.
     let addr = fleet.agents[0].as_ref().expect("runs").addr;
     let entry = fleet.new_entry(1);
     fleet.entries.push(Some(entry));
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked field by field.
+//! Checks the settings, the command line and the exit codes.
 
 mod fleet;
 
--- a/crates/daemon/tests/soak/checks.rs
+++ b/crates/daemon/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold, seen from outside.
+//! The guarantees, checked from outside the processes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,21 +22,25 @@
 use crate::site::TASKS_PER_MINION;
 use crate::site::ZONES_DIVISOR;
 
-/// Time from the request until nothing is started there any more, in calm.
+/// Time from the request to evacuate a zone until no task is started there,
+/// without other faults.
 const EVACUATION_TIMEOUT_MS: u64 = 1_000;
-/// Runs of a task that may fail, as the queue says.
+/// Failed runs after which a task has failed, as configured for the queue.
 const MAX_ATTEMPTS: usize = 2;
-/// Minions that must have crashed under a task before its job may be given up.
+/// Number of minions that must have crashed under a task before its job may be
+/// given up.
 const MIN_CRASHES_OF_FAILED_TASK: usize = 2;
-/// Minions that a task may take down, wherever its job comes.
+/// Largest number of minions that a task may crash in all its runs, whichever
+/// entries its job is sent to.
 const MAX_CRASHES: usize = 3;
-/// A job whose task crashes minions, sent in calm, and one that is stored.
+/// Ids of jobs whose tasks crash minions, sent without other faults, and whether
+/// each is stored.
 const CRASHING_JOBS: [(&str, bool); 2] = [("0000000000e0e0e2", false), ("0000000000e0e0e3", true)];
-/// Time until a stored one has ended.
+/// Time within which the stored one of these jobs must fail.
 const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl Soak {
-    /// Waits until every stored job is told as ended by each entry.
+    /// Waits until each entry reports every stored job as ended.
     pub fn wait_until_stored_jobs_end(&self) {
         let end = Instant::now() + Duration::from_secs(30);
         let mut jobs = self.jobs.lock().expect("no panic");
@@ -60,7 +64,8 @@
         }
     }
 
-    /// Operators empty a zone and take it back, once all is calm.
+    /// Evacuates a zone and ends the evacuation, without other faults, and checks
+    /// where tasks are started.
     pub fn check_evacuation(&self) {
         let evacuated: Vec<&MinionStandIn> = self
             .minions
@@ -69,7 +74,7 @@
             .step_by(ZONES_DIVISOR)
             .collect();
         let starts = || -> usize { evacuated.iter().map(|minion| minion.starts().len()).sum() };
-        // More tasks than the other zone has room for at once.
+        // More tasks than the other zone can run at once.
         let tasks = (self.minions.len() - evacuated.len()) * TASKS_PER_MINION + 4;
         let post_filling_job = |id: &str| post_job(self.fronts[0].addr, id, tasks, 50);
         self.store.put("keyed.op", EVACUATE_KEY, b"{}");
@@ -90,7 +95,8 @@
         }
     }
 
-    /// What became of each task, on all minions.
+    /// Returns the failures, crashes and ended incarnations of each task, summed
+    /// over all minions.
     fn records(&self) -> BTreeMap<String, TaskRecord> {
         let mut all: BTreeMap<String, TaskRecord> = BTreeMap::new();
         for (task, record) in self.minions.iter().flat_map(MinionStandIn::records) {
@@ -102,8 +108,8 @@
         all
     }
 
-    /// Jobs that were told as failed had cause, tasks that crash minions took down a
-    /// few, and no start brought a minion over its room.
+    /// Checks that each job reported as failed had a cause, that no task crashed too
+    /// many minions, and that no start exceeded the capacity of a minion.
     pub fn check_limits(&self) {
         let records = self.records();
         let jobs = self.jobs.lock().expect("no panic");
@@ -131,7 +137,8 @@
         overcommits.for_each(|what| self.report_violation(format!("over its room: {what}")));
     }
 
-    /// In calm, a task that crashes minions is given up after a few.
+    /// Checks that a task that crashes minions is given up after at most
+    /// [`MAX_CRASHES`], without other faults.
     pub fn check_crashing(&self) {
         let front = self.fronts[0].addr;
         for (id, is_stored) in CRASHING_JOBS {
@@ -158,7 +165,7 @@
         }
     }
 
-    /// What callers were told, against what the minions did.
+    /// Compares the answers to callers with the starts and ends on the minions.
     pub fn check_answers(&self) {
         let jobs = self.jobs.lock().expect("no panic");
         let started: BTreeSet<String> = self
@@ -185,7 +192,8 @@
     }
 }
 
-/// Looks for tasks that run twice and minions over their room.
+/// Reports tasks that run twice at once and minions that run too many tasks,
+/// until `stop` is set.
 pub fn watch(minions: &[MinionStandIn], violations: &Mutex<Vec<String>>, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
         let mut seen = BTreeSet::new();
--- a/crates/daemon/tests/soak/clients.rs
+++ b/crates/daemon/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send jobs, and what they are told.
+//! Clients that send jobs, and records of the answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,24 +14,25 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Pause before a client sends a job again whose answer did not come.
+/// Pause before a client repeats an unanswered call.
 const RESEND_MS: u64 = 1_300;
-/// One job in this many crashes each minion that starts a task of it, and one fails.
+/// Of this many jobs, on average one crashes each minion that starts one of its
+/// tasks, and one fails.
 const FAULTY_JOB_DIVISOR: u32 = 30;
 
-/// What callers learned of one job.
+/// The answers that callers got for one job.
 #[derive(Clone, Debug, Default)]
 pub struct JobRecord {
     pub tasks: usize,
     pub statuses: Vec<u16>,
-    /// Whether it is stored.
+    /// Whether an entry confirmed that the job is stored.
     pub is_accepted: bool,
     pub is_completed: bool,
     pub is_failed: bool,
 }
 
 impl JobRecord {
-    /// Notes what an answer says of the job's end.
+    /// Records the end of the job if the answer reports one.
     pub fn record_answer(&mut self, (status, body): &(u16, String)) {
         self.is_completed |= *status == 200 && body.contains("completed");
         self.is_failed |= *status == 200 && body.contains("failed");
@@ -42,7 +43,7 @@
     }
 }
 
-/// A job that a client makes up.
+/// A job with random contents.
 pub struct ClientJob {
     pub id: String,
     pub spec: String,
@@ -84,8 +85,8 @@
     }
 }
 
-/// Sends stored jobs one after the other, each again until it is accepted or
-/// refused, and asks for each until it has ended.
+/// Sends stored jobs one after the other until `stop` is set: repeats each until
+/// it is accepted or refused, and polls each accepted one until it has ended.
 pub fn run_storing_client(
     number: usize,
     seed: u64,
@@ -118,7 +119,8 @@
     }
 }
 
-/// Sends jobs one after the other, each again when no answer came.
+/// Sends jobs one after the other until `stop` is set, each up to 3 times while
+/// it gets no final answer.
 pub fn run_client(
     number: usize,
     seed: u64,
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What fails from outside.
+//! Random faults of processes, minions, the store and connections.
 
 use gannetvane_platform_standins::ProxyFault;
 use gannetvane_platform_standins::StoreFault;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Several minions crash at once; each keeps its id, or has another.
+    /// Crashes several minions at once; each restarts with the same id or a new one.
     fn crash_together(&self, rng: &mut ChaCha8Rng) {
         let first = rng.random_range(0..self.minions.len());
         let crashed = rng.random_range(2..=self.minions.len().max(2));
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -1,8 +1,8 @@
-//! A randomized soak of the real programs: entries and agents as processes,
-//! stand-ins for the platform behind proxies, faults from outside in series
-//! that overlap, and promises that are checked all the while.
+//! A randomized soak test of the real programs. Entries and agents run as
+//! processes, and stand-ins replace the platform behind proxies. Overlapping
+//! faults are injected while the guarantees are checked continuously.
 //!
-//! `GANNETVANE_SOAK_SEEDS=from..to` plays other seeds by hand.
+//! `GANNETVANE_SOAK_SEEDS=from..to` replaces the seeds of `SEEDS` in a manual run.
 
 mod checks;
 mod clients;
@@ -29,34 +29,34 @@
 use crate::site::Size;
 use crate::site::Soak;
 
-/// Entries, agents and clients of a usual run; `GANNETVANE_SOAK_SIZE=10,40,60`
-/// plays larger ones by hand.
+/// Numbers of entries, agents and clients by default;
+/// `GANNETVANE_SOAK_SIZE=10,40,60` sets larger ones in a manual run.
 const DEFAULT_SIZE: Size = Size {
     entries: 2,
     agents: 3,
     clients: 6,
 };
-/// Time with faults, and time for the last of them to pass, in milliseconds.
+/// Time during which faults are injected.
 const FAULT_PERIOD_MS: u64 = 7_000;
+/// Time after the faults for their effects to end.
 const SETTLE_MS: u64 = 5_000;
-/// One client in this many sends jobs that are stored.
+/// One client in this many sends stored jobs.
 const STORING_CLIENT_DIVISOR: usize = 3;
 
-/// Seeds that every run plays.
+/// Seeds that every run uses by default.
 const SEEDS: std::ops::Range<u64> = 0..2;
-/// Seeds that once failed, each with its cause.
+/// Seeds that failed in the past, each with its cause.
 const REGRESSIONS: &[u64] = &[
-    // A stored job kept away from all hosts but one whose zone was emptied.
-    809, // The same.
-    823,
+    809, // A stored job avoided all hosts except one in an evacuated zone.
+    823, // A stored job avoided all hosts except one in an evacuated zone.
 ];
 
-/// What a run came to.
+/// The counts of a run.
 struct RunSummary {
     jobs: usize,
     completed: usize,
     failed: usize,
-    /// Minions that tasks took down.
+    /// Crashes of minions that tasks caused.
     crashes: usize,
 }
 
--- a/crates/daemon/tests/soak/program.rs
+++ b/crates/daemon/tests/soak/program.rs
@@ -1,4 +1,4 @@
-//! Programs as processes that faults end, freeze and start again.
+//! Processes that the soak test can kill, suspend and restart.
 
 use std::fs::File;
 use std::path::PathBuf;
@@ -12,12 +12,12 @@
 use rustix::process::Signal;
 use rustix::process::kill_process;
 
-/// The folder that `GANNETVANE_SOAK_LOGS` names.
+/// Returns the folder for logs, if `GANNETVANE_SOAK_LOGS` is set.
 pub fn log_folder() -> Option<PathBuf> {
     std::env::var_os("GANNETVANE_SOAK_LOGS").map(PathBuf::from)
 }
 
-/// A program that is started again with the same settings.
+/// A process that is restarted with the same settings.
 pub struct Program {
     role: &'static str,
     settings: PathBuf,
@@ -58,7 +58,7 @@
         self.child = Some(child.expect("the program starts"));
     }
 
-    /// Where it logs: nowhere, or beside the others in the folder of a run by hand.
+    /// Returns the destination of its log: a file in the folder for logs, or none.
     fn output(&self) -> Stdio {
         let (Some(folder), Some(name)) = (log_folder(), self.settings.file_stem()) else {
             return Stdio::null();
@@ -74,7 +74,7 @@
             .as_ref()
             .and_then(|child| Pid::from_raw(child.id().cast_signed()));
         if let Some(pid) = pid {
-            // It may have ended a moment ago.
+            // Fails when the process has just ended.
             let _ = kill_process(pid, signal);
         }
     }
--- a/crates/daemon/tests/soak/site.rs
+++ b/crates/daemon/tests/soak/site.rs
@@ -1,4 +1,4 @@
-//! The site: entries and agents as processes, and the platform's stand-ins.
+//! The test site: entries and agents as processes, and stand-ins for the platform.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -26,14 +26,15 @@
 use crate::program::Program;
 use crate::program::log_folder;
 
-/// Tasks of one thousandth of a core times thousand that fit on a minion.
+/// Number of tasks that fit on a minion; each needs one core.
 pub const TASKS_PER_MINION: usize = 8;
+/// Capacity of a minion in thousandths of a core.
 pub const MINION_CPU_MILLI: u32 = 8_000;
-/// One agent in this many, with this place among them, is in another zone, which
-/// operators empty.
+/// One agent in this many is in the second zone, which the test evacuates.
 pub const ZONES_DIVISOR: usize = 2;
+/// Remainder of the indices of these agents.
 pub const EVACUATED_INDEX: usize = 1;
-/// Key of the operators' request to empty it.
+/// Key of the operators' request to evacuate the second zone.
 pub const EVACUATE_KEY: &str = "evacuate/hella";
 
 #[derive(Clone, Copy, Debug)]
@@ -83,7 +84,7 @@
             violations: Arc::default(),
             folder,
         };
-        // All entries have one port: they differ by address.
+        // All entries use the same port and differ by IP address.
         let first = free_addr();
         let link = |entry: usize| {
             let SocketAddr::V4(addr) = first else {
@@ -195,7 +196,7 @@
 
 impl Drop for Soak {
     fn drop(&mut self) {
-        // The folder is in the system's place for such files in any case.
+        // A folder that remains is in the system's directory for temporary files.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
