--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -122,7 +122,7 @@
         )));
     }
     if body.len() as u64 > max_body_bytes {
-        let detail = format!("body: over {max_body_bytes} bytes");
+        let detail = format!("body: larger than {max_body_bytes} bytes");
         return Err(Box::new(rejection(Reason::BodyTooLarge, detail)));
     }
     Ok(HttpCall {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -82,7 +82,9 @@
         return ExitCode::SUCCESS;
     }
     let Some(command) = arguments.command else {
-        eprintln!("gannetvaned: a command is needed: entry or agent; see --help");
+        eprintln!(
+            "gannetvaned: a command is needed: entry, agent, platform-entry or platform-agent; see --help"
+        );
         return ExitCode::from(EXIT_SETTINGS);
     };
     let result = match &command {
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -40,19 +40,19 @@
 #[derive(Debug, Error)]
 pub(crate) enum LogError {
     /// The log cannot be reached or did not answer in time.
-    #[error("log not reached: {0}")]
+    #[error("the log cannot be reached or did not answer in time: {0}")]
     Unreachable(#[from] std::io::Error),
     /// The log answered with an error.
-    #[error("log answered with status {status}")]
+    #[error("the log answered with status {status}")]
     Status {
         /// The HTTP status.
         status: u16,
     },
     /// The log's answer is not the expected JSON.
-    #[error("log answer not understood: {0}")]
+    #[error("cannot parse the answer of the log: {0}")]
     Malformed(#[from] serde_json::Error),
     /// The request cannot be built.
-    #[error("call not valid: {reason}")]
+    #[error("cannot build the request to the log: {reason}")]
     Invalid {
         /// Why the request is invalid.
         reason: String,
--- a/crates/daemon/tests/fleet/mod.rs
+++ b/crates/daemon/tests/fleet/mod.rs
@@ -267,11 +267,15 @@
         match end {
             End::Complete(answer) => {
                 for (index, result) in answer.results.iter().enumerate() {
-                    assert_eq!(**result, *format!("done {id}/{index}"), "a crossed answer");
+                    assert_eq!(
+                        **result,
+                        *format!("done {id}/{index}"),
+                        "the result belongs to another task"
+                    );
                 }
             }
             End::Problem(problem) if problem.ran == Ran::NotRun => {
-                assert_eq!(count, 0, "{id} was said not to have run: {problem:?}");
+                assert_eq!(count, 0, "{id} was reported as not run: {problem:?}");
             }
             End::Problem(_) | End::NoAnswer(_) => {}
         }
@@ -355,7 +359,7 @@
     while !is_reached() {
         assert!(
             start.elapsed() < WAIT_TIMEOUT,
-            "waited in vain until {what}"
+            "timed out waiting until {what}"
         );
         sleep(POLL_INTERVAL);
     }
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -338,5 +338,5 @@
         (Ran::Ran, Reason::TaskFailed)
     );
     fleet.check_end(id, &end);
-    assert_eq!(fleet.starts_of(id).len(), 1, "a booking was tried again");
+    assert_eq!(fleet.starts_of(id).len(), 1, "a booking was retried");
 }
--- a/crates/daemon/tests/soak/checks.rs
+++ b/crates/daemon/tests/soak/checks.rs
@@ -59,7 +59,9 @@
                 job.is_failed |= record.is_failed;
             }
             if job.is_completed && job.is_failed {
-                self.report_violation(format!("stored job {id} was told complete and failed"));
+                self.report_violation(format!(
+                    "stored job {id} was reported as both complete and failed"
+                ));
             }
         }
     }
@@ -81,9 +83,9 @@
         thread::sleep(Duration::from_millis(EVACUATION_TIMEOUT_MS));
         let before = starts();
         post_filling_job("0000000000e0e0e0");
-        self.wait_served("while a zone is emptied");
+        self.wait_served("while a zone is evacuated");
         if starts() > before {
-            self.report_violation("a task was started in a zone that is emptied".to_owned());
+            self.report_violation("a task was started in an evacuated zone".to_owned());
         }
         self.store.put("keyed.op", EVACUATE_KEY, b"");
         let end = Instant::now() + Duration::from_secs(10);
@@ -91,7 +93,9 @@
             post_filling_job("0000000000e0e0e1");
         }
         if starts() == before {
-            self.report_violation("nothing is started in a zone that was taken back".to_owned());
+            self.report_violation(
+                "nothing is started in a zone after its evacuation ended".to_owned(),
+            );
         }
     }
 
@@ -120,7 +124,7 @@
                 .max()
                 .unwrap_or(0);
             if crashes > MAX_CRASHES {
-                self.report_violation(format!("{id} took down {crashes} minions"));
+                self.report_violation(format!("job {id}: a task crashed {crashes} minions"));
             }
         }
         for (id, _) in jobs.iter().filter(|(_, job)| job.is_failed) {
@@ -130,11 +134,11 @@
                     || record.ended_incarnations >= MIN_CRASHES_OF_FAILED_TASK
             });
             if !has_cause {
-                self.report_violation(format!("job {id} was told as failed without cause"));
+                self.report_violation(format!("job {id} was reported as failed without cause"));
             }
         }
         let overcommits = self.minions.iter().flat_map(MinionStandIn::overcommits);
-        overcommits.for_each(|what| self.report_violation(format!("over its room: {what}")));
+        overcommits.for_each(|what| self.report_violation(format!("over its capacity: {what}")));
     }
 
     /// Checks that a task that crashes minions is given up after at most
@@ -160,7 +164,9 @@
             let job_records = job_records.filter(|(task, _)| task.starts_with(id));
             let crashes: usize = job_records.map(|(_, record)| record.crashes).sum();
             if !is_reported || crashes == 0 || crashes > MAX_CRASHES {
-                self.report_violation(format!("{id}: {crashes} crashes in calm, then {answer:?}"));
+                self.report_violation(format!(
+                    "{id}: {crashes} crashes without other faults, then {answer:?}"
+                ));
             }
         }
     }
@@ -181,12 +187,14 @@
                 .all(|status| matches!(status, 429 | 503));
             let was_started = started.iter().any(|task| task.starts_with(id.as_str()));
             if is_refused && was_started {
-                self.report_violation(format!("job {id} was refused as not run, and ran"));
+                self.report_violation(format!("job {id} was refused as not run, but ran"));
             }
             let are_all_tasks_done =
                 (0..job.tasks).all(|index| done.contains(&format!("{id}.0.0.{index}")));
             if job.is_completed && !are_all_tasks_done {
-                self.report_violation(format!("job {id} was told complete and is not"));
+                self.report_violation(format!(
+                    "job {id} was reported as complete, but some tasks are not done"
+                ));
             }
         }
     }
@@ -199,10 +207,10 @@
         let mut seen = BTreeSet::new();
         for tasks in MinionStandIn::running_by_minion(minions) {
             if tasks.len() > TASKS_PER_MINION {
-                violations
-                    .lock()
-                    .expect("no panic")
-                    .push(format!("{} tasks at once", tasks.len()));
+                violations.lock().expect("no panic").push(format!(
+                    "a minion runs {} tasks at once, more than fit",
+                    tasks.len()
+                ));
             }
             for task in tasks {
                 if !seen.insert(task.clone()) {
