--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -1,4 +1,5 @@
-//! One TCP connection between two processes, with its frames.
+//! One TCP connection between two processes, with its framing: each frame is
+//! preceded by its length, and an empty frame announces the close.
 
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -10,22 +11,22 @@
 use gannetvane_wire::MAX_FRAME_BYTES;
 use mio::net::TcpStream;
 
-/// Bytes of the length before each frame.
+/// Size in bytes of the length before each frame.
 const LENGTH_BYTES: usize = 4;
-/// Bytes that one read takes at most.
+/// Size in bytes of the buffer for one read.
 pub(crate) const READ_BYTES: usize = 64 * 1024;
-/// Bytes that may wait to be written before the connection is given up.
+/// Largest number of queued bytes; with more, the connection is closed as broken.
 const MAX_QUEUED_BYTES: usize = 64 * 1024 * 1024;
 
-/// A connection and what waits on it.
+/// A connection with the bytes received so far and the frames to be written.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
-    /// Where the other process receives, once known.
+    /// Address at which the other process receives, once known.
     pub(crate) peer: Option<SocketAddr>,
     pub(crate) is_established: bool,
-    pub(crate) opened_ms: u64,
-    pub(crate) used_ms: u64,
+    pub(crate) opened_at_ms: u64,
+    pub(crate) last_used_at_ms: u64,
     received: Vec<u8>,
     queued: VecDeque<Frame>,
     queued_bytes: usize,
@@ -37,14 +38,14 @@
     written: usize,
 }
 
-/// What reading from a connection gave.
+/// The result of reading from a connection.
 #[derive(Debug, Default)]
 pub(crate) struct Received {
-    /// Whole frames, without their lengths.
+    /// Complete frames, without their lengths.
     pub(crate) frames: Vec<Vec<u8>>,
-    /// The other side closed the connection as planned.
-    pub(crate) is_goodbye: bool,
-    /// The other side is gone, or sent nonsense.
+    /// Whether the other process announced the close with an empty frame.
+    pub(crate) is_closed_by_peer: bool,
+    /// Whether the connection ended, failed, or carried a frame over the limit.
     pub(crate) is_broken: bool,
 }
 
@@ -54,15 +55,17 @@
             stream,
             is_established: peer.is_none(),
             peer,
-            opened_ms: now_ms,
-            used_ms: now_ms,
+            opened_at_ms: now_ms,
+            last_used_at_ms: now_ms,
             received: Vec::new(),
             queued: VecDeque::new(),
             queued_bytes: 0,
         }
     }
 
-    /// Queues a frame; an empty one says goodbye. False when too much waits.
+    /// Queues a frame; an empty payload announces the close.
+    ///
+    /// Returns false when the queue exceeds [`MAX_QUEUED_BYTES`].
     pub(crate) fn queue(&mut self, payload: &[u8]) -> bool {
         let length = u32::try_from(payload.len()).unwrap_or(u32::MAX);
         let mut bytes = Vec::with_capacity(LENGTH_BYTES + payload.len());
@@ -73,7 +76,7 @@
         self.queued_bytes <= MAX_QUEUED_BYTES
     }
 
-    /// Writes what the socket takes.
+    /// Writes queued frames until the socket would block.
     pub(crate) fn flush(&mut self) -> Result<()> {
         if !self.is_established {
             return Ok(());
@@ -94,16 +97,17 @@
         Ok(())
     }
 
-    /// Reads all that is there, through a buffer that the caller keeps.
-    pub(crate) fn receive(&mut self, chunk: &mut [u8]) -> Received {
+    /// Reads until the socket would block, through a buffer of the caller, and
+    /// returns the complete frames.
+    pub(crate) fn receive(&mut self, buffer: &mut [u8]) -> Received {
         let mut result = Received::default();
         loop {
-            match self.stream.read(chunk) {
+            match self.stream.read(buffer) {
                 Ok(0) => {
                     result.is_broken = true;
                     break;
                 }
-                Ok(read) => self.received.extend_from_slice(&chunk[..read]),
+                Ok(read) => self.received.extend_from_slice(&buffer[..read]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
@@ -116,7 +120,7 @@
         result
     }
 
-    /// Frames of which nothing was written.
+    /// Returns the payloads of the frames of which no byte was written.
     pub(crate) fn unsent(self) -> impl Iterator<Item = Vec<u8>> {
         self.queued
             .into_iter()
@@ -125,24 +129,24 @@
     }
 
     fn split_frames(&mut self, result: &mut Received) {
-        let mut at = 0;
-        while let Some(length) = frame_length(&self.received[at..]) {
+        let mut start = 0;
+        while let Some(length) = frame_length(&self.received[start..]) {
             if length == 0 {
-                result.is_goodbye = true;
+                result.is_closed_by_peer = true;
                 break;
             }
             if length > MAX_FRAME_BYTES {
                 result.is_broken = true;
                 break;
             }
-            let end = at + LENGTH_BYTES + length;
-            let Some(frame) = self.received.get(at + LENGTH_BYTES..end) else {
+            let end = start + LENGTH_BYTES + length;
+            let Some(frame) = self.received.get(start + LENGTH_BYTES..end) else {
                 break;
             };
             result.frames.push(frame.to_vec());
-            at = end;
+            start = end;
         }
-        self.received.drain(..at);
+        self.received.drain(..start);
     }
 }
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,5 @@
-//! `gannetvaned`: runs an entry or an agent.
+//! The program `gannetvaned`: it parses the command line and runs an entry or
+//! an agent.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -22,7 +23,8 @@
 /// Exit code for a process that could not start.
 const EXIT_START: u8 = 3;
 
-/// Variable that names the settings file on the users' platform.
+/// Environment variable with the path of the settings file, used by the
+/// commands for the users' platform when `--settings` is absent.
 const SETTINGS_VARIABLE: &str = "GANNETVANE_CONFIG";
 
 /// Runs a process of gannetvane.
@@ -68,7 +70,7 @@
     /// settings file in TOML
     #[options(required, meta = "FILE")]
     settings: PathBuf,
-    /// section.field=value, before the file
+    /// section.field=value; takes precedence over the file
     #[options(no_short, meta = "FIELD")]
     set: Vec<String>,
 }
@@ -80,19 +82,25 @@
         return ExitCode::SUCCESS;
     }
     let Some(command) = arguments.command else {
-        eprintln!("gannetvaned: a command is needed: entry or agent; see --help");
+        eprintln!(
+            "gannetvaned: a command is needed: entry, agent, platform-entry or platform-agent; see --help"
+        );
         return ExitCode::from(EXIT_SETTINGS);
     };
-    let ended = match &command {
-        Command::Entry(arguments) | Command::Agent(arguments) => run(&command, arguments),
+    let result = match &command {
+        Command::Entry(arguments) | Command::Agent(arguments) => run_role(&command, arguments),
         Command::PlatformEntry(arguments) => {
-            return exit_code(load(arguments).and_then(|s| gannetvane_platform::run_entry(&s)));
+            return exit_code(
+                load_platform_settings(arguments).and_then(|s| gannetvane_platform::run_entry(&s)),
+            );
         }
         Command::PlatformAgent(arguments) => {
-            return exit_code(load(arguments).and_then(|s| gannetvane_platform::run_agent(&s)));
+            return exit_code(
+                load_platform_settings(arguments).and_then(|s| gannetvane_platform::run_agent(&s)),
+            );
         }
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("gannetvaned: {error}");
@@ -104,14 +112,16 @@
     }
 }
 
-fn load(arguments: &PlatformArguments) -> Result<PlatformSettings, PlatformError> {
+fn load_platform_settings(
+    arguments: &PlatformArguments,
+) -> Result<PlatformSettings, PlatformError> {
     let named = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
     let path = arguments.settings.clone().or(named).unwrap_or_default();
     Ok(PlatformSettings::load(&path)?)
 }
 
-fn exit_code(ended: Result<(), PlatformError>) -> ExitCode {
-    let Err(error) = ended else {
+fn exit_code(result: Result<(), PlatformError>) -> ExitCode {
+    let Err(error) = result else {
         return ExitCode::SUCCESS;
     };
     eprintln!("gannetvaned: {error}");
@@ -121,30 +131,30 @@
     }
 }
 
-fn run(command: &Command, arguments: &RoleArguments) -> Result<(), ProcessError> {
+fn run_role(command: &Command, arguments: &RoleArguments) -> Result<(), ProcessError> {
     let settings = Settings::load(&arguments.settings, &arguments.set)?;
-    let stop = stop_flag()?;
+    let stop = register_stop_signals()?;
     let node = settings.node.address.to_string();
     match command {
         Command::Entry(_) => run_entry(
             &settings,
-            &logger(level(&settings), "entry", node, std::io::stderr()),
+            &logger(log_level(&settings), "entry", node, std::io::stderr()),
             stop,
         ),
         _ => run_agent(
             &settings,
-            &logger(level(&settings), "agent", node, std::io::stderr()),
+            &logger(log_level(&settings), "agent", node, std::io::stderr()),
             stop,
         ),
     }
 }
 
-fn stop_flag() -> Result<Arc<AtomicBool>, ProcessError> {
+fn register_stop_signals() -> Result<Arc<AtomicBool>, ProcessError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
         signal_hook::flag::register(signal, Arc::clone(&stop)).map_err(|source| {
             ProcessError::Start {
-                what: "signal handler".to_owned(),
+                component: "signal handler".to_owned(),
                 source,
             }
         })?;
@@ -152,6 +162,6 @@
     Ok(stop)
 }
 
-fn level(settings: &Settings) -> Level {
+fn log_level(settings: &Settings) -> Level {
     settings.logging.level.parse().unwrap_or(Level::Info)
 }
--- a/crates/daemon/src/minion.rs
+++ b/crates/daemon/src/minion.rs
@@ -1,4 +1,4 @@
-//! The minion beside an agent, over HTTP.
+//! The HTTP client of the minion beside an agent, and the threads that call it.
 
 use std::fmt::Debug;
 use std::io::ErrorKind;
@@ -26,21 +26,21 @@
 
 use crate::input::Input;
 
-/// Largest output of a task in bytes.
+/// Largest size of the output of a task.
 const MAX_OUTPUT_BYTES: u64 = 256 * 1024;
-/// Time to wait for the minion to take a request to stop a task.
+/// Timeout of a request to stop a task.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs tasks.
+/// A minion that runs tasks.
 pub(crate) trait Minion: Debug + Send + Sync {
-    /// Runs a task to its end.
+    /// Runs a task and returns its result after its end.
     fn run(&self, start: &TaskStart) -> TaskResult;
 
-    /// Asks for a running task to be stopped; its run then ends early.
+    /// Requests the stop of a running task; [`Self::run`] then returns early.
     fn stop(&self, task_id: TaskId);
 }
 
-/// A minion that takes tasks over HTTP.
+/// A minion that is called over HTTP.
 pub(crate) struct HttpMinion {
     url: String,
     log: Logger,
@@ -57,8 +57,9 @@
 }
 
 impl HttpMinion {
-    /// The minion at `url`; a task that takes longer than `timeout` counts as
-    /// one whose end is not known.
+    /// Creates a client of the minion at `url`.
+    ///
+    /// A task that takes longer than `timeout` has an unknown result.
     #[must_use]
     pub fn new(url: &str, timeout: Duration, log: Logger) -> Self {
         Self {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// `None` when the kind of task is not a valid header value.
+    /// Builds the request that starts a task; returns `None` when the kind of
+    /// the task is not a valid header value.
     fn request(&self, start: &TaskStart) -> Option<Request<Body>> {
         Request::builder()
             .method(Method::POST)
@@ -82,18 +84,19 @@
             .ok()
     }
 
-    /// The connection broke, so the task may have run.
-    fn unknown(&self, task_id: TaskId, error: &std::io::Error) -> TaskResult {
+    /// Logs an error after which it is unknown whether the task ran, and returns
+    /// the unknown result.
+    fn unknown_result(&self, task_id: TaskId, error: &std::io::Error) -> TaskResult {
         warn!(self.log, "task-outcome-unknown"; "task" => %task_id, "error" => %error);
         TaskResult::Unknown
     }
 
-    fn result_of(&self, response: Response<Body>, task_id: TaskId) -> TaskResult {
+    fn task_result(&self, response: Response<Body>, task_id: TaskId) -> TaskResult {
         let status = response.status();
         let mut text = String::new();
         let mut body = response.into_body().take(MAX_OUTPUT_BYTES + 1);
         if let Err(error) = body.read_to_string(&mut text) {
-            return self.unknown(task_id, &error);
+            return self.unknown_result(task_id, &error);
         }
         if text.len() as u64 > MAX_OUTPUT_BYTES {
             return TaskResult::Failed(Name::from("output over the limit"));
@@ -114,11 +117,11 @@
             return TaskResult::Failed(Name::from("kind of task is not a valid header value"));
         };
         match self.client.request(request) {
-            Ok(response) => self.result_of(response, start.task_id),
+            Ok(response) => self.task_result(response, start.task_id),
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
                 TaskResult::NotStarted(Reason::MinionUnreachable)
             }
-            Err(error) => self.unknown(start.task_id, &error),
+            Err(error) => self.unknown_result(start.task_id, &error),
         }
     }
 
@@ -129,13 +132,13 @@
             .uri(url)
             .body(Body::empty());
         if let Ok(request) = request {
-            // The task runs to its end when the minion does not hear of it.
+            // If the request fails, the task runs to its end.
             let _ = self.stop_client.request(request);
         }
     }
 }
 
-/// One thread for each slot, and one to stop tasks.
+/// The threads that call the minion: one for each slot, and one that stops tasks.
 #[derive(Debug)]
 pub(crate) struct MinionWorkers {
     starts: Sender<TaskStart>,
@@ -148,24 +151,24 @@
         slots: u16,
         inputs: &Sender<Input>,
     ) -> std::io::Result<Self> {
-        let (starts, to_run) = unbounded();
-        let (stops, to_stop) = unbounded();
+        let (starts, start_queue) = unbounded();
+        let (stops, stop_queue) = unbounded();
         for slot in 0..slots {
             let minion = Arc::clone(&minion);
-            let to_run: Receiver<TaskStart> = to_run.clone();
+            let start_queue: Receiver<TaskStart> = start_queue.clone();
             let inputs = inputs.clone();
             thread::Builder::new()
                 .name(format!("slot-{slot}"))
-                .spawn(move || run_tasks(&*minion, &to_run, &inputs))?;
+                .spawn(move || run_tasks(&*minion, &start_queue, &inputs))?;
         }
         thread::Builder::new()
             .name("stop-tasks".into())
-            .spawn(move || to_stop.iter().for_each(|task_id| minion.stop(task_id)))?;
+            .spawn(move || stop_queue.iter().for_each(|task_id| minion.stop(task_id)))?;
         Ok(Self { starts, stops })
     }
 
     pub(crate) fn run(&self, start: TaskStart) {
-        // Fails only when the threads have ended, with the process.
+        // Fails only when the threads have ended together with the process.
         let _ = self.starts.send(start);
     }
 
@@ -174,8 +177,8 @@
     }
 }
 
-fn run_tasks(minion: &dyn Minion, to_run: &Receiver<TaskStart>, inputs: &Sender<Input>) {
-    for start in to_run {
+fn run_tasks(minion: &dyn Minion, start_queue: &Receiver<TaskStart>, inputs: &Sender<Input>) {
+    for start in start_queue {
         let result = minion.run(&start);
         if inputs
             .send(Input::TaskEnded {
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log, over HTTP.
+//! The HTTP client of the platform's append-only log, and the thread that calls it.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -23,42 +23,43 @@
 use crate::input::Input;
 
 /// Stream of configuration records.
-const CONFIGURATION: &str = "configuration";
-/// Stream in which agents announce where they receive.
-const AGENTS: &str = "agents";
-/// Records in one page.
-const PAGE_RECORDS: usize = 256;
-/// Calls that wait for the log before further ones are dropped.
-const QUEUED_CALLS: usize = 64;
-/// Newest announcements that are used as contacts.
+const CONFIGURATION_STREAM: &str = "configuration";
+/// Stream in which agents announce the addresses at which they receive.
+const AGENTS_STREAM: &str = "agents";
+/// Largest number of records in one page.
+const MAX_PAGE_RECORDS: usize = 256;
+/// Largest number of queued calls; further ones are dropped.
+const MAX_QUEUED_CALLS: usize = 64;
+/// Largest number of announced addresses used as contacts; the newest are used.
 const MAX_CONTACTS: usize = 64;
-/// Largest reply of the log in bytes.
+/// Size at which a reply of the log is cut off.
 const MAX_REPLY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A call to the log that failed. An append may have taken effect.
+/// The error of a failed call to the log. An append may have taken effect all
+/// the same.
 #[derive(Debug, Error)]
 pub(crate) enum LogError {
     /// The log cannot be reached or did not answer in time.
-    #[error("log not reached: {0}")]
+    #[error("the log cannot be reached or did not answer in time: {0}")]
     Unreachable(#[from] std::io::Error),
     /// The log answered with an error.
-    #[error("log answered with status {status}")]
+    #[error("the log answered with status {status}")]
     Status {
         /// The HTTP status.
         status: u16,
     },
-    /// The log's answer cannot be read.
-    #[error("log answer not understood: {0}")]
+    /// The log's answer is not the expected JSON.
+    #[error("cannot parse the answer of the log: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The call cannot be made.
-    #[error("call not valid: {reason}")]
+    /// The request cannot be built.
+    #[error("cannot build the request to the log: {reason}")]
     Invalid {
-        /// Why not.
+        /// Why the request is invalid.
         reason: String,
     },
 }
 
-/// The platform's log.
+/// A client of the platform's log.
 pub(crate) trait LogClient: Debug + Send {
     /// Appends a configuration record.
     ///
@@ -67,29 +68,30 @@
     /// [`LogError`]; the record may have been appended all the same.
     fn append(&self, record: &LogRecord) -> Result<(), LogError>;
 
-    /// Reads configuration records from an offset on.
+    /// Returns a page of configuration records that starts at an offset.
     ///
     /// # Errors
     ///
-    /// [`LogError`] when the log gives no page.
+    /// [`LogError`] when the log returns no page.
     fn read(&self, from_offset: u64) -> Result<LogPage, LogError>;
 
-    /// Announces where this agent receives.
+    /// Announces the address at which this agent receives.
     ///
     /// # Errors
     ///
     /// [`LogError`]; the announcement may have been appended all the same.
     fn announce(&self, addr: SocketAddr) -> Result<(), LogError>;
 
-    /// Where agents lately announced that they receive.
+    /// Returns the addresses that agents announced most recently, or addresses
+    /// from an entry when the log returns none.
     ///
     /// # Errors
     ///
-    /// [`LogError`] when neither the log nor an entry can be reached.
+    /// [`LogError`] when neither the log nor an entry returns addresses.
     fn contacts(&self) -> Result<Vec<SocketAddr>, LogError>;
 }
 
-/// The log's own HTTP protocol.
+/// A client that uses the HTTP protocol of the log.
 pub(crate) struct HttpLog {
     url: String,
     balancer_url: Option<String>,
@@ -124,8 +126,10 @@
 }
 
 impl HttpLog {
-    /// A client of the log at `url`; `balancer_url` leads to any entry, for
-    /// first contact while the log is down.
+    /// Creates a client of the log at `url`.
+    ///
+    /// The balancer at `balancer_url` forwards to any entry; the client asks it
+    /// for contacts while the log is down or has none.
     #[must_use]
     pub fn new(url: &str, balancer_url: Option<&str>, timeout: Duration) -> Self {
         let trimmed = |url: &str| url.trim_end_matches('/').to_owned();
@@ -162,18 +166,18 @@
 
     fn read_from(&self, stream: &str, offset: u64) -> Result<Page, LogError> {
         let url = format!(
-            "{}/streams/{stream}/records?from={offset}&limit={PAGE_RECORDS}",
+            "{}/streams/{stream}/records?from={offset}&limit={MAX_PAGE_RECORDS}",
             self.url
         );
         let bytes = self.call(Method::GET, url, Vec::new())?;
         Ok(serde_json::from_slice(&bytes)?)
     }
 
-    fn announced(&self) -> Result<Vec<SocketAddr>, LogError> {
+    fn announced_addresses(&self) -> Result<Vec<SocketAddr>, LogError> {
         let mut addresses: Vec<SocketAddr> = Vec::new();
         let mut offset = 0;
         loop {
-            let page = self.read_from(AGENTS, offset)?;
+            let page = self.read_from(AGENTS_STREAM, offset)?;
             for record in &page.records {
                 if let Ok(announcement) = serde_json::from_str::<Announcement>(&record.data) {
                     addresses.retain(|address| *address != announcement.address);
@@ -189,7 +193,7 @@
         Ok(addresses.split_off(excess))
     }
 
-    fn contacts_of_entry(&self, balancer_url: &str) -> Result<Vec<SocketAddr>, LogError> {
+    fn contacts_from_entry(&self, balancer_url: &str) -> Result<Vec<SocketAddr>, LogError> {
         let url = format!("{balancer_url}/v1/contacts");
         let bytes = self.call(Method::GET, url, Vec::new())?;
         Ok(serde_json::from_slice::<ContactsBody>(&bytes)?.addresses)
@@ -198,11 +202,11 @@
 
 impl LogClient for HttpLog {
     fn append(&self, record: &LogRecord) -> Result<(), LogError> {
-        self.append_to(CONFIGURATION, serde_json::to_vec(record)?)
+        self.append_to(CONFIGURATION_STREAM, serde_json::to_vec(record)?)
     }
 
     fn read(&self, from_offset: u64) -> Result<LogPage, LogError> {
-        let page = self.read_from(CONFIGURATION, from_offset)?;
+        let page = self.read_from(CONFIGURATION_STREAM, from_offset)?;
         let records = page.records.into_iter().map(|record| LoggedRecord {
             offset: record.offset,
             record: serde_json::from_str(&record.data).ok(),
@@ -216,20 +220,23 @@
     }
 
     fn announce(&self, address: SocketAddr) -> Result<(), LogError> {
-        self.append_to(AGENTS, serde_json::to_vec(&Announcement { address })?)
+        self.append_to(
+            AGENTS_STREAM,
+            serde_json::to_vec(&Announcement { address })?,
+        )
     }
 
     fn contacts(&self) -> Result<Vec<SocketAddr>, LogError> {
-        let announced = self.announced();
+        let announced = self.announced_addresses();
         match (&announced, &self.balancer_url) {
             (Ok(addresses), _) if !addresses.is_empty() => announced,
-            (_, Some(url)) => self.contacts_of_entry(url),
+            (_, Some(url)) => self.contacts_from_entry(url),
             _ => announced,
         }
     }
 }
 
-/// A call for the thread that talks to the log.
+/// A call to be made by the thread of a [`LogWorker`].
 #[derive(Debug)]
 pub(crate) enum LogCall {
     Append(LogRecord),
@@ -238,7 +245,7 @@
     FindContacts,
 }
 
-/// What the log answered.
+/// The result of a call to the log.
 #[derive(Debug)]
 pub(crate) enum LogReply {
     Page(LogPage),
@@ -248,7 +255,7 @@
     Failed(LogError),
 }
 
-/// The thread that talks to the log, one call at a time.
+/// A handle of the thread that makes calls to the log, one at a time.
 #[derive(Clone, Debug)]
 pub(crate) struct LogWorker {
     calls: Sender<LogCall>,
@@ -256,20 +263,21 @@
 
 impl LogWorker {
     pub(crate) fn start(log: Box<dyn LogClient>, inputs: Sender<Input>) -> std::io::Result<Self> {
-        let (calls, queue) = bounded(QUEUED_CALLS);
+        let (calls, queue) = bounded(MAX_QUEUED_CALLS);
         thread::Builder::new()
             .name("platform-log".into())
-            .spawn(move || serve(&*log, &queue, &inputs))?;
+            .spawn(move || run_calls(&*log, &queue, &inputs))?;
         Ok(Self { calls })
     }
 
-    /// Queues a call; dropped when the log is too slow, and made again later.
+    /// Queues a call. When the queue is full because the log is slow, the call
+    /// is dropped; its sender makes it again later.
     pub(crate) fn call(&self, call: LogCall) {
         let _ = self.calls.try_send(call);
     }
 }
 
-fn serve(log: &dyn LogClient, queue: &Receiver<LogCall>, inputs: &Sender<Input>) {
+fn run_calls(log: &dyn LogClient, queue: &Receiver<LogCall>, inputs: &Sender<Input>) {
     let mut next = queue.recv().ok();
     while let Some(call) = next {
         let reply = match call {
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,5 +1,5 @@
-//! The event loop of a process: one thread feeds the core and carries out
-//! what it decides.
+//! The start of an entry or agent process: it builds the core, the event loop
+//! and the HTTP server from the settings and runs them.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,8 +24,8 @@
 use slog::info;
 use thiserror::Error;
 
-use crate::event_loop::Loop;
-use crate::event_loop::Parts;
+use crate::event_loop::EventLoop;
+use crate::event_loop::Runtime;
 use crate::http::HttpCall;
 use crate::http::HttpLimits;
 use crate::http::HttpServer;
@@ -41,23 +41,23 @@
 use crate::settings::Settings;
 use crate::settings::SettingsError;
 
-/// A process that could not start.
+/// The error of a process that cannot start.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// The settings do not suit the role.
+    /// The settings cannot be used, or lack the section of the role.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// An address cannot be bound, or a thread cannot start.
-    #[error("{what}: {source}")]
+    #[error("{component}: {source}")]
     Start {
-        /// What was to start.
-        what: String,
-        /// Why it did not.
+        /// What could not start.
+        component: String,
+        /// Why it could not start.
         source: std::io::Error,
     },
 }
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until `stop` is set and the planned stop has ended.
 ///
 /// # Errors
 ///
@@ -69,7 +69,7 @@
 ) -> Result<(), ProcessError> {
     let node = NodeId(rand::random());
     let (inputs, queue) = unbounded();
-    let parts = Parts::start(settings, node, inputs.clone())?;
+    let runtime = Runtime::start(settings, node, inputs.clone())?;
     let entry_settings = EntrySettings {
         node,
         addr: settings.node.address,
@@ -77,11 +77,11 @@
         max_waiting: settings.http.max_requests,
         retention_ms: retention_ms(settings),
     };
-    let now_ms = parts.clock.now_ms();
+    let now_ms = runtime.clock.now_ms();
     let routes = Routes {
         inputs,
-        metrics: Arc::clone(&parts.metrics),
-        is_ready: Arc::clone(&parts.is_ready),
+        metrics: Arc::clone(&runtime.metrics),
+        is_ready: Arc::clone(&runtime.is_ready),
         max_deadline_ms: settings.entry.max_deadline_ms,
     };
     let http = start_http(settings, Box::new(move |call| routes.handle(call)))?;
@@ -91,12 +91,12 @@
         stopping_since_ms: None,
     };
     info!(log, "started"; "address" => %settings.node.address, "http" => %settings.http.address);
-    Loop::new(Box::new(core), parts, http, log.clone(), stop).run(&queue);
+    EventLoop::new(Box::new(core), runtime, http, log.clone(), stop).run(&queue);
     info!(log, "stopped");
     Ok(())
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until `stop` is set and the planned stop has ended.
 ///
 /// # Errors
 ///
@@ -109,7 +109,7 @@
     let section = settings.agent()?;
     let node = NodeId(rand::random());
     let (inputs, queue) = unbounded();
-    let mut parts = Parts::start(settings, node, inputs.clone())?;
+    let mut runtime = Runtime::start(settings, node, inputs.clone())?;
     let task_timeout = Duration::from_millis(section.task_timeout_ms);
     let minion = Arc::new(HttpMinion::new(
         &section.minion_url,
@@ -117,21 +117,21 @@
         log.clone(),
     ));
     let workers = MinionWorkers::start(minion, section.slots, &inputs);
-    parts.minion = Some(workers.map_err(|source| start_error("slot threads", source))?);
-    parts.announces = true;
-    let now_ms = parts.clock.now_ms();
+    runtime.minion = Some(workers.map_err(|source| start_error("slot threads", source))?);
+    runtime.should_announce = true;
+    let now_ms = runtime.clock.now_ms();
     let mut agent = Agent::new(agent_settings(settings, node)?, now_ms);
     agent.add_contacts(settings.contact.addresses.iter().copied());
-    let metrics = Arc::clone(&parts.metrics);
-    let is_ready = Arc::clone(&parts.is_ready);
+    let metrics = Arc::clone(&runtime.metrics);
+    let is_ready = Arc::clone(&runtime.is_ready);
     let http = start_http(
         settings,
-        Box::new(move |call| observe(call, &metrics, &is_ready)),
+        Box::new(move |call| handle_agent_request(call, &metrics, &is_ready)),
     )?;
     info!(log, "started"; "address" => %settings.node.address, "service" => &section.service);
-    Loop::new(
+    EventLoop::new(
         Box::new(AgentCore { agent }),
-        parts,
+        runtime,
         http,
         log.clone(),
         stop,
@@ -181,7 +181,7 @@
     u32::try_from(retention_ms / GENERATION_MS + 1).unwrap_or(u32::MAX)
 }
 
-/// Members are remembered for longer than any id that names them is held.
+/// Returns the retention of members: longer than that of any id that names them.
 fn retention_ms(settings: &Settings) -> u64 {
     (u64::from(kept_generations(settings)) + 2) * GENERATION_MS
 }
@@ -199,8 +199,12 @@
     HttpServer::start(addr, limits, handler).map_err(|e| start_error(&format!("http {addr}"), e))
 }
 
-/// The HTTP interface of an agent.
-fn observe(call: &HttpCall, metrics: &Metrics, is_ready: &AtomicBool) -> Response<Body> {
+/// Returns the response of an agent to an HTTP request.
+fn handle_agent_request(
+    call: &HttpCall,
+    metrics: &Metrics,
+    is_ready: &AtomicBool,
+) -> Response<Body> {
     match (call.method.as_str(), call.path.as_str()) {
         ("GET", "/healthz") => text_response(200, "ok\n"),
         ("GET", "/readyz") => readiness(is_ready),
@@ -212,9 +216,9 @@
     }
 }
 
-pub(crate) fn start_error(what: &str, source: std::io::Error) -> ProcessError {
+pub(crate) fn start_error(component: &str, source: std::io::Error) -> ProcessError {
     ProcessError::Start {
-        what: what.to_owned(),
+        component: component.to_owned(),
         source,
     }
 }
--- a/crates/daemon/src/role.rs
+++ b/crates/daemon/src/role.rs
@@ -1,4 +1,4 @@
-//! The cores of an entry and an agent, as the event loop sees them.
+//! The interface between the event loop and the core of an entry or an agent.
 
 use std::net::SocketAddr;
 
@@ -15,27 +15,28 @@
 use crate::http::HttpServer;
 use crate::metrics::Sizes;
 
-/// The core of a process, whatever its role.
+/// The core of an entry or an agent.
 pub(crate) trait Core {
-    /// Handles an event.
-    fn input(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action>;
-    /// Does what is due.
+    /// Handles an input and returns the actions to execute.
+    fn handle(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action>;
+    /// Does the work that is due and returns the actions to execute.
     fn tick(&mut self, now_ms: u64) -> Vec<Action>;
-    /// Adds addresses for the first contact.
+    /// Adds addresses of agents to contact first.
     fn add_contacts(&mut self, contacts: Vec<SocketAddr>);
-    /// Begins a planned stop.
-    fn begin_stop(&mut self, now_ms: u64) -> Vec<Action>;
-    /// Whether the balancer may send requests here.
+    /// Starts a planned stop and returns the actions to execute.
+    fn start_stop(&mut self, now_ms: u64) -> Vec<Action>;
+    /// Returns whether the process is ready; the balancer sends requests only to
+    /// ready processes.
     fn is_ready(&self) -> bool;
-    /// Whether a stop that was asked for may end the process now.
-    fn may_stop(&self, now_ms: u64, http: &HttpServer) -> bool;
-    /// Whether no other agent is known.
-    fn is_alone(&self) -> bool;
-    /// Present sizes, for the metrics.
+    /// Returns whether the process may end now because of a requested stop.
+    fn can_stop(&self, now_ms: u64, http: &HttpServer) -> bool;
+    /// Returns whether no other agent is known.
+    fn has_no_other_agents(&self) -> bool;
+    /// Returns the current values of the gauges.
     fn sizes(&self) -> Sizes;
 }
 
-/// What a core handles, without the means of the process.
+/// One input of a core.
 pub(crate) enum CoreInput {
     Message(Envelope),
     PeerDown(SocketAddr),
@@ -57,7 +58,7 @@
 }
 
 impl Core for AgentCore {
-    fn input(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action> {
+    fn handle(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action> {
         match input {
             CoreInput::Message(envelope) => self.agent.message(now_ms, envelope),
             CoreInput::PeerDown(addr) => self.agent.peer_down(now_ms, addr),
@@ -76,7 +77,7 @@
         self.agent.add_contacts(contacts);
     }
 
-    fn begin_stop(&mut self, now_ms: u64) -> Vec<Action> {
+    fn start_stop(&mut self, now_ms: u64) -> Vec<Action> {
         self.agent.leave(now_ms)
     }
 
@@ -84,12 +85,12 @@
         !self.agent.is_leaving()
     }
 
-    fn may_stop(&self, _now_ms: u64, _http: &HttpServer) -> bool {
-        // The core says when its table has moved.
+    fn can_stop(&self, _now_ms: u64, _http: &HttpServer) -> bool {
+        // The core returns `Action::Stop` once its table has moved to other agents.
         false
     }
 
-    fn is_alone(&self) -> bool {
+    fn has_no_other_agents(&self) -> bool {
         self.agent.view().len() <= 1
     }
 
@@ -104,7 +105,7 @@
 }
 
 impl Core for EntryCore {
-    fn input(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action> {
+    fn handle(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action> {
         match input {
             CoreInput::Message(envelope) => self.entry.message(now_ms, envelope),
             CoreInput::PeerDown(addr) => self.entry.peer_down(now_ms, addr),
@@ -123,7 +124,7 @@
         self.entry.add_contacts(contacts);
     }
 
-    fn begin_stop(&mut self, now_ms: u64) -> Vec<Action> {
+    fn start_stop(&mut self, now_ms: u64) -> Vec<Action> {
         self.stopping_since_ms.get_or_insert(now_ms);
         Vec::new()
     }
@@ -132,14 +133,14 @@
         self.entry.is_ready() && self.stopping_since_ms.is_none()
     }
 
-    fn may_stop(&self, now_ms: u64, http: &HttpServer) -> bool {
-        let is_noticed = self
+    fn can_stop(&self, now_ms: u64, http: &HttpServer) -> bool {
+        let has_notice_passed = self
             .stopping_since_ms
             .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= self.stop_notice_ms);
-        is_noticed && self.entry.waiting() == 0 && http.active() == 0
+        has_notice_passed && self.entry.waiting() == 0 && http.active() == 0
     }
 
-    fn is_alone(&self) -> bool {
+    fn has_no_other_agents(&self) -> bool {
         self.entry.view().is_empty()
     }
 
--- a/crates/daemon/tests/fleet/mod.rs
+++ b/crates/daemon/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet of real processes on loopback, with stand-ins for the
-//! platform inside the test. All waits are on conditions.
+//! A small fleet of real processes on loopback, with stand-ins for the platform
+//! inside the test process. The tests wait for conditions, not for fixed times.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -35,16 +35,16 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Longest wait for a condition: far above what any takes, for slow machines.
-const PATIENCE: Duration = Duration::from_secs(90);
-const POLL: Duration = Duration::from_millis(20);
+/// Longest wait for a condition, far above the usual time, for slow hosts.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const ZONES: [&str; 3] = ["selfoss", "hella", "thorlak"];
 const FIRST_PORT: u16 = 20_000;
-const PORTS: u16 = 12_000;
+const PORT_COUNT: u16 = 12_000;
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// A process of gannetvane; ended with the test.
+/// A process of gannetvane; it is killed when the value is dropped.
 pub struct Process {
     pub child: Child,
     pub addr: SocketAddr,
@@ -64,7 +64,7 @@
         kill_process(pid, signal).expect("the process exists");
     }
 
-    /// Asks for a planned stop and waits for its end.
+    /// Requests a planned stop and waits until the process ends.
     pub fn stop(mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         let mut status = None;
@@ -88,13 +88,13 @@
     pub body: String,
 }
 
-/// How a submission ended, as its caller saw it.
+/// The end of a submission as its caller saw it.
 #[derive(Clone, Debug)]
 pub enum End {
     Complete(AnswerBody),
     Problem(Problem),
-    /// The connection broke or was refused.
-    Cut(String),
+    /// The connection broke or was refused, or the body was not the expected JSON.
+    NoAnswer(String),
 }
 
 pub struct Fleet {
@@ -107,7 +107,8 @@
 }
 
 impl Fleet {
-    /// Processes that are in touch, with the service `bretti-desk` configured.
+    /// Starts entries and agents, waits until the entries know all agents, and
+    /// configures the service `bretti-desk`.
     pub fn start(entries: usize, agents: usize) -> Self {
         let log = LogService::new(Duration::from_secs(3_600));
         let log_addr = free_addr();
@@ -198,7 +199,7 @@
         self.call(0, Method::PUT, &path, &body).expect("an answer")
     }
 
-    /// Waits until each entry sees this many live agents.
+    /// Waits until each entry reports this many live agents.
     pub fn wait_until_known(&self, agents: usize) {
         for index in self.running_entries() {
             wait_until("all agents are known", || {
@@ -248,15 +249,16 @@
             .ids
     }
 
-    /// All starts of tasks of a submission that may run only once.
+    /// Returns the starts of those tasks of a submission that may run only once.
     pub fn starts_of(&self, id: &str) -> Vec<String> {
         let starts = self.minions.iter().flat_map(MinionStandIn::starts);
         let own = starts.filter(|start| start.task.starts_with(id) && !start.is_repeatable);
         own.map(|start| start.task).collect()
     }
 
-    /// Checks what must hold of an end that a caller was told.
-    pub fn check(&self, id: &str, end: &End) {
+    /// Checks that no task was started twice, and that the end reported to the caller
+    /// matches the starts.
+    pub fn check_end(&self, id: &str, end: &End) {
         let mut starts = self.starts_of(id);
         let count = starts.len();
         starts.sort();
@@ -265,18 +267,22 @@
         match end {
             End::Complete(answer) => {
                 for (index, result) in answer.results.iter().enumerate() {
-                    assert_eq!(**result, *format!("done {id}/{index}"), "a crossed answer");
+                    assert_eq!(
+                        **result,
+                        *format!("done {id}/{index}"),
+                        "the result belongs to another task"
+                    );
                 }
             }
             End::Problem(problem) if problem.ran == Ran::NotRun => {
-                assert_eq!(count, 0, "{id} was said not to have run: {problem:?}");
+                assert_eq!(count, 0, "{id} was reported as not run: {problem:?}");
             }
-            End::Problem(_) | End::Cut(_) => {}
+            End::Problem(_) | End::NoAnswer(_) => {}
         }
     }
 }
 
-/// Submits to the HTTP address of an entry and waits for the end.
+/// Submits a job or request to the HTTP address of an entry and returns its end.
 pub fn submit(entry: SocketAddr, id: &str, body: &Value) -> End {
     let kind = if body.get("tasks").is_some() {
         "jobs"
@@ -285,24 +291,24 @@
     };
     let response = match call(entry, Method::PUT, &format!("/v1/{kind}/{id}"), body) {
         Ok(response) => response,
-        Err(error) => return End::Cut(error),
+        Err(error) => return End::NoAnswer(error),
     };
     if response.status == 200 {
         return match serde_json::from_str(&response.body) {
             Ok(answer) => End::Complete(answer),
-            Err(error) => End::Cut(error.to_string()),
+            Err(error) => End::NoAnswer(error.to_string()),
         };
     }
     match serde_json::from_str(&response.body) {
         Ok(problem) => End::Problem(problem),
-        Err(error) => End::Cut(error.to_string()),
+        Err(error) => End::NoAnswer(error.to_string()),
     }
 }
 
 pub fn reason(end: &End) -> Option<Reason> {
     match end {
         End::Problem(problem) => Some(problem.reason),
-        End::Complete(_) | End::Cut(_) => None,
+        End::Complete(_) | End::NoAnswer(_) => None,
     }
 }
 
@@ -337,7 +343,7 @@
         .uri(format!("http://{addr}{path}"))
         .body(Body::from(bytes))
         .map_err(|error| error.to_string())?;
-    let client = Client::new().with_global_timeout(PATIENCE);
+    let client = Client::new().with_global_timeout(WAIT_TIMEOUT);
     let response = client.request(request).map_err(|error| error.to_string())?;
     let status = response.status().as_u16();
     let mut text = String::new();
@@ -349,32 +355,35 @@
 }
 
 pub fn wait_until(what: &str, mut is_reached: impl FnMut() -> bool) {
-    let began = Instant::now();
+    let start = Instant::now();
     while !is_reached() {
-        assert!(began.elapsed() < PATIENCE, "waited in vain until {what}");
-        sleep(POLL);
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
+        sleep(POLL_INTERVAL);
     }
 }
 
-/// An address on loopback that nothing else uses: each test process has an
-/// address of its own, apart from that of outgoing connections.
+/// Returns an unused loopback address: each test process has its own IP address,
+/// which outgoing connections do not use.
 pub fn free_addr() -> SocketAddr {
     let [low, high, ..] = std::process::id().to_le_bytes();
     let ip = Ipv4Addr::new(127, 1 + high % 250, low, 1);
-    // Not tried out first: a child that another test starts at that moment
-    // would hold the socket for a while.
-    let port = FIRST_PORT + NEXT_PORT.fetch_add(1, Ordering::SeqCst) % PORTS;
+    // The port is not bound first to test it: a child process that another test
+    // starts at that moment would inherit the socket and hold it for a while.
+    let port = FIRST_PORT + NEXT_PORT.fetch_add(1, Ordering::SeqCst) % PORT_COUNT;
     SocketAddr::new(ip.into(), port)
 }
 
-/// Where a process writes its log lines; read when a test fails.
+/// Creates the file for the log lines of a process, for use when a test fails.
 fn log_file(role: &str, addr: SocketAddr) -> std::fs::File {
     let name = format!("{role}-{}-{}.log", std::process::id(), addr.port());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::File::create(path).expect("the folder can be written to")
 }
 
-/// A settings file with this text, in a folder for this test run.
+/// Writes a settings file with this text to the temporary folder of the tests.
 pub fn settings_file(text: &str) -> PathBuf {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
--- a/crates/daemon/tests/soak/clients.rs
+++ b/crates/daemon/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send jobs, and what they are told.
+//! Clients that send jobs, and records of the answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,25 +14,26 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Pause before a client sends a job again whose answer did not come.
+/// Pause before a client repeats an unanswered call.
 const RESEND_MS: u64 = 1_300;
-/// One job in this many crashes each minion that starts a task of it, and one fails.
-const BAD_PART: u32 = 30;
+/// Of this many jobs, on average one crashes each minion that starts one of its
+/// tasks, and one fails.
+const FAULTY_JOB_DIVISOR: u32 = 30;
 
-/// What callers learned of one job.
+/// The answers that callers got for one job.
 #[derive(Clone, Debug, Default)]
-pub struct JobLog {
+pub struct JobRecord {
     pub tasks: usize,
     pub statuses: Vec<u16>,
-    /// Whether it is stored.
+    /// Whether an entry confirmed that the job is stored.
     pub is_accepted: bool,
     pub is_completed: bool,
     pub is_failed: bool,
 }
 
-impl JobLog {
-    /// Notes what an answer says of the job's end.
-    pub fn note(&mut self, (status, body): &(u16, String)) {
+impl JobRecord {
+    /// Records the end of the job if the answer reports one.
+    pub fn record_answer(&mut self, (status, body): &(u16, String)) {
         self.is_completed |= *status == 200 && body.contains("completed");
         self.is_failed |= *status == 200 && body.contains("failed");
     }
@@ -42,7 +43,7 @@
     }
 }
 
-/// A job that a client makes up.
+/// A job with random contents.
 pub struct ClientJob {
     pub id: String,
     pub spec: String,
@@ -55,7 +56,7 @@
         let work_ms = rng.random_range(10..500);
         Self {
             id: format!("{client:04x}{:04x}{sent:08x}", seed & 0xffff),
-            spec: match rng.random_range(0..BAD_PART) {
+            spec: match rng.random_range(0..FAULTY_JOB_DIVISOR) {
                 0 => "crash".to_owned(),
                 1 => "fail".to_owned(),
                 _ => format!("ms={work_ms}"),
@@ -76,21 +77,21 @@
         request.post(front)
     }
 
-    pub fn log(&self) -> JobLog {
-        JobLog {
+    pub fn new_record(&self) -> JobRecord {
+        JobRecord {
             tasks: self.tasks,
-            ..JobLog::default()
+            ..JobRecord::default()
         }
     }
 }
 
-/// Sends stored jobs one after the other, each again until it is accepted or
-/// refused, and asks for each until it has ended.
+/// Sends stored jobs one after the other until `stop` is set: repeats each until
+/// it is accepted or refused, and polls each accepted one until it has ended.
 pub fn run_storing_client(
     number: usize,
     seed: u64,
     fronts: &[SocketAddr],
-    jobs: &Mutex<BTreeMap<String, JobLog>>,
+    jobs: &Mutex<BTreeMap<String, JobRecord>>,
     stop: &AtomicBool,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 1_000 + number as u64);
@@ -98,32 +99,33 @@
     while !stop.load(Ordering::Relaxed) {
         sent += 1;
         let job = ClientJob::draw(number, seed, sent, &mut rng);
-        let mut log = job.log();
-        while !stop.load(Ordering::Relaxed) && !log.is_accepted {
+        let mut record = job.new_record();
+        while !stop.load(Ordering::Relaxed) && !record.is_accepted {
             let front = fronts[rng.random_range(0..fronts.len())];
             let (status, _) = job.post(front, true);
-            log.statuses.push(status);
-            log.is_accepted = status == 200;
-            if matches!(status, 422 | 429 | 503) && log.statuses.len() == 1 {
+            record.statuses.push(status);
+            record.is_accepted = status == 200;
+            if matches!(status, 422 | 429 | 503) && record.statuses.len() == 1 {
                 break;
             }
             thread::sleep(Duration::from_millis(50));
         }
-        while !stop.load(Ordering::Relaxed) && log.is_accepted && !log.has_ended() {
+        while !stop.load(Ordering::Relaxed) && record.is_accepted && !record.has_ended() {
             let front = fronts[rng.random_range(0..fronts.len())];
-            log.note(&stored_state(front, &job.id));
+            record.record_answer(&stored_state(front, &job.id));
             thread::sleep(Duration::from_millis(20));
         }
-        jobs.lock().expect("no panic").insert(job.id, log);
+        jobs.lock().expect("no panic").insert(job.id, record);
     }
 }
 
-/// Sends jobs one after the other, each again when no answer came.
+/// Sends jobs one after the other until `stop` is set, each up to 3 times while
+/// it gets no final answer.
 pub fn run_client(
     number: usize,
     seed: u64,
     fronts: &[SocketAddr],
-    jobs: &Mutex<BTreeMap<String, JobLog>>,
+    jobs: &Mutex<BTreeMap<String, JobRecord>>,
     stop: &AtomicBool,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 1_000 + number as u64);
@@ -131,17 +133,17 @@
     while !stop.load(Ordering::Relaxed) {
         sent += 1;
         let job = ClientJob::draw(number, seed, sent, &mut rng);
-        let mut log = job.log();
+        let mut record = job.new_record();
         for _ in 0..3 {
             let front = fronts[rng.random_range(0..fronts.len())];
             let answer = job.post(front, false);
-            log.statuses.push(answer.0);
-            log.note(&answer);
+            record.statuses.push(answer.0);
+            record.record_answer(&answer);
             if matches!(answer.0, 200 | 422 | 429 | 503 | 504) {
                 break;
             }
             thread::sleep(Duration::from_millis(RESEND_MS));
         }
-        jobs.lock().expect("no panic").insert(job.id, log);
+        jobs.lock().expect("no panic").insert(job.id, record);
     }
 }
