--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 /// Time that a call takes at most beyond the caller's deadline.
-const GRACE: Duration = Duration::from_secs(15);
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(15);
 
 /// A call without a usable response.
 #[derive(Debug, Error)]
@@ -83,8 +83,8 @@
     /// # Errors
     ///
     /// [`CallError`] when there is no response.
-    pub fn get(&self, path: &str, wait: Duration) -> Result<Response, CallError> {
-        self.call(Method::GET, path, Vec::new(), wait)
+    pub fn get(&self, path: &str, response_wait: Duration) -> Result<Response, CallError> {
+        self.call(Method::GET, path, Vec::new(), response_wait)
     }
 
     /// Sends a JSON body.
@@ -97,9 +97,9 @@
         method: Method,
         path: &str,
         body: &impl Serialize,
-        wait: Duration,
+        response_wait: Duration,
     ) -> Result<Response, CallError> {
-        self.call(method, path, serde_json::to_vec(body)?, wait)
+        self.call(method, path, serde_json::to_vec(body)?, response_wait)
     }
 
     /// Makes a call; the response may take as long as `wait`.
@@ -112,7 +112,7 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-        wait: Duration,
+        response_wait: Duration,
     ) -> Result<Response, CallError> {
         let url = format!("{}{path}", self.url);
         let request = Request::builder()
@@ -123,18 +123,18 @@
             url: url.clone(),
             reason: error.to_string(),
         })?;
-        let client = oxhttp::Client::new().with_global_timeout(wait + GRACE);
-        let connection = |source| CallError::Connection {
+        let client = oxhttp::Client::new().with_global_timeout(response_wait + TIMEOUT_MARGIN);
+        let connection_error = |source| CallError::Connection {
             url: url.clone(),
             source,
         };
-        let response = client.request(request).map_err(connection)?;
+        let response = client.request(request).map_err(connection_error)?;
         let status = response.status().as_u16();
         let mut bytes = Vec::new();
         response
             .into_body()
             .read_to_end(&mut bytes)
-            .map_err(connection)?;
+            .map_err(connection_error)?;
         Ok(Response {
             status,
             body: bytes,
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -12,7 +12,7 @@
 
 /// Time before a job came and after it ended whose events are shown with it,
 /// in milliseconds: clocks of hosts differ by some.
-const SURROUNDINGS_MS: u64 = 500;
+const CONTEXT_MS: u64 = 500;
 
 /// A story that cannot be told.
 #[derive(Debug, Error)]
@@ -30,7 +30,7 @@
 }
 
 /// Event of the line that tells that the end of a stored job lies in the log.
-const RECORDED: &str = "recorded";
+const RECORDED_EVENT: &str = "recorded";
 
 /// What a log line holds; fields that are not named here are left out.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -66,7 +66,7 @@
 
 /// The lines that tell what became of a job, in the order of their times.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Story {
+pub struct JobHistory {
     job: String,
     received_ms: u64,
     lines: Vec<LogLine>,
@@ -80,41 +80,41 @@
 pub fn explain<'a>(
     job: &str,
     logs: impl IntoIterator<Item = &'a str>,
-) -> Result<Story, ExplainError> {
+) -> Result<JobHistory, ExplainError> {
     let mut read = 0;
     let texts = logs.into_iter().inspect(|_| read += 1);
     let lines: Vec<LogLine> = texts.filter_map(LogLine::read).collect();
-    let own: Vec<&LogLine> = lines.iter().filter(|line| is_about(line, job)).collect();
-    let came_ms = |line: &&LogLine| line.unix_ms.saturating_sub(line.took_ms.unwrap_or(0));
-    let Some(received_ms) = own.iter().map(came_ms).min() else {
+    let job_lines: Vec<&LogLine> = lines.iter().filter(|line| is_about(line, job)).collect();
+    let arrival_ms = |line: &&LogLine| line.unix_ms.saturating_sub(line.took_ms.unwrap_or(0));
+    let Some(received_ms) = job_lines.iter().map(arrival_ms).min() else {
         return Err(ExplainError::Unknown {
             job: job.to_owned(),
             read,
             skipped: read - lines.len(),
         });
     };
-    let ended_ms = own.iter().map(|line| line.unix_ms).max();
-    let from_ms = received_ms.saturating_sub(SURROUNDINGS_MS);
-    let until_ms = ended_ms.unwrap_or(received_ms) + SURROUNDINGS_MS;
-    let nodes = own.iter().map(|line| line.node.as_str());
-    let hosts = own.iter().flat_map(|line| line.hosts());
-    let places: BTreeSet<&str> = nodes.chain(hosts).collect();
-    let is_near = |line: &LogLine| {
+    let ended_ms = job_lines.iter().map(|line| line.unix_ms).max();
+    let from_ms = received_ms.saturating_sub(CONTEXT_MS);
+    let until_ms = ended_ms.unwrap_or(received_ms) + CONTEXT_MS;
+    let nodes = job_lines.iter().map(|line| line.node.as_str());
+    let hosts = job_lines.iter().flat_map(|line| line.hosts());
+    let involved: BTreeSet<&str> = nodes.chain(hosts).collect();
+    let is_context = |line: &LogLine| {
         let mut names = std::iter::once(line.node.as_str()).chain(line.hosts());
         line.job.is_none()
             && (from_ms..=until_ms).contains(&line.unix_ms)
-            && names.any(|name| places.contains(name))
+            && names.any(|name| involved.contains(name))
     };
-    let told = lines
+    let history = lines
         .iter()
-        .filter(|line| is_about(line, job) || is_near(line));
-    let mut told: Vec<LogLine> = told.cloned().collect();
+        .filter(|line| is_about(line, job) || is_context(line));
+    let mut history: Vec<LogLine> = history.cloned().collect();
     // An outcome comes after what led to it in the same millisecond.
-    told.sort_by_key(|line| (line.unix_ms, line.took_ms.is_some()));
-    Ok(Story {
+    history.sort_by_key(|line| (line.unix_ms, line.took_ms.is_some()));
+    Ok(JobHistory {
         job: job.to_owned(),
         received_ms,
-        lines: told,
+        lines: history,
     })
 }
 
@@ -122,16 +122,17 @@
     line.job.as_deref() == Some(job)
 }
 
-impl Story {
+impl JobHistory {
     /// What the last line that names an outcome means.
-    fn verdict(&self) -> String {
-        let is_recorded = |line: &&LogLine| is_about(line, &self.job) && line.event == RECORDED;
+    fn summary(&self) -> String {
+        let is_recorded =
+            |line: &&LogLine| is_about(line, &self.job) && line.event == RECORDED_EVENT;
         if let Some(line) = self.lines.iter().rfind(is_recorded) {
             let end = line.values("end").next().unwrap_or_default();
             return format!("stored, and recorded as {end}: every entry tells it so");
         }
-        let outcome = |line: &&LogLine| is_about(line, &self.job) && line.took_ms.is_some();
-        let Some(line) = self.lines.iter().rfind(outcome) else {
+        let has_outcome = |line: &&LogLine| is_about(line, &self.job) && line.took_ms.is_some();
+        let Some(line) = self.lines.iter().rfind(has_outcome) else {
             return "no outcome was logged: the process ended first, or lines were dropped"
                 .to_owned();
         };
@@ -163,19 +164,19 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for JobHistory {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "job {}", self.job)?;
         for line in &self.lines {
             let since_ms = line.unix_ms.cast_signed() - self.received_ms.cast_signed();
-            let mark = if line.job.is_some() { '*' } else { ' ' };
+            let marker = if line.job.is_some() { '*' } else { ' ' };
             let why = line.why.trim_end();
             writeln!(
                 f,
-                "{mark} {since_ms:>6} ms  {}  {}  {why}",
+                "{marker} {since_ms:>6} ms  {}  {}  {why}",
                 line.node, line.event
             )?;
         }
-        writeln!(f, "{}", self.verdict())
+        writeln!(f, "{}", self.summary())
     }
 }
--- a/crates/cli/src/ids.rs
+++ b/crates/cli/src/ids.rs
@@ -14,7 +14,7 @@
 
 /// Ids taken in one call.
 const BLOCK_IDS: usize = 64;
-const WAIT: Duration = Duration::from_secs(5);
+const RESPONSE_WAIT: Duration = Duration::from_secs(5);
 
 /// Ids of one service, shared by the senders.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 
 /// Why there is no id.
 #[derive(Debug)]
-pub(crate) enum NoId {
+pub(crate) enum TakeIdError {
     Refused(Response),
     Call(CallError),
 }
@@ -39,24 +39,24 @@
     }
 
     /// An id, from the pool or through `entry`.
-    pub(crate) fn take(&self, entry: &Client) -> Result<String, NoId> {
+    pub(crate) fn take(&self, entry: &Client) -> Result<String, TakeIdError> {
         if let Some(id) = self.pop() {
             return Ok(id);
         }
         let path = format!("/v1/ids?service={}&count={BLOCK_IDS}", self.service);
         let response = entry
-            .call(Method::POST, &path, Vec::new(), WAIT)
-            .map_err(NoId::Call)?;
+            .call(Method::POST, &path, Vec::new(), RESPONSE_WAIT)
+            .map_err(TakeIdError::Call)?;
         if !response.is_success() {
-            return Err(NoId::Refused(response));
+            return Err(TakeIdError::Refused(response));
         }
-        let taken: IdsBody = response.json().map_err(NoId::Call)?;
+        let taken: IdsBody = response.json().map_err(TakeIdError::Call)?;
         self.lock().extend(taken.ids);
-        self.pop().ok_or(NoId::Refused(response))
+        self.pop().ok_or(TakeIdError::Refused(response))
     }
 
     /// Drops the ids of a home that is lost.
-    pub(crate) fn forget_home_of(&self, id: &str) {
+    pub(crate) fn drop_ids_of_home(&self, id: &str) {
         let home = home_of(id).to_owned();
         self.lock().retain(|other| home_of(other) != home);
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -15,7 +15,7 @@
 pub use client::Client;
 pub use client::Response;
 pub use explain::ExplainError;
-pub use explain::Story;
+pub use explain::JobHistory;
 pub use explain::explain;
 pub use load::Load;
 pub use load::LoadBuilder;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -24,7 +24,7 @@
 use crate::client::Client;
 use crate::client::Response;
 use crate::ids::IdPool;
-use crate::ids::NoId;
+use crate::ids::TakeIdError;
 use crate::model::Discipline;
 use crate::model::model_responses;
 use crate::report::Comparison;
@@ -205,12 +205,12 @@
     arrival: usize,
     id: String,
     response_us: u64,
-    end: End,
+    end: SubmissionEnd,
 }
 
 #[derive(Clone, Debug)]
-enum End {
-    Complete { is_right: bool },
+enum SubmissionEnd {
+    Complete { is_correct: bool },
     Problem { ran: Ran, reason: String },
 }
 
@@ -256,12 +256,12 @@
             run_ms: vec![PROBE_RUN_MS],
             declared_ms: vec![PROBE_RUN_MS],
         };
-        let mut least_us = u64::MAX;
+        let mut min_us = u64::MAX;
         for number in 0..ROUND_TRIP_PROBES {
             let entry = Client::new(&self.entries[number % self.entries.len()]);
-            let began = Instant::now();
+            let started = Instant::now();
             let (id, end) = self.send_one(&entry, &ids, &probe);
-            if let End::Problem { reason, .. } = end {
+            if let SubmissionEnd::Problem { reason, .. } = end {
                 return Err(LoadError::NotServing {
                     detail: format!("{id}: {reason}"),
                 });
@@ -269,64 +269,68 @@
             // The first one pays for the ids.
             if number > 0 {
                 let extra_us =
-                    micros(began.elapsed()).saturating_sub(u64::from(PROBE_RUN_MS) * 1_000);
-                least_us = least_us.min(extra_us);
+                    micros(started.elapsed()).saturating_sub(u64::from(PROBE_RUN_MS) * 1_000);
+                min_us = min_us.min(extra_us);
             }
         }
-        Ok(least_us)
+        Ok(min_us)
     }
 
     fn send_all(&self, arrivals: &Arc<Vec<Arrival>>) -> Result<Vec<Sample>, LoadError> {
         let ids = Arc::new(IdPool::new(&self.service));
-        let (due, to_send) = unbounded::<usize>();
-        let (done, samples) = unbounded();
-        let began = Instant::now();
+        let (due_sender, due_arrivals) = unbounded::<usize>();
+        let (sample_sender, samples) = unbounded();
+        let started = Instant::now();
         for _ in 0..MAX_IN_FLIGHT.min(arrivals.len()) {
-            let sender = Sending {
+            let sender = SendingThread {
                 load: self.clone(),
                 arrivals: Arc::clone(arrivals),
                 ids: Arc::clone(&ids),
-                began,
+                started,
             };
-            let (to_send, done) = (to_send.clone(), done.clone());
+            let (due_arrivals, sample_sender) = (due_arrivals.clone(), sample_sender.clone());
             thread::Builder::new()
                 .stack_size(SENDER_STACK_BYTES)
-                .spawn(move || sender.run(&to_send, &done))?;
+                .spawn(move || sender.run(&due_arrivals, &sample_sender))?;
         }
-        drop(done);
+        drop(sample_sender);
         for (index, arrival) in arrivals.iter().enumerate() {
-            let at = began + Duration::from_micros(arrival.at_us);
+            let at = started + Duration::from_micros(arrival.at_us);
             thread::sleep(at.saturating_duration_since(Instant::now()));
             // The receivers live until the channel is dropped.
-            let _ = due.send(index);
+            let _ = due_sender.send(index);
         }
-        drop(due);
+        drop(due_sender);
         Ok(samples.iter().collect())
     }
 
-    fn send_one(&self, entry: &Client, ids: &IdPool, arrival: &Arrival) -> (String, End) {
+    fn send_one(&self, entry: &Client, ids: &IdPool, arrival: &Arrival) -> (String, SubmissionEnd) {
         let id = match ids.take(entry) {
             Ok(id) => id,
-            Err(NoId::Refused(response)) => return (String::new(), problem_end(&response)),
-            Err(NoId::Call(error)) => return (String::new(), broken_end(&error, Ran::NotRun)),
+            Err(TakeIdError::Refused(response)) => {
+                return (String::new(), end_from_problem(&response));
+            }
+            Err(TakeIdError::Call(error)) => {
+                return (String::new(), end_from_call_error(&error, Ran::NotRun));
+            }
         };
         let wait = Duration::from_millis(self.deadline_ms);
-        let sent = if arrival.is_request {
+        let response = if arrival.is_request {
             let path = format!("/v1/requests/{id}");
             entry.send(Method::PUT, &path, &self.request_body(arrival), wait)
         } else {
             let path = format!("/v1/jobs/{id}");
             entry.send(Method::PUT, &path, &self.job_body(arrival), wait)
         };
-        let end = match sent {
-            Ok(response) if response.is_success() => End::Complete {
-                is_right: is_right(&response, &id, arrival.run_ms.len()),
+        let end = match response {
+            Ok(response) if response.is_success() => SubmissionEnd::Complete {
+                is_correct: is_correct(&response, &id, arrival.run_ms.len()),
             },
-            Ok(response) => problem_end(&response),
-            Err(error) => broken_end(&error, Ran::Unknown),
+            Ok(response) => end_from_problem(&response),
+            Err(error) => end_from_call_error(&error, Ran::Unknown),
         };
-        if matches!(&end, End::Problem { reason, .. } if reason.starts_with("home-")) {
-            ids.forget_home_of(&id);
+        if matches!(&end, SubmissionEnd::Problem { reason, .. } if reason.starts_with("home-")) {
+            ids.drop_ids_of_home(&id);
         }
         (id, end)
     }
@@ -361,12 +365,12 @@
     }
 
     fn compare(&self, arrivals: &[Arrival], samples: &[Sample], round_trip_us: u64) -> Comparison {
-        let is_counted = |arrival: &Arrival| arrival.at_us >= self.warm_up_ms * 1_000;
+        let is_after_warm_up = |arrival: &Arrival| arrival.at_us >= self.warm_up_ms * 1_000;
         let measured = samples
             .iter()
-            .filter(|sample| matches!(sample.end, End::Complete { .. }))
+            .filter(|sample| matches!(sample.end, SubmissionEnd::Complete { .. }))
             .map(|sample| (&arrivals[sample.arrival], sample.response_us))
-            .filter(|(arrival, _)| is_counted(arrival))
+            .filter(|(arrival, _)| is_after_warm_up(arrival))
             .map(|(arrival, response_us)| ratio(arrival, response_us, round_trip_us));
         let model = |discipline| {
             let minions = self.minions.len().max(1);
@@ -375,7 +379,7 @@
             let pairs = arrivals
                 .iter()
                 .zip(responses)
-                .filter(|(arrival, _)| is_counted(arrival));
+                .filter(|(arrival, _)| is_after_warm_up(arrival));
             Quantiles::of(
                 pairs.map(|(arrival, us)| ratio(arrival, us + round_trip_us, round_trip_us)),
             )
@@ -390,22 +394,22 @@
 }
 
 /// One thread that sends what is due.
-struct Sending {
+struct SendingThread {
     load: Load,
     arrivals: Arc<Vec<Arrival>>,
     ids: Arc<IdPool>,
-    began: Instant,
+    started: Instant,
 }
 
-impl Sending {
-    fn run(&self, to_send: &Receiver<usize>, done: &Sender<Sample>) {
-        for index in to_send {
+impl SendingThread {
+    fn run(&self, due_arrivals: &Receiver<usize>, sample_sender: &Sender<Sample>) {
+        for index in due_arrivals {
             let arrival = &self.arrivals[index];
             let entry = Client::new(&self.load.entries[index % self.load.entries.len()]);
             let (id, end) = self.load.send_one(&entry, &self.ids, arrival);
             // From the time at which it was due, so that a late sender shows.
-            let response_us = micros(self.began.elapsed()).saturating_sub(arrival.at_us);
-            if done
+            let response_us = micros(self.started.elapsed()).saturating_sub(arrival.at_us);
+            if sample_sender
                 .send(Sample {
                     arrival: index,
                     id,
@@ -425,8 +429,8 @@
     for sample in samples {
         outcomes.sent += 1;
         match &sample.end {
-            End::Complete { .. } => outcomes.complete += 1,
-            End::Problem { ran, reason } => {
+            SubmissionEnd::Complete { .. } => outcomes.complete += 1,
+            SubmissionEnd::Problem { ran, reason } => {
                 match ran {
                     Ran::NotRun => outcomes.not_run += 1,
                     Ran::Ran => outcomes.ran += 1,
@@ -448,7 +452,7 @@
     let window = |(at_s, samples): (u64, Vec<&Sample>)| {
         let complete = samples
             .iter()
-            .filter(|sample| matches!(sample.end, End::Complete { .. }));
+            .filter(|sample| matches!(sample.end, SubmissionEnd::Complete { .. }));
         let ratios = Quantiles::ratios(
             complete
                 .map(|sample| ratio(&arrivals[sample.arrival], sample.response_us, round_trip_us)),
@@ -465,26 +469,26 @@
 
 /// Response over ideal of one submission.
 fn ratio(arrival: &Arrival, response_us: u64, round_trip_us: u64) -> f64 {
-    response_us as f64 / (longest_us(arrival) + round_trip_us) as f64
+    response_us as f64 / (longest_run_us(arrival) + round_trip_us) as f64
 }
 
 fn slowest_refusal_ms(samples: &[Sample]) -> f64 {
     let refusals = samples.iter().filter(|sample| {
-        matches!(&sample.end, End::Problem { ran: Ran::NotRun, reason } if reason != "deadline-passed")
+        matches!(&sample.end, SubmissionEnd::Problem { ran: Ran::NotRun, reason } if reason != "deadline-passed")
     });
     refusals.map(|sample| sample.response_us).max().unwrap_or(0) as f64 / 1e3
 }
 
 fn violations(samples: &[Sample], starts: &Starts) -> Violations {
     let mut violations = Violations {
-        double_starts: starts.double,
+        double_starts: starts.started_twice,
         starts: starts.count,
         ..Violations::default()
     };
     for sample in samples {
         match sample.end {
-            End::Complete { is_right: false } => violations.wrong_answers += 1,
-            End::Problem {
+            SubmissionEnd::Complete { is_correct: false } => violations.wrong_answers += 1,
+            SubmissionEnd::Problem {
                 ran: Ran::NotRun, ..
             } if starts.submissions.contains(&sample.id) => {
                 violations.false_not_run += 1;
@@ -496,24 +500,24 @@
 }
 
 /// Whether an answer is whole and belongs to the submission.
-fn is_right(response: &Response, id: &str, tasks: usize) -> bool {
+fn is_correct(response: &Response, id: &str, tasks: usize) -> bool {
     let Ok(answer) = response.json::<AnswerBody>() else {
         return false;
     };
     let expected = |index: usize| format!("done {id}/{index}");
-    let is_own = (0..)
+    let has_own_results = (0..)
         .zip(&answer.results)
         .all(|(index, result)| **result == *expected(index));
-    answer.id == id && answer.results.len() == tasks && is_own
+    answer.id == id && answer.results.len() == tasks && has_own_results
 }
 
-fn problem_end(response: &Response) -> End {
+fn end_from_problem(response: &Response) -> SubmissionEnd {
     match response.json::<Problem>() {
-        Ok(problem) => End::Problem {
+        Ok(problem) => SubmissionEnd::Problem {
             ran: problem.ran,
             reason: reason_of(&problem),
         },
-        Err(_) => End::Problem {
+        Err(_) => SubmissionEnd::Problem {
             ran: Ran::Unknown,
             reason: format!("status-{}", response.status),
         },
@@ -529,19 +533,19 @@
         .to_owned()
 }
 
-fn broken_end(error: &CallError, ran: Ran) -> End {
+fn end_from_call_error(error: &CallError, ran: Ran) -> SubmissionEnd {
     let reason = match error {
         CallError::Connection { .. } => NO_CONNECTION.to_owned(),
         other => other.to_string(),
     };
-    End::Problem { ran, reason }
+    SubmissionEnd::Problem { ran, reason }
 }
 
 fn payload(run_ms: u32) -> Name {
     Name::from(format!("run_ms={run_ms}"))
 }
 
-fn longest_us(arrival: &Arrival) -> u64 {
+fn longest_run_us(arrival: &Arrival) -> u64 {
     arrival.run_ms.iter().max().copied().map_or(0, u64::from) * 1_000
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -39,7 +39,7 @@
 const EXIT_USAGE: u8 = 2;
 /// Exit code when no entry could be reached.
 const EXIT_UNREACHABLE: u8 = 3;
-const WAIT: Duration = Duration::from_secs(30);
+const RESPONSE_WAIT: Duration = Duration::from_secs(30);
 
 /// Commands for operators and callers of gannetvane.
 #[derive(Debug, Options)]
@@ -311,10 +311,10 @@
         Command::Cancel(arguments) => {
             let path = format!("/v1/jobs/{}", arguments.id);
             let client = Client::new(&arguments.entry);
-            print(&client.call(Method::DELETE, &path, Vec::new(), WAIT)?)
+            print_response(&client.call(Method::DELETE, &path, Vec::new(), RESPONSE_WAIT)?)
         }
         Command::Status(arguments) => status(&arguments),
-        Command::Explain(arguments) => tell(&arguments),
+        Command::Explain(arguments) => explain_job(&arguments),
         Command::Load(arguments) => load(arguments),
         Command::Plot(arguments) => plot(&arguments),
         Command::CheckSettings(arguments) => check_settings(&arguments),
@@ -323,7 +323,7 @@
 
 fn plan(arguments: PlanArguments) -> Result<(), CommandError> {
     let path = arguments.intent.display().to_string();
-    let text = read(&path)?;
+    let text = read_input(&path)?;
     let intent: Intent = toml::from_str(&text).map_err(|error| CommandError::File {
         path,
         reason: error.to_string(),
@@ -332,27 +332,28 @@
         change_id: arguments.change_id.map(Into::into),
         operations: intent.operations,
     };
-    let response = Client::new(&arguments.entry).send(Method::POST, "/v1/plans", &body, WAIT)?;
+    let response =
+        Client::new(&arguments.entry).send(Method::POST, "/v1/plans", &body, RESPONSE_WAIT)?;
     if response.is_success() {
         for effect in response.json::<PlanBody>()?.effects {
             eprintln!("{effect}");
         }
     }
-    print(&response)
+    print_response(&response)
 }
 
 fn confirm(arguments: &ConfirmArguments) -> Result<(), CommandError> {
-    let text = read(&arguments.plan)?;
+    let text = read_input(&arguments.plan)?;
     let plan: PlanBody = serde_json::from_str(&text).map_err(|error| CommandError::File {
         path: arguments.plan.clone(),
         reason: error.to_string(),
     })?;
     let path = format!("/v1/changes/{}", plan.change.change_id);
-    print(&Client::new(&arguments.entry).send(Method::PUT, &path, &plan, WAIT)?)
+    print_response(&Client::new(&arguments.entry).send(Method::PUT, &path, &plan, RESPONSE_WAIT)?)
 }
 
 fn submit(arguments: &SubmitArguments) -> Result<(), CommandError> {
-    let text = read(&arguments.body)?;
+    let text = read_input(&arguments.body)?;
     let body: serde_json::Value =
         serde_json::from_str(&text).map_err(|error| CommandError::File {
             path: arguments.body.clone(),
@@ -370,28 +371,33 @@
     } else {
         "requests"
     };
-    let wait = Duration::from_millis(body["deadline_ms"].as_u64().unwrap_or(30_000));
-    print(&client.send(Method::PUT, &format!("/v1/{kind}/{id}"), &body, wait)?)
+    let response_wait = Duration::from_millis(body["deadline_ms"].as_u64().unwrap_or(30_000));
+    print_response(&client.send(
+        Method::PUT,
+        &format!("/v1/{kind}/{id}"),
+        &body,
+        response_wait,
+    )?)
 }
 
 fn take_id(client: &Client, body: &serde_json::Value) -> Result<String, CommandError> {
     let service = body["service"].as_str().unwrap_or_default();
     let path = format!("/v1/ids?service={service}");
-    let response = client.call(Method::POST, &path, Vec::new(), WAIT)?;
+    let response = client.call(Method::POST, &path, Vec::new(), RESPONSE_WAIT)?;
     if !response.is_success() {
-        print(&response)?;
+        print_response(&response)?;
     }
-    let mut taken: IdsBody = response.json()?;
-    taken.ids.pop().ok_or(CommandError::Refused)
+    let mut ids_body: IdsBody = response.json()?;
+    ids_body.ids.pop().ok_or(CommandError::Refused)
 }
 
 fn status(arguments: &StatusArguments) -> Result<(), CommandError> {
     let client = Client::new(&arguments.entry);
     if let Some(id) = &arguments.id {
-        return print(&client.get(&format!("/v1/jobs/{id}"), WAIT)?);
+        return print_response(&client.get(&format!("/v1/jobs/{id}"), RESPONSE_WAIT)?);
     }
-    print(&client.get("/v1/members", WAIT)?)?;
-    print(&client.get("/v1/configuration", WAIT)?)
+    print_response(&client.get("/v1/members", RESPONSE_WAIT)?)?;
+    print_response(&client.get("/v1/configuration", RESPONSE_WAIT)?)
 }
 
 fn load(arguments: LoadArguments) -> Result<(), CommandError> {
@@ -425,7 +431,7 @@
 fn plot(arguments: &PlotArguments) -> Result<(), CommandError> {
     let mut reports = Vec::new();
     for path in &arguments.report {
-        let text = read(&path.display().to_string())?;
+        let text = read_input(&path.display().to_string())?;
         let report: Report = serde_json::from_str(&text).map_err(|error| CommandError::File {
             path: path.display().to_string(),
             reason: error.to_string(),
@@ -438,7 +444,7 @@
 /// Checks a file of either interface: only those of the platform's programs
 /// have the table `host`.
 fn check_settings(arguments: &CheckArguments) -> Result<(), CommandError> {
-    let text = read(&arguments.settings.display().to_string())?;
+    let text = read_input(&arguments.settings.display().to_string())?;
     let table: Option<toml::Table> = toml::from_str(&text).ok();
     if table.is_some_and(|table| table.contains_key("host")) {
         PlatformSettings::load(&arguments.settings)?;
@@ -449,28 +455,28 @@
     Ok(())
 }
 
-fn tell(arguments: &ExplainArguments) -> Result<(), CommandError> {
+fn explain_job(arguments: &ExplainArguments) -> Result<(), CommandError> {
     let Some((job, paths)) = arguments.job_and_logs.split_first() else {
         return Err(CommandError::NoLogs);
     };
     if paths.is_empty() {
         return Err(CommandError::NoLogs);
     }
-    let logs = paths.iter().map(|path| read(path));
+    let logs = paths.iter().map(|path| read_input(path));
     let logs: Vec<String> = logs.collect::<Result<_, _>>()?;
     let lines = logs.iter().flat_map(|log| log.lines());
     print!("{}", explain(job, lines)?);
     Ok(())
 }
 
-fn read(path: &str) -> Result<String, CommandError> {
+fn read_input(path: &str) -> Result<String, CommandError> {
     let mut text = String::new();
-    let read = if path == "-" {
+    let result = if path == "-" {
         std::io::stdin().read_to_string(&mut text)
     } else {
         std::fs::File::open(Path::new(path)).and_then(|mut file| file.read_to_string(&mut text))
     };
-    read.map_err(|error| CommandError::File {
+    result.map_err(|error| CommandError::File {
         path: path.to_owned(),
         reason: error.to_string(),
     })?;
@@ -478,7 +484,7 @@
 }
 
 /// Prints a response; a refusal becomes an error.
-fn print(response: &Response) -> Result<(), CommandError> {
+fn print_response(response: &Response) -> Result<(), CommandError> {
     println!("{}", String::from_utf8_lossy(&response.body).trim_end());
     if response.is_success() {
         return Ok(());
--- a/crates/cli/src/plot.rs
+++ b/crates/cli/src/plot.rs
@@ -30,34 +30,35 @@
 pub fn draw(reports: &[Report], response: &Path, messages: &Path) -> Result<(), PlotError> {
     let mut sorted: Vec<&Report> = reports.iter().collect();
     sorted.sort_by(|a, b| a.load.total_cmp(&b.load));
-    let p99 = |of: fn(&Report) -> f64| sorted.iter().map(|r| (r.load, of(r))).collect::<Vec<_>>();
+    let points_of =
+        |of: fn(&Report) -> f64| sorted.iter().map(|r| (r.load, of(r))).collect::<Vec<_>>();
     let lines = [
         Line {
             label: "measured",
             color: BLUE,
-            points: p99(|r| r.response_over_ideal.measured.p99),
+            points: points_of(|r| r.response_over_ideal.measured.p99),
         },
         Line {
             label: "central queue",
             color: BLACK,
-            points: p99(|r| r.response_over_ideal.central.p99),
+            points: points_of(|r| r.response_over_ideal.central.p99),
         },
         Line {
             label: "power of two",
             color: GREEN,
-            points: p99(|r| r.response_over_ideal.power_of_two.p99),
+            points: points_of(|r| r.response_over_ideal.power_of_two.p99),
         },
         Line {
             label: "random",
             color: RED,
-            points: p99(|r| r.response_over_ideal.random.p99),
+            points: points_of(|r| r.response_over_ideal.random.p99),
         },
     ];
     chart(response, "p99 of response over ideal", &lines)?;
     let per_task = [Line {
         label: "messages per task",
         color: BLUE,
-        points: p99(|r| r.messages.per_task),
+        points: points_of(|r| r.messages.per_task),
     }];
     chart(messages, "messages per task", &per_task)
 }
@@ -70,9 +71,9 @@
 
 fn try_chart(path: &Path, title: &str, lines: &[Line]) -> Result<(), Box<dyn std::error::Error>> {
     let points = || lines.iter().flat_map(|line| &line.points);
-    let least_x = points().map(|point| point.0).fold(f64::INFINITY, f64::min);
-    let most_x = points().map(|point| point.0).fold(0.0, f64::max);
-    let most_y = points().map(|point| point.1).fold(0.0, f64::max) * 1.1;
+    let min_x = points().map(|point| point.0).fold(f64::INFINITY, f64::min);
+    let max_x = points().map(|point| point.0).fold(0.0, f64::max);
+    let max_y = points().map(|point| point.1).fold(0.0, f64::max) * 1.1;
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -80,7 +81,7 @@
         .caption(title, ("sans-serif", 18))
         .x_label_area_size(36)
         .y_label_area_size(48)
-        .build_cartesian_2d(least_x..most_x + 0.001, 0.0..most_y)?;
+        .build_cartesian_2d(min_x..max_x + 0.001, 0.0..max_y)?;
     chart.configure_mesh().x_desc("load").y_desc(title).draw()?;
     for line in lines {
         let color = line.color;
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -33,20 +33,20 @@
     #[must_use]
     pub fn of(ratios: impl IntoIterator<Item = f64>) -> Self {
         let histogram = Self::ratios(ratios);
-        let at = |quantile| histogram.value_at_quantile(quantile) as f64 / RATIO_SCALE;
+        let quantile_ratio = |quantile| histogram.value_at_quantile(quantile) as f64 / RATIO_SCALE;
         Self {
-            p50: at(0.5),
-            p99: at(0.99),
-            p999: at(0.999),
+            p50: quantile_ratio(0.5),
+            p99: quantile_ratio(0.99),
+            p999: quantile_ratio(0.999),
             count: histogram.len(),
         }
     }
 
     /// A histogram of ratios in thousandths.
     pub(crate) fn ratios(ratios: impl IntoIterator<Item = f64>) -> Histogram<u64> {
-        let most = MAX_RATIO * RATIO_SCALE as u64;
+        let max = MAX_RATIO * RATIO_SCALE as u64;
         let mut histogram =
-            Histogram::<u64>::new_with_bounds(1, most, 3).expect("constant bounds are valid");
+            Histogram::<u64>::new_with_bounds(1, max, 3).expect("constant bounds are valid");
         for ratio in ratios {
             histogram.saturating_record((ratio * RATIO_SCALE).round().max(1.0) as u64);
         }
--- a/crates/cli/src/scrape.rs
+++ b/crates/cli/src/scrape.rs
@@ -10,15 +10,15 @@
 use crate::client::Client;
 use crate::report::Messages;
 
-const MESSAGES: &str = "gannetvane_messages_sent_total";
-const BYTES: &str = "gannetvane_bytes_sent_total";
-const RESENDS: &str = "gannetvane_resends_total";
-const RETRIES: &str = "gannetvane_retries_total";
+const MESSAGES_METRIC: &str = "gannetvane_messages_sent_total";
+const BYTES_METRIC: &str = "gannetvane_bytes_sent_total";
+const RESENDS_METRIC: &str = "gannetvane_resends_total";
+const RETRIES_METRIC: &str = "gannetvane_retries_total";
 /// Messages without which no task can be served.
-const NEEDFUL: [&str; 4] = ["submit", "answer", "start", "finished"];
+const REQUIRED_KINDS: [&str; 4] = ["submit", "answer", "start", "finished"];
 /// Messages of the task path that a task can do without.
-const AVOIDABLE: [&str; 3] = ["credit-request", "credit-grant", "revoke"];
-const WAIT: Duration = Duration::from_secs(5);
+const AVOIDABLE_KINDS: [&str; 3] = ["credit-request", "credit-grant", "revoke"];
+const RESPONSE_WAIT: Duration = Duration::from_secs(5);
 
 /// Sums of counters over several processes, by metric and label.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Starts {
     pub(crate) count: u64,
-    pub(crate) double: u64,
+    pub(crate) started_twice: u64,
     pub(crate) submissions: BTreeSet<String>,
 }
 
@@ -52,7 +52,7 @@
     pub(crate) fn scrape(urls: &[String]) -> Self {
         let mut counters = Self::default();
         for url in urls {
-            if let Ok(response) = Client::new(url).get("/metrics", WAIT) {
+            if let Ok(response) = Client::new(url).get("/metrics", RESPONSE_WAIT) {
                 counters.add(&String::from_utf8_lossy(&response.body));
             }
         }
@@ -100,23 +100,26 @@
         };
         let sum_since = |metric: &str| self.sum(metric).saturating_sub(earlier.sum(metric));
         let mut by_kind = BTreeMap::new();
-        for kind in NEEDFUL.iter().chain(&AVOIDABLE) {
-            by_kind.insert((*kind).to_owned(), since(MESSAGES, kind));
+        for kind in REQUIRED_KINDS.iter().chain(&AVOIDABLE_KINDS) {
+            by_kind.insert((*kind).to_owned(), since(MESSAGES_METRIC, kind));
         }
-        let all: u64 = by_kind.values().sum();
-        let avoidable: u64 = AVOIDABLE.iter().map(|kind| since(MESSAGES, kind)).sum();
-        let repeated = sum_since(RESENDS) + 2 * sum_since(RETRIES);
+        let total: u64 = by_kind.values().sum();
+        let avoidable: u64 = AVOIDABLE_KINDS
+            .iter()
+            .map(|kind| since(MESSAGES_METRIC, kind))
+            .sum();
+        let repeated = sum_since(RESENDS_METRIC) + 2 * sum_since(RETRIES_METRIC);
         let wasted = avoidable + repeated;
-        let path_bytes: u64 = NEEDFUL
+        let task_path_bytes: u64 = REQUIRED_KINDS
             .iter()
-            .chain(&AVOIDABLE)
-            .map(|kind| since(BYTES, kind))
+            .chain(&AVOIDABLE_KINDS)
+            .map(|kind| since(BYTES_METRIC, kind))
             .sum();
         Messages {
             by_kind,
-            per_task: all as f64 / tasks.max(1) as f64,
-            wasted_share: wasted as f64 / all.saturating_sub(wasted).max(1) as f64,
-            control_bytes: sum_since(BYTES).saturating_sub(path_bytes),
+            per_task: total as f64 / tasks.max(1) as f64,
+            wasted_share: wasted as f64 / total.saturating_sub(wasted).max(1) as f64,
+            control_bytes: sum_since(BYTES_METRIC).saturating_sub(task_path_bytes),
         }
     }
 }
@@ -131,7 +134,7 @@
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
         let mut starts = Self::default();
         for url in urls {
-            let response = Client::new(url).get("/starts", WAIT)?;
+            let response = Client::new(url).get("/starts", RESPONSE_WAIT)?;
             for start in response.json::<Vec<Start>>()? {
                 starts.count += 1;
                 let submission = start.task.split('/').next().unwrap_or_default();
@@ -141,7 +144,7 @@
                 }
             }
         }
-        starts.double = counts.values().filter(|count| **count > 1).count() as u64;
+        starts.started_twice = counts.values().filter(|count| **count > 1).count() as u64;
         Ok(starts)
     }
 }
@@ -149,8 +152,10 @@
 /// The first label that is not about the library.
 fn label_of(labels: &str) -> String {
     let pairs = labels.split(',').filter_map(|pair| pair.split_once('='));
-    let mut own = pairs.filter(|(key, _)| matches!(*key, "message" | "reason" | "event"));
-    own.next()
+    let mut counter_labels =
+        pairs.filter(|(key, _)| matches!(*key, "message" | "reason" | "event"));
+    counter_labels
+        .next()
         .map(|(_, value)| value.trim_matches('"').to_owned())
         .unwrap_or_default()
 }
--- a/crates/cli/src/workload.rs
+++ b/crates/cli/src/workload.rs
@@ -51,12 +51,12 @@
         let mut at_us = 0.0;
         loop {
             let uniform: f64 = rng.random();
-            let rate = self.submissions_per_s() * self.burst_at(at_us);
+            let rate = self.submissions_per_s() * self.burst_factor_at(at_us);
             at_us += -(1.0 - uniform).ln() / rate * 1e6;
             if at_us >= self.duration_ms as f64 * 1e3 {
                 return arrivals;
             }
-            arrivals.push(self.arrival(at_us as u64, &mut rng));
+            arrivals.push(self.draw_arrival(at_us as u64, &mut rng));
         }
     }
 
@@ -68,16 +68,16 @@
         self.load * self.slots as f64 / mean_run_s / tasks
     }
 
-    fn burst_at(&self, at_us: f64) -> f64 {
-        let part = at_us / (self.duration_ms as f64 * 1e3);
-        if (0.4..0.6).contains(&part) {
+    fn burst_factor_at(&self, at_us: f64) -> f64 {
+        let fraction = at_us / (self.duration_ms as f64 * 1e3);
+        if (0.4..0.6).contains(&fraction) {
             self.burst
         } else {
             1.0
         }
     }
 
-    fn arrival(&self, at_us: u64, rng: &mut ChaCha8Rng) -> Arrival {
+    fn draw_arrival(&self, at_us: u64, rng: &mut ChaCha8Rng) -> Arrival {
         let is_request = rng.random::<f64>() < self.request_share;
         let tasks = if is_request { 1 } else { self.tasks_per_job };
         let run_ms: Vec<u32> = (0..tasks)
@@ -85,7 +85,7 @@
             .collect();
         let declared_ms = run_ms
             .iter()
-            .map(|run_ms| self.declare(*run_ms, rng))
+            .map(|run_ms| self.draw_declared_ms(*run_ms, rng))
             .collect();
         Arrival {
             at_us,
@@ -95,7 +95,7 @@
         }
     }
 
-    fn declare(&self, run_ms: u32, rng: &mut ChaCha8Rng) -> u32 {
+    fn draw_declared_ms(&self, run_ms: u32, rng: &mut ChaCha8Rng) -> u32 {
         let spread = self.declared_error.max(1.0).ln();
         let factor = (rng.random_range(-1.0..=1.0) * spread).exp();
         ((f64::from(run_ms) * factor).round() as u32).max(1)
--- a/crates/cli/tests/check_settings.rs
+++ b/crates/cli/tests/check_settings.rs
@@ -37,7 +37,14 @@
     own = { "own", OWN, "", "", 0, "ok" },
     own_field = { "own-field", OWN, "zone =", "zone_name =", 2, "zone_name" },
 )]
-fn a_file_is_checked(name: &str, text: &str, from: &str, to: &str, code: i32, expected: &str) {
+fn settings_files_are_checked(
+    name: &str,
+    text: &str,
+    from: &str,
+    to: &str,
+    code: i32,
+    expected: &str,
+) {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
     let text = if from.is_empty() {
         text.to_owned()
@@ -51,8 +58,8 @@
         .arg(&path)
         .output()
         .expect("the program runs");
-    let told = [output.stdout, output.stderr].concat();
-    let told = String::from_utf8_lossy(&told);
-    assert_eq!(output.status.code(), Some(code), "{told}");
-    assert!(told.contains(expected), "{told}");
+    let printed = [output.stdout, output.stderr].concat();
+    let printed = String::from_utf8_lossy(&printed);
+    assert_eq!(output.status.code(), Some(code), "{printed}");
+    assert!(printed.contains(expected), "{printed}");
 }
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -12,13 +12,13 @@
     stored = { include_str!("explain/stored.log"), include_str!("explain/stored.txt") },
     lost_agent = { include_str!("explain/lost-agent.log"), include_str!("explain/lost-agent.txt") },
 )]
-fn logs_tell_the_story_of_a_job(log: &str, expected: &str) {
-    let story = explain(JOB, log.lines()).map(|story| story.to_string());
-    assert_eq!(story.unwrap_or_default(), expected);
+fn explain_prints_the_history_of_a_job(log: &str, expected: &str) {
+    let history = explain(JOB, log.lines()).map(|history| history.to_string());
+    assert_eq!(history.unwrap_or_default(), expected);
 }
 
 #[test]
-fn a_job_that_no_line_names_is_told_with_what_was_read() {
+fn error_for_an_unknown_job_counts_the_lines_read() {
     let log = include_str!("explain/lost-agent.log");
     let error = explain("ffffffffffffffff", log.lines()).map(|_| ());
     let error = error.map_err(|error| error.to_string());
--- a/crates/cli/tests/load.rs
+++ b/crates/cli/tests/load.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn burst_falls_in_the_middle_fifth() {
+fn burst_raises_arrivals_in_the_middle_fifth() {
     let arrivals = Workload {
         burst: 10.0,
         load: 0.1,
@@ -71,7 +71,7 @@
     }
 }
 
-fn at(at_ms: u64, run_ms: &[u32]) -> Arrival {
+fn arrival_at(at_ms: u64, run_ms: &[u32]) -> Arrival {
     let run_ms = run_ms.to_vec();
     Arrival {
         at_us: at_ms * 1_000,
@@ -83,7 +83,11 @@
 
 #[test]
 fn central_queue_serves_in_the_order_of_arrival() {
-    let arrivals = [at(0, &[100, 100]), at(10, &[50]), at(20, &[50, 50])];
+    let arrivals = [
+        arrival_at(0, &[100, 100]),
+        arrival_at(10, &[50]),
+        arrival_at(20, &[50, 50]),
+    ];
     let responses = model_responses(&arrivals, 2, 1, Discipline::Central);
     assert_eq!(responses, [100_000, 140_000, 180_000]);
 }
@@ -109,7 +113,7 @@
 }
 
 #[test]
-fn quantiles_count_what_they_are_given() {
+fn quantiles_of_known_values() {
     let quantiles = Quantiles::of((1..=1_000).map(f64::from));
     assert_eq!(quantiles.count, 1_000);
     assert!((quantiles.p50 - 500.0).abs() < 2.0);
@@ -117,7 +121,7 @@
 }
 
 #[test]
-fn outcomes_balance() {
+fn outcomes_balance_only_when_all_sent_are_counted() {
     let mut outcomes = Outcomes {
         sent: 4,
         complete: 1,
--- a/crates/standins/src/group.rs
+++ b/crates/standins/src/group.rs
@@ -12,7 +12,7 @@
     /// The last generation that it joined with.
     generation: u64,
     /// What it holds.
-    parts: BTreeSet<u32>,
+    held: BTreeSet<u32>,
     /// What it is to hold.
     target: BTreeSet<u32>,
 }
@@ -32,97 +32,97 @@
         name: &str,
         generation: u64,
         ttl_ms: u64,
-        parts: u32,
+        partitions: u32,
     ) -> (u64, Vec<u32>) {
-        self.expire(now_ms, parts);
+        self.expire(now_ms, partitions);
         let is_new = !self.members.contains_key(name);
         let member = self.members.entry(name.to_owned()).or_insert(Member {
             expires_ms: now_ms,
             generation,
-            parts: BTreeSet::new(),
+            held: BTreeSet::new(),
             target: BTreeSet::new(),
         });
         member.expires_ms = now_ms + ttl_ms;
         member.generation = generation;
         if is_new {
-            self.deal(parts);
+            self.assign_targets(partitions);
         }
         if let Some(member) = self.members.get_mut(name)
             && member.generation >= self.generation
         {
             // What is not to be held is let go with this join.
             let target = member.target.clone();
-            member.parts.retain(|part| target.contains(part));
+            member.held.retain(|part| target.contains(part));
         }
-        self.hand_out();
-        let listed = self.members.get(name).map(|member| {
-            let both = member.parts.intersection(&member.target);
-            both.copied().collect()
+        self.assign_unheld();
+        let served = self.members.get(name).map(|member| {
+            let held_targets = member.held.intersection(&member.target);
+            held_targets.copied().collect()
         });
-        (self.generation, listed.unwrap_or_default())
+        (self.generation, served.unwrap_or_default())
     }
 
     /// A member leaves.
-    pub fn leave(&mut self, name: &str, parts: u32) {
+    pub fn leave(&mut self, name: &str, partitions: u32) {
         if self.members.remove(name).is_some() {
-            self.deal(parts);
+            self.assign_targets(partitions);
         }
     }
 
     /// All partitions are dealt anew at once.
-    pub fn rebalance(&mut self, parts: u32) {
+    pub fn rebalance(&mut self, partitions: u32) {
         let names: Vec<String> = self.members.keys().cloned().collect();
         self.generation += 1;
         for member in self.members.values_mut() {
-            member.parts.clear();
+            member.held.clear();
             member.target.clear();
         }
         // In the other order, so that most change their owner.
-        for (part, name) in (0..parts).zip(names.iter().rev().cycle()) {
+        for (part, name) in (0..partitions).zip(names.iter().rev().cycle()) {
             if let Some(member) = self.members.get_mut(name) {
-                member.parts.insert(part);
+                member.held.insert(part);
                 member.target.insert(part);
             }
         }
     }
 
     /// Partitions with the members that hold them.
-    pub fn owners(&mut self, now_ms: u64, parts: u32) -> Vec<(u32, String)> {
-        self.expire(now_ms, parts);
+    pub fn owners(&mut self, now_ms: u64, partitions: u32) -> Vec<(u32, String)> {
+        self.expire(now_ms, partitions);
         let members = self.members.iter();
         let owners = members.flat_map(|(name, member)| {
-            let parts = member.parts.iter();
-            parts.map(move |part| (*part, name.clone()))
+            let held = member.held.iter();
+            held.map(move |part| (*part, name.clone()))
         });
         owners.collect()
     }
 
-    fn expire(&mut self, now_ms: u64, parts: u32) {
+    fn expire(&mut self, now_ms: u64, partitions: u32) {
         let before = self.members.len();
         self.members.retain(|_, member| member.expires_ms > now_ms);
         if self.members.len() != before {
-            self.deal(parts);
+            self.assign_targets(partitions);
         }
-        self.hand_out();
+        self.assign_unheld();
     }
 
-    fn deal(&mut self, parts: u32) {
+    fn assign_targets(&mut self, partitions: u32) {
         self.generation += 1;
         let count = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         for (position, member) in (0..).zip(self.members.values_mut()) {
-            let own = (0..parts).filter(|part| part % count == position);
-            member.target = own.collect();
+            let assigned = (0..partitions).filter(|part| part % count == position);
+            member.target = assigned.collect();
         }
     }
 
     /// Gives members what nobody holds any more.
-    fn hand_out(&mut self) {
-        let held = self.members.values().flat_map(|member| &member.parts);
+    fn assign_unheld(&mut self) {
+        let held = self.members.values().flat_map(|member| &member.held);
         let held: BTreeSet<u32> = held.copied().collect();
         for member in self.members.values_mut() {
             let free = member.target.iter().filter(|part| !held.contains(part));
             let free: Vec<u32> = free.copied().collect();
-            member.parts.extend(free);
+            member.held.extend(free);
         }
     }
 }
--- a/crates/standins/src/log_service.rs
+++ b/crates/standins/src/log_service.rs
@@ -23,9 +23,9 @@
 use crate::serve::serve;
 
 /// Connections served at one time.
-const CONNECTIONS: usize = 512;
+const MAX_CONNECTIONS: usize = 512;
 /// Records in a page when the reader does not say.
-const DEFAULT_LIMIT: u64 = 256;
+const DEFAULT_PAGE_RECORDS: u64 = 256;
 
 /// A failure of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 
 #[derive(Debug)]
 struct Record {
-    at: Instant,
+    appended_at: Instant,
     data: String,
 }
 
@@ -108,7 +108,7 @@
     /// When the address cannot be bound.
     pub fn serve(&self, addr: SocketAddr) -> std::io::Result<()> {
         let log = self.clone();
-        serve(addr, CONNECTIONS, move |call| log.answer(call))
+        serve(addr, MAX_CONNECTIONS, move |call| log.answer(call))
     }
 
     /// Brings a failure about, or ends it.
@@ -180,7 +180,7 @@
             shared.appends += 1;
             let stream = shared.streams.entry(name.to_owned()).or_default();
             stream.records.push_back(Record {
-                at: Instant::now(),
+                appended_at: Instant::now(),
                 data: data.to_owned(),
             });
             stream.end_offset() - 1
@@ -199,7 +199,7 @@
         }
         delay(fault);
         let from = call.number("from").unwrap_or(0);
-        let limit = call.number("limit").unwrap_or(DEFAULT_LIMIT);
+        let limit = call.number("limit").unwrap_or(DEFAULT_PAGE_RECORDS);
         let mut shared = self.lock();
         shared.reads += 1;
         let retention = shared.retention;
@@ -224,7 +224,7 @@
         while self
             .records
             .front()
-            .is_some_and(|record| record.at.elapsed() > retention)
+            .is_some_and(|record| record.appended_at.elapsed() > retention)
         {
             self.drop_oldest();
         }
--- a/crates/standins/src/minion.rs
+++ b/crates/standins/src/minion.rs
@@ -23,7 +23,7 @@
 use crate::serve::serve;
 
 /// Connections that a minion serves at one time.
-const CONNECTIONS: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 
 /// One start of a task, as the minion saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
 struct State {
     starts: Vec<StartRecord>,
     running: BTreeMap<String, bool>,
-    most_running: usize,
+    max_running: usize,
     fails_all: bool,
 }
 
@@ -76,7 +76,7 @@
     /// When the address cannot be bound.
     pub fn serve(&self, addr: SocketAddr) -> std::io::Result<()> {
         let minion = self.clone();
-        serve(addr, CONNECTIONS, move |call| minion.answer(call))
+        serve(addr, MAX_CONNECTIONS, move |call| minion.answer(call))
     }
 
     /// All starts so far.
@@ -137,9 +137,9 @@
                 return Answer::new(500, "out of order");
             }
             state.running.insert(task.to_owned(), false);
-            state.most_running = state.most_running.max(state.running.len());
+            state.max_running = state.max_running.max(state.running.len());
         }
-        let was_stopped = self.wait(task, run_time(&call.body));
+        let was_stopped = self.wait_unless_stopped(task, parse_run_time(&call.body));
         self.lock().running.remove(task);
         if was_stopped {
             return Answer::new(409, "stopped");
@@ -151,18 +151,18 @@
     }
 
     /// Waits for the run time to pass; true when the task was stopped.
-    fn wait(&self, task: &str, run_time: Duration) -> bool {
+    fn wait_unless_stopped(&self, task: &str, run_time: Duration) -> bool {
         let end = Instant::now() + run_time;
         let mut state = self.lock();
         loop {
             if state.running.get(task).copied().unwrap_or(false) {
                 return true;
             }
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let waited = self.shared.changed.wait_timeout(state, left);
+            let waited = self.shared.changed.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -180,7 +180,7 @@
     }
 }
 
-fn run_time(body: &str) -> Duration {
+fn parse_run_time(body: &str) -> Duration {
     let words = body.split_whitespace();
     let run_ms = words
         .filter_map(|word| word.strip_prefix("run_ms="))
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -52,22 +52,22 @@
     handler: impl Fn(&Call) -> Answer + Send + Sync + 'static,
 ) -> std::io::Result<()> {
     let server = Server::new(move |request| {
-        let answer = handler(&call_of(request));
+        let answer = handler(&read_call(request));
         let response = Response::builder()
             .status(answer.status)
             .body(Body::from(answer.body));
         response.unwrap_or_default()
     });
-    let listening = server
+    let running_server = server
         .bind(addr)
         .with_max_concurrent_connections(connections)
         .with_global_timeout(Duration::from_secs(30))
         .spawn()?;
-    std::mem::forget(listening);
+    std::mem::forget(running_server);
     Ok(())
 }
 
-fn call_of(request: &mut Request<Body>) -> Call {
+fn read_call(request: &mut Request<Body>) -> Call {
     let mut body = String::new();
     let _ = request.body_mut().read_to_string(&mut body);
     let repeatable = request.headers().get("gannetvane-repeatable");
--- a/crates/wire/src/id.rs
+++ b/crates/wire/src/id.rs
@@ -50,18 +50,18 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        parse(text).ok_or_else(|| IdError {
+        parse_submission_id(text).ok_or_else(|| IdError {
             text: text.chars().take(80).collect(),
         })
     }
 }
 
-fn parse(text: &str) -> Option<SubmissionId> {
-    let mut parts = text.split('-');
-    let home = u64::from_str_radix(parts.next()?, 16).ok()?;
-    let generation = u32::from_str_radix(parts.next()?, 16).ok()?;
-    let nonce = u64::from_str_radix(parts.next()?, 16).ok()?;
-    if parts.next().is_some() {
+fn parse_submission_id(text: &str) -> Option<SubmissionId> {
+    let mut fields = text.split('-');
+    let home = u64::from_str_radix(fields.next()?, 16).ok()?;
+    let generation = u32::from_str_radix(fields.next()?, 16).ok()?;
+    let nonce = u64::from_str_radix(fields.next()?, 16).ok()?;
+    if fields.next().is_some() {
         return None;
     }
     Some(SubmissionId {
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -44,7 +44,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn credits_survive_the_encoding(agent in any::<u64>(), slot in any::<u16>(), sequence in any::<u64>(), idle_ms in any::<u64>()) {
+    fn credits_round_trip_through_the_encoding(agent in any::<u64>(), slot in any::<u16>(), sequence in any::<u64>(), idle_ms in any::<u64>()) {
         let credit = Credit { agent: NodeId(agent), slot, sequence };
         let credits = vec![SlotCredit { credit, idle_ms }; 3];
         let sent = envelope(Message::CreditGrant { service: "bretti-desk".into(), credits });
@@ -52,12 +52,12 @@
     }
 
     #[test]
-    fn foreign_bytes_are_refused_or_read_but_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn decoding_arbitrary_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn ids_survive_their_text(home in any::<u64>(), generation in any::<u32>(), nonce in any::<u64>()) {
+    fn ids_round_trip_through_their_text(home in any::<u64>(), generation in any::<u32>(), nonce in any::<u64>()) {
         let id = SubmissionId { home: NodeId(home), generation, nonce };
         assert_eq!(id.to_string().parse(), Ok(id));
     }
@@ -67,12 +67,12 @@
     empty = { "" },
     too_few = { "1-2" },
     too_many = { "1-2-3-4" },
-    no_number = { "x-2-3" },
+    not_hexadecimal = { "x-2-3" },
     too_large = { "10000000000000000-0-0" },
     large_generation = { "1-100000000-0" },
     sign = { "-1-2-3" },
 )]
-fn text_that_is_no_id_is_refused(text: &str) {
+fn text_that_is_not_an_id_is_rejected(text: &str) {
     let error: IdError = text.parse::<SubmissionId>().unwrap_err();
     assert!(error.to_string().contains(text));
 }
@@ -83,7 +83,7 @@
     death = { 0, MemberState::Dead, true },
     same = { 0, MemberState::Alive, false },
 )]
-fn newer_news_of_a_member_goes_before_older(version: u32, state: MemberState, is_newer: bool) {
+fn newer_update_of_a_member_supersedes_older(version: u32, state: MemberState, is_newer: bool) {
     let member = Member {
         node: NodeId(1),
         addr: SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 7_100),
@@ -95,11 +95,11 @@
         state: MemberState::Alive,
         uptime_ms: 0,
     };
-    let news = Member {
+    let update = Member {
         version,
         state,
         ..member.clone()
     };
-    assert_eq!(news.supersedes(&member), is_newer);
-    assert!(!(news.supersedes(&member) && member.supersedes(&news)));
+    assert_eq!(update.supersedes(&member), is_newer);
+    assert!(!(update.supersedes(&member) && member.supersedes(&update)));
 }
