--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -10,34 +10,35 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Time that a call takes at most beyond the caller's deadline.
+/// Time added to the expected wait for a response to give the timeout of a call.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(15);
 
-/// A call without a usable response.
+/// Why a call gave no usable response.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// The entry cannot be reached, or the connection broke.
     #[error("{url}: {source}")]
     Connection {
-        /// What was called.
+        /// The URL that was called.
         url: String,
-        /// What went wrong.
+        /// The error of the connection.
         source: std::io::Error,
     },
     /// The URL or a header is malformed.
     #[error("{url}: not a valid request: {reason}")]
     Request {
-        /// What was to be called.
+        /// The URL that was to be called.
         url: String,
         /// What is malformed.
         reason: String,
     },
-    /// The response is not what was expected.
+    /// The body of the request cannot be written as JSON, or the response is not
+    /// the expected JSON.
     #[error("response not understood: {0}")]
     Response(#[from] serde_json::Error),
 }
 
-/// A response with its whole body.
+/// An HTTP response with its whole body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The HTTP status.
@@ -47,30 +48,30 @@
 }
 
 impl Response {
-    /// Whether the call succeeded.
+    /// Whether the status is one of success, from 200 to 299.
     #[must_use]
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// [`CallError::Response`] when it is of another form.
+    /// Returns [`CallError::Response`] when the body is not JSON of the type `T`.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         Ok(serde_json::from_slice(&self.body)?)
     }
 }
 
-/// Calls one HTTP server.
+/// An HTTP client of one server.
 #[derive(Clone, Debug)]
 pub struct Client {
     url: String,
 }
 
 impl Client {
-    /// A client of the server at `url`.
+    /// Creates a client of the server at `url`.
     #[must_use]
     pub fn new(url: &str) -> Self {
         Self {
@@ -78,20 +79,20 @@
         }
     }
 
-    /// Gets a path.
+    /// Sends a `GET` request for a path.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when there is no response.
+    /// Returns [`CallError`] when there is no response.
     pub fn get(&self, path: &str, response_wait: Duration) -> Result<Response, CallError> {
         self.call(Method::GET, path, Vec::new(), response_wait)
     }
 
-    /// Sends a JSON body.
+    /// Sends a request with a JSON body.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when there is no response.
+    /// Returns [`CallError`] when there is no response.
     pub fn send(
         &self,
         method: Method,
@@ -102,11 +103,12 @@
         self.call(method, path, serde_json::to_vec(body)?, response_wait)
     }
 
-    /// Makes a call; the response may take as long as `wait`.
+    /// Sends a request. The call times out when the response takes longer than
+    /// `response_wait` and a fixed margin.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when there is no response.
+    /// Returns [`CallError`] when there is no response.
     pub fn call(
         &self,
         method: Method,
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,8 +1,8 @@
-//! The story of one job, from the log lines of all processes.
+//! The history of one job, from the log lines of all processes.
 //!
-//! Lines that name the job are its own. Lines without a job count as its
-//! surroundings when they come from a host that it was on, or speak of one,
-//! while it was open: an agent that was lost, a minion that fell silent.
+//! The history holds all lines that name the job. It also holds lines that name no
+//! job, such as the loss of an agent or an unresponsive minion, if they were logged
+//! while the job was open and come from, or name, a process or host that took part.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,29 +10,30 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Time before a job came and after it ended whose events are shown with it,
-/// in milliseconds: clocks of hosts differ by some.
+/// Time before the arrival of a job and after its end from which lines without a
+/// job are included, in milliseconds. The margin is there because the clocks of
+/// hosts differ.
 const CONTEXT_MS: u64 = 500;
 
-/// A story that cannot be told.
+/// Why the history of a job cannot be given.
 #[derive(Debug, Error)]
 pub enum ExplainError {
     /// No line names the job.
     #[error("no line names {job}: {read} lines read, {skipped} of them no log lines")]
     Unknown {
-        /// The job.
+        /// Id of the job.
         job: String,
-        /// Lines that were read.
+        /// Number of lines that were read.
         read: usize,
-        /// Lines that are not log lines.
+        /// Number of lines that were read but are not log lines.
         skipped: usize,
     },
 }
 
-/// Event of the line that tells that the end of a stored job lies in the log.
+/// Event that is logged when the end of a stored job is recorded in the job log.
 const RECORDED_EVENT: &str = "recorded";
 
-/// What a log line holds; fields that are not named here are left out.
+/// The fields of a log line that are used here; others are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 struct LogLine {
     unix_ms: u64,
@@ -45,13 +46,13 @@
 }
 
 impl LogLine {
-    /// Reads a line; what stands before the JSON object is left out.
+    /// Parses a line. Text before the JSON object is ignored.
     fn read(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         serde_json::from_str(&text[start..]).ok()
     }
 
-    /// Values of a field in `why`.
+    /// Returns the values of a field in `why`, which holds `name=value` pairs.
     fn values<'a>(&'a self, field: &'a str) -> impl Iterator<Item = &'a str> {
         let pairs = self.why.split(' ').filter_map(|pair| pair.split_once('='));
         pairs
@@ -64,7 +65,7 @@
     }
 }
 
-/// The lines that tell what became of a job, in the order of their times.
+/// The log lines about a job and its surroundings, in the order of their times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobHistory {
     job: String,
@@ -72,11 +73,11 @@
     lines: Vec<LogLine>,
 }
 
-/// Finds the story of a job in log lines of any processes, in any order.
+/// Finds the history of a job in log lines of any processes, in any order.
 ///
 /// # Errors
 ///
-/// [`ExplainError`] when no line names the job.
+/// Returns [`ExplainError`] when no line names the job.
 pub fn explain<'a>(
     job: &str,
     logs: impl IntoIterator<Item = &'a str>,
@@ -109,7 +110,7 @@
         .iter()
         .filter(|line| is_about(line, job) || is_context(line));
     let mut history: Vec<LogLine> = history.cloned().collect();
-    // An outcome comes after what led to it in the same millisecond.
+    // Among lines of the same millisecond, an outcome is put after its causes.
     history.sort_by_key(|line| (line.unix_ms, line.took_ms.is_some()));
     Ok(JobHistory {
         job: job.to_owned(),
@@ -123,7 +124,7 @@
 }
 
 impl JobHistory {
-    /// What the last line that names an outcome means.
+    /// Describes the outcome of the job, from the last line that names one.
     fn summary(&self) -> String {
         let is_recorded =
             |line: &&LogLine| is_about(line, &self.job) && line.event == RECORDED_EVENT;
--- a/crates/cli/src/ids.rs
+++ b/crates/cli/src/ids.rs
@@ -1,4 +1,4 @@
-//! Submission ids taken ahead in blocks.
+//! A pool of submission ids, which are taken from an entry in blocks in advance.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -12,18 +12,19 @@
 use crate::client::Client;
 use crate::client::Response;
 
-/// Ids taken in one call.
+/// Number of ids that are taken in one call.
 const BLOCK_IDS: usize = 64;
+/// Time that the entry may take to issue the ids.
 const RESPONSE_WAIT: Duration = Duration::from_secs(5);
 
-/// Ids of one service, shared by the senders.
+/// Ids for submissions to one service, shared by the sending threads.
 #[derive(Debug)]
 pub(crate) struct IdPool {
     service: String,
     ids: Mutex<VecDeque<String>>,
 }
 
-/// Why there is no id.
+/// Why no id could be taken.
 #[derive(Debug)]
 pub(crate) enum TakeIdError {
     Refused(Response),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// An id, from the pool or through `entry`.
+    /// Takes an id from the pool. If the pool is empty, a block is fetched from `entry`.
     pub(crate) fn take(&self, entry: &Client) -> Result<String, TakeIdError> {
         if let Some(id) = self.pop() {
             return Ok(id);
@@ -55,7 +56,8 @@
         self.pop().ok_or(TakeIdError::Refused(response))
     }
 
-    /// Drops the ids of a home that is lost.
+    /// Drops all ids that have the same home as `id`, when that home is leaving, is
+    /// lost or does not answer.
     pub(crate) fn drop_ids_of_home(&self, id: &str) {
         let home = home_of(id).to_owned();
         self.lock().retain(|other| home_of(other) != home);
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the `gannetvane` command does: calls to an entry, the load tool, and
-//! the story of a job from logs.
+//! The parts of the `gannetvane` command: calls to an entry, the load tool with
+//! its plots, and the history of a job from log files.
 
 mod client;
 mod explain;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: arrivals do not wait for answers.
+//! The load tool: an open-loop load, whose arrivals do not wait for answers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -39,18 +39,18 @@
 use crate::workload::Arrival;
 use crate::workload::Workload;
 
-/// Most submissions without an answer at one time.
+/// Maximum number of submissions that wait for an answer at one time.
 const MAX_IN_FLIGHT: usize = 2_000;
-/// Single tasks sent to the idle system to learn the round trip.
+/// Number of single tasks sent to the idle system to measure the round trip.
 const ROUND_TRIP_PROBES: usize = 20;
-/// Run time of these tasks in milliseconds.
+/// Run time of the tasks that measure the round trip, in milliseconds.
 const PROBE_RUN_MS: u32 = 20;
-/// Reason counted when an entry could not be reached at all.
+/// Reason that is counted when the connection to an entry failed.
 const NO_CONNECTION: &str = "no-connection";
-/// Stack of a sending thread in bytes.
+/// Stack size of a sending thread, in bytes.
 const SENDER_STACK_BYTES: usize = 256 * 1024;
 
-/// A load that cannot be run.
+/// Why a load cannot be run.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// A setting is missing or out of range.
@@ -58,16 +58,16 @@
     Setting {
         /// The setting.
         field: &'static str,
-        /// What is allowed.
+        /// The allowed values.
         allowed: &'static str,
     },
-    /// The idle system did not answer a first task.
+    /// The idle system did not complete a task of the round-trip measurement.
     #[error("no answer before the load: {detail}")]
     NotServing {
-        /// What came instead.
+        /// Id of the submission and the reason for its failure.
         detail: String,
     },
-    /// A minion does not tell its starts.
+    /// A minion stand-in did not list its starts.
     #[error(transparent)]
     Call(#[from] CallError),
     /// A thread could not be started.
@@ -75,7 +75,7 @@
     Thread(#[from] std::io::Error),
 }
 
-/// A load and where it goes.
+/// A load, and the processes that it is run on.
 #[derive(Clone, Debug)]
 pub struct Load {
     entries: Vec<String>,
@@ -95,7 +95,7 @@
 }
 
 impl LoadBuilder {
-    /// A load on these entries.
+    /// Creates a builder for a load on the entries at these URLs.
     #[must_use]
     pub fn new(entries: Vec<String>, workload: Workload) -> Self {
         let load = Load {
@@ -111,21 +111,21 @@
         Self { load }
     }
 
-    /// HTTP addresses of agents, whose metrics are read.
+    /// Sets the HTTP URLs of agents, whose metrics are read.
     #[must_use]
     pub fn agents(mut self, urls: Vec<String>) -> Self {
         self.load.agents = urls;
         self
     }
 
-    /// HTTP addresses of minion stand-ins, whose starts are read.
+    /// Sets the HTTP URLs of minion stand-ins, whose starts are read.
     #[must_use]
     pub fn minions(mut self, urls: Vec<String>) -> Self {
         self.load.minions = urls;
         self
     }
 
-    /// The service and team of all submissions.
+    /// Sets the service and team of all submissions.
     #[must_use]
     pub fn service(mut self, service: &str, team: &str) -> Self {
         self.load.service = service.to_owned();
@@ -133,25 +133,26 @@
         self
     }
 
-    /// Time that callers wait, in milliseconds.
+    /// Sets the deadline of each submission, in milliseconds.
     #[must_use]
     pub fn deadline_ms(mut self, deadline_ms: u64) -> Self {
         self.load.deadline_ms = deadline_ms;
         self
     }
 
-    /// First part of the load that the quantiles leave out, in milliseconds.
+    /// Sets the time at the start of the load that the quantiles leave out, in
+    /// milliseconds.
     #[must_use]
     pub fn warm_up_ms(mut self, warm_up_ms: u64) -> Self {
         self.load.warm_up_ms = warm_up_ms;
         self
     }
 
-    /// Checks the settings.
+    /// Checks the settings and builds the load.
     ///
     /// # Errors
     ///
-    /// [`LoadError::Setting`] names the first that is not allowed.
+    /// Returns [`LoadError::Setting`] with the first setting that is not allowed.
     pub fn build(self) -> Result<Load, LoadError> {
         let load = self.load;
         let workload = &load.workload;
@@ -199,15 +200,18 @@
     }
 }
 
-/// What became of one submission.
+/// How one submission of the load ended.
 #[derive(Clone, Debug)]
 struct Sample {
+    /// Index of its arrival.
     arrival: usize,
     id: String,
+    /// Time from when it was due to its end, in microseconds.
     response_us: u64,
     end: SubmissionEnd,
 }
 
+/// The end of a submission, as its sender sees it.
 #[derive(Clone, Debug)]
 enum SubmissionEnd {
     Complete { is_correct: bool },
@@ -215,11 +219,12 @@
 }
 
 impl Load {
-    /// Runs the load to its end and reports.
+    /// Runs the load to its end and returns the report.
     ///
     /// # Errors
     ///
-    /// [`LoadError`] when the system does not serve, or figures are missing.
+    /// Returns [`LoadError`] when the idle system does not complete a task, the
+    /// starts cannot be read, or a thread cannot be started.
     pub fn run(&self) -> Result<Report, LoadError> {
         let arrivals = Arc::new(self.workload.arrivals());
         let round_trip_us = self.measure_round_trip()?;
@@ -247,7 +252,8 @@
         })
     }
 
-    /// The least that single tasks on the idle system take beyond their run.
+    /// Measures the shortest time, in microseconds, that single tasks on the idle
+    /// system take beyond their run time.
     fn measure_round_trip(&self) -> Result<u64, LoadError> {
         let ids = IdPool::new(&self.service);
         let probe = Arrival {
@@ -266,7 +272,8 @@
                     detail: format!("{id}: {reason}"),
                 });
             }
-            // The first one pays for the ids.
+            // The first task is not counted, because its time includes the fetch of
+            // the ids.
             if number > 0 {
                 let extra_us =
                     micros(started.elapsed()).saturating_sub(u64::from(PROBE_RUN_MS) * 1_000);
@@ -297,7 +304,7 @@
         for (index, arrival) in arrivals.iter().enumerate() {
             let at = started + Duration::from_micros(arrival.at_us);
             thread::sleep(at.saturating_duration_since(Instant::now()));
-            // The receivers live until the channel is dropped.
+            // The receivers exist until the channel is dropped.
             let _ = due_sender.send(index);
         }
         drop(due_sender);
@@ -393,7 +400,7 @@
     }
 }
 
-/// One thread that sends what is due.
+/// The state of a thread that sends due submissions, one after the other.
 struct SendingThread {
     load: Load,
     arrivals: Arc<Vec<Arrival>>,
@@ -407,7 +414,8 @@
             let arrival = &self.arrivals[index];
             let entry = Client::new(&self.load.entries[index % self.load.entries.len()]);
             let (id, end) = self.load.send_one(&entry, &self.ids, arrival);
-            // From the time at which it was due, so that a late sender shows.
+            // The time is counted from when the submission was due, so that it
+            // includes a delay of the sender.
             let response_us = micros(self.started.elapsed()).saturating_sub(arrival.at_us);
             if sample_sender
                 .send(Sample {
@@ -467,7 +475,7 @@
     by_second.into_iter().map(window).collect()
 }
 
-/// Response over ideal of one submission.
+/// Returns the response time of one submission divided by the ideal one.
 fn ratio(arrival: &Arrival, response_us: u64, round_trip_us: u64) -> f64 {
     response_us as f64 / (longest_run_us(arrival) + round_trip_us) as f64
 }
@@ -499,7 +507,7 @@
     violations
 }
 
-/// Whether an answer is whole and belongs to the submission.
+/// Whether a response holds all results and belongs to the submission.
 fn is_correct(response: &Response, id: &str, tasks: usize) -> bool {
     let Ok(answer) = response.json::<AnswerBody>() else {
         return false;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `gannetvane`: commands for operators and callers.
+//! The `gannetvane` program: commands for operators and callers.
 
 use std::io::Read;
 use std::path::Path;
@@ -33,12 +33,14 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
-/// Exit code when the system refused, or a submission failed.
+/// Exit code when a call was refused, a submission failed, a request or response is
+/// invalid, or no log line names the job to explain.
 const EXIT_REFUSED: u8 = 1;
 /// Exit code for a command line, file or setting that cannot be used.
 const EXIT_USAGE: u8 = 2;
 /// Exit code when no entry could be reached.
 const EXIT_UNREACHABLE: u8 = 3;
+/// Time that an entry may take to respond to a command.
 const RESPONSE_WAIT: Duration = Duration::from_secs(30);
 
 /// Commands for operators and callers of gannetvane.
@@ -262,12 +264,12 @@
     Explain(#[from] ExplainError),
     #[error("explain: the id of a job and a log file are needed")]
     NoLogs,
-    /// The response was printed already.
+    /// The response says why; it has been printed already.
     #[error("refused")]
     Refused,
 }
 
-/// An intent as operators write it.
+/// The intent file of an operator: the steps of a change to plan.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Intent {
@@ -364,7 +366,8 @@
         Some(id) => id.clone(),
         None => take_id(&client, &body)?,
     };
-    // Told first, so that a caller who is cut off can ask again.
+    // The id is printed before the call, so that a caller whose connection breaks
+    // can ask for the answer later.
     eprintln!("id {id}");
     let kind = if body.get("tasks").is_some() {
         "jobs"
@@ -441,8 +444,8 @@
     Ok(draw(&reports, &arguments.response, &arguments.messages)?)
 }
 
-/// Checks a file of either interface: only those of the platform's programs
-/// have the table `host`.
+/// Checks a settings file of `gannetvaned` or of the platform's programs. Only the
+/// latter has the table `host`.
 fn check_settings(arguments: &CheckArguments) -> Result<(), CommandError> {
     let text = read_input(&arguments.settings.display().to_string())?;
     let table: Option<toml::Table> = toml::from_str(&text).ok();
@@ -483,7 +486,7 @@
     Ok(text)
 }
 
-/// Prints a response; a refusal becomes an error.
+/// Prints the body of a response, and returns an error unless it is a success.
 fn print_response(response: &Response) -> Result<(), CommandError> {
     println!("{}", String::from_utf8_lossy(&response.body).trim_end());
     if response.is_success() {
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -1,5 +1,5 @@
-//! Reference disciplines computed on the same arrivals and run times: an ideal
-//! central queue, and two that choose a minion without one.
+//! Simulated reference disciplines, to compare a load run with: an ideal central
+//! queue, and two disciplines that choose a minion without a central queue.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,20 +10,20 @@
 
 use crate::Arrival;
 
-/// How the reference assigns tasks to slots. Choices cost no time.
+/// How the simulation assigns tasks to slots. An assignment takes no time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discipline {
-    /// One queue for all slots, first come first served.
+    /// All slots serve one queue, first come first served.
     Central,
-    /// A random minion, each with a queue of its own.
+    /// Each minion has its own queue, and each task goes to a random minion.
     Random,
-    /// The shorter of the queues of two random minions, with exact knowledge.
+    /// Each minion has its own queue, and each task goes to the one of two random
+    /// minions that has less work left. The amount of work is known exactly.
     PowerOfTwo,
 }
 
-/// Response time in microseconds of each arrival, without any round trip.
-///
-/// `minions` minions have `slots_each` slots.
+/// Computes the response time of each arrival in microseconds, without any round
+/// trip. There are `minions` minions with `slots_each` slots each.
 #[must_use]
 pub fn model_responses(
     arrivals: &[Arrival],
@@ -49,8 +49,9 @@
     responses
 }
 
-/// Slots that serve one queue, by the time at which each is next free.
+/// Slots that serve one queue.
 struct Slots {
+    /// The time at which each slot is next free, in microseconds.
     free_at_us: BinaryHeap<Reverse<u64>>,
 }
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Queues a task; returns when it ends.
+    /// Queues a task and returns the time at which it ends, in microseconds.
     fn run(&mut self, at_us: u64, run_us: u64) -> u64 {
         let Reverse(free_us) = self.free_at_us.pop().unwrap_or(Reverse(at_us));
         let end_us = free_us.max(at_us) + run_us;
@@ -69,7 +70,7 @@
         end_us
     }
 
-    /// Work that is queued or runs, in microseconds.
+    /// Sum of the run time left over all queued and running tasks, in microseconds.
     fn backlog_us(&self, at_us: u64) -> u64 {
         self.free_at_us
             .iter()
--- a/crates/cli/src/plot.rs
+++ b/crates/cli/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of load reports, as SVG.
+//! Plots of load reports in SVG.
 
 use std::path::Path;
 
@@ -7,9 +7,10 @@
 
 use crate::report::Report;
 
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (720, 420);
 
-/// A plot that cannot be drawn.
+/// Why a plot could not be drawn.
 #[derive(Debug, Error)]
 #[error("plot: {reason}")]
 pub struct PlotError {
@@ -22,11 +23,12 @@
     points: Vec<(f64, f64)>,
 }
 
-/// Draws response over ideal and wasted messages against load.
+/// Draws two plots against the load: the 99th percentile of response over ideal
+/// into `response`, and the messages per task into `messages`.
 ///
 /// # Errors
 ///
-/// [`PlotError`] when a file cannot be written.
+/// Returns [`PlotError`] when a file cannot be written.
 pub fn draw(reports: &[Report], response: &Path, messages: &Path) -> Result<(), PlotError> {
     let mut sorted: Vec<&Report> = reports.iter().collect();
     sorted.sort_by(|a, b| a.load.total_cmp(&b.load));
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a load run.
+//! The report of a load run, as the load tool prints it and the plots read it.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Ratios are kept in thousandths.
+/// Histograms hold ratios in units of one part in this many: thousandths.
 pub(crate) const RATIO_SCALE: f64 = 1_000.0;
-/// Largest ratio that is told apart from larger ones.
+/// Maximum ratio of a histogram; larger ones are counted as this one.
 const MAX_RATIO: u64 = 10_000;
 
-/// Quantiles of response time over its ideal.
+/// Quantiles of the response time divided by the ideal response time, which is the
+/// longest run time among the tasks and one round trip.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
     /// Median.
@@ -20,12 +21,12 @@
     pub p99: f64,
     /// 99.9th percentile.
     pub p999: f64,
-    /// Number of submissions.
+    /// Number of submissions that the quantiles cover.
     pub count: u64,
 }
 
 impl Quantiles {
-    /// Quantiles of these ratios.
+    /// Computes the quantiles of ratios.
     ///
     /// # Panics
     ///
@@ -42,7 +43,7 @@
         }
     }
 
-    /// A histogram of ratios in thousandths.
+    /// Fills a histogram with ratios, in thousandths.
     pub(crate) fn ratios(ratios: impl IntoIterator<Item = f64>) -> Histogram<u64> {
         let max = MAX_RATIO * RATIO_SCALE as u64;
         let mut histogram =
@@ -54,20 +55,21 @@
     }
 }
 
-/// How the submissions ended. Each is counted once.
+/// Numbers of submissions by how they ended. Each is counted in one of `complete`,
+/// `not_run`, `ran` and `unknown`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcomes {
     /// Submissions that were sent.
     pub sent: u64,
-    /// Answered as a whole.
+    /// Submissions whose tasks all returned a result.
     pub complete: u64,
-    /// Refused: nothing ran.
+    /// Submissions that ended without a task having run.
     pub not_run: u64,
-    /// Failed: something ran.
+    /// Submissions that failed after at least one task ran.
     pub ran: u64,
-    /// It is not known what ran.
+    /// Submissions of which it is not known whether a task ran.
     pub unknown: u64,
-    /// The same by reason, for all that are not complete.
+    /// Submissions that are not complete, by reason.
     pub reasons: BTreeMap<String, u64>,
 }
 
@@ -79,84 +81,87 @@
     }
 }
 
-/// Response over ideal of the processes, beside the reference disciplines on
-/// the same arrivals.
+/// Response over ideal as measured, and as simulated for the reference disciplines
+/// with the same arrivals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The running processes.
+    /// Measured on the running processes.
     pub measured: Quantiles,
-    /// The ideal central queue, first come first served.
+    /// Simulated with an ideal central queue, first come first served.
     pub central: Quantiles,
-    /// A random minion.
+    /// Simulated with a random minion for each task.
     pub random: Quantiles,
-    /// The better of two minions.
+    /// Simulated with the less loaded of two random minions for each task.
     pub power_of_two: Quantiles,
 }
 
-/// What must never happen, counted by the stand-ins.
+/// Numbers of events that must never happen, and of the starts among which they
+/// are counted, from the answers and the minion stand-ins.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violations {
-    /// Tasks that may run once only and started more often.
+    /// Tasks that may run only once but started more often.
     pub double_starts: u64,
-    /// Answers that were not whole, or belonged to another submission.
+    /// Answers that lacked results, or belonged to another submission.
     pub wrong_answers: u64,
-    /// Submissions that were said not to have run, but did.
+    /// Submissions that were reported as not run although a task started.
     pub false_not_run: u64,
-    /// Tasks started in all.
+    /// Starts of tasks in total.
     pub starts: u64,
 }
 
 /// Messages between the processes during the run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Messages {
-    /// Messages by kind, without those of membership and configuration.
+    /// Messages by kind, except those of membership and configuration.
     pub by_kind: BTreeMap<String, u64>,
-    /// All of these for each task.
+    /// Number of these messages divided by the number of tasks.
     pub per_task: f64,
-    /// Messages beyond one out and one back, as a share of the needful ones.
+    /// Messages beyond one out and one back, which are those for credits,
+    /// revocations, resends and retries, as a fraction of the needed messages.
     pub wasted_share: f64,
-    /// Bytes of membership and configuration sent by all processes.
+    /// Bytes that all processes sent for membership and configuration.
     pub control_bytes: u64,
 }
 
-/// What became of the submissions that were sent in one second.
+/// How the submissions that were due in one second of the load ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Window {
-    /// The second, from the start of the load.
+    /// Number of the second, from 0 at the start of the load.
     pub at_s: u64,
-    /// Submissions sent.
+    /// Number of submissions that were due in this second and sent.
     pub sent: u64,
-    /// Answered as a whole.
+    /// Number of those submissions whose tasks all returned a result.
     pub complete: u64,
-    /// 90th percentile of response over ideal of those.
+    /// 90th percentile of response over ideal of the complete submissions.
     pub p90: f64,
 }
 
-/// All figures of one run.
+/// All figures of one load run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Seed of the load.
     pub seed: u64,
     /// Length of the load in milliseconds.
     pub duration_ms: u64,
-    /// Share of the slots that the load asks for.
+    /// Number of slots that the load needs on average, as a fraction of all slots.
     pub load: f64,
-    /// Tasks of each job.
+    /// Number of tasks in each job.
     pub tasks_per_job: usize,
-    /// Round trip that no answer can do without, in milliseconds: the least
-    /// seen by single tasks on the idle system.
+    /// Shortest time, in milliseconds, that single tasks on the idle system took
+    /// beyond their run time. Every response includes such a round trip.
     pub round_trip_ms: f64,
     /// How the submissions ended.
     pub outcomes: Outcomes,
-    /// Response over ideal.
+    /// Response over ideal, measured and simulated.
     pub response_over_ideal: Comparison,
-    /// The run second by second, where failures show.
+    /// Figures for each second of the load, in which failures show.
     #[serde(default)]
     pub windows: Vec<Window>,
-    /// Longest time to a refusal, in milliseconds.
+    /// Longest time after which a submission was refused, in milliseconds. Those
+    /// whose deadline passed are not counted.
     pub slowest_refusal_ms: f64,
-    /// Messages between the processes.
+    /// Messages between the processes during the run.
     pub messages: Messages,
-    /// What must never happen.
+    /// Events that must never happen.
     pub violations: Violations,
 }
--- a/crates/cli/src/scrape.rs
+++ b/crates/cli/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Figures that the processes and stand-ins tell of themselves.
+//! Figures read over HTTP: metrics of the processes, starts of the minion stand-ins.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,41 +14,46 @@
 const BYTES_METRIC: &str = "gannetvane_bytes_sent_total";
 const RESENDS_METRIC: &str = "gannetvane_resends_total";
 const RETRIES_METRIC: &str = "gannetvane_retries_total";
-/// Messages without which no task can be served.
+/// Kinds of messages that every task needs.
 const REQUIRED_KINDS: [&str; 4] = ["submit", "answer", "start", "finished"];
-/// Messages of the task path that a task can do without.
+/// Kinds of messages about tasks and credits that a task can do without.
 const AVOIDABLE_KINDS: [&str; 3] = ["credit-request", "credit-grant", "revoke"];
+/// Time that a process may take to respond.
 const RESPONSE_WAIT: Duration = Duration::from_secs(5);
 
-/// Sums of counters over several processes, by metric and label.
+/// Counters summed over several processes, by metric and label.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counters {
     values: BTreeMap<CounterKey, u64>,
 }
 
+/// Metric and label that identify a counter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CounterKey {
     metric: String,
     label: String,
 }
 
-/// One start as a minion tells it.
+/// One start of a task, as a minion stand-in lists it.
 #[derive(Clone, Debug, Deserialize)]
 struct Start {
     task: String,
     is_repeatable: bool,
 }
 
-/// Starts over all minions.
+/// Starts of tasks over all minions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Starts {
+    /// Number of starts.
     pub(crate) count: u64,
+    /// Number of tasks that may run only once but started more often.
     pub(crate) started_twice: u64,
+    /// Submissions of which a task started.
     pub(crate) submissions: BTreeSet<String>,
 }
 
 impl Counters {
-    /// Reads the metrics of these processes; those that are gone count nothing.
+    /// Reads the metrics of processes. A process that gives no response adds nothing.
     pub(crate) fn scrape(urls: &[String]) -> Self {
         let mut counters = Self::default();
         for url in urls {
@@ -92,7 +97,7 @@
             .sum()
     }
 
-    /// Messages since `earlier`, for this many tasks.
+    /// Computes the figures of the messages sent since `earlier` for `tasks` tasks.
     pub(crate) fn messages_since(&self, earlier: &Self, tasks: u64) -> Messages {
         let since = |metric: &str, label: &str| {
             self.get(metric, label)
@@ -125,11 +130,11 @@
 }
 
 impl Starts {
-    /// Reads the starts of these minions.
+    /// Reads the starts from minion stand-ins.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when a minion does not tell them.
+    /// Returns [`CallError`] when a minion does not list its starts.
     pub(crate) fn read(urls: &[String]) -> Result<Self, CallError> {
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
         let mut starts = Self::default();
@@ -149,7 +154,8 @@
     }
 }
 
-/// The first label that is not about the library.
+/// Returns the value of the first label that gannetvane sets itself; the metrics
+/// library adds others.
 fn label_of(labels: &str) -> String {
     let pairs = labels.split(',').filter_map(|pair| pair.split_once('='));
     let mut counter_labels =
--- a/crates/cli/src/workload.rs
+++ b/crates/cli/src/workload.rs
@@ -1,40 +1,41 @@
-//! Arrivals of an open-loop load, drawn from a seed.
+//! The arrivals of an open-loop load, drawn at random from a seed.
 
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// What a load consists of.
+/// Parameters from which the arrivals of a load are drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workload {
-    /// Seed of all draws.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Length of the arrivals in milliseconds.
+    /// Time during which submissions arrive, in milliseconds.
     pub duration_ms: u64,
-    /// Slots of the service, over all its minions.
+    /// Number of slots of the service, over all its minions.
     pub slots: usize,
-    /// Share of the slots that is busy on average.
+    /// Number of slots that the load needs on average, as a fraction of all slots;
+    /// the burst is not included.
     pub load: f64,
-    /// Tasks of each job.
+    /// Number of tasks in each job.
     pub tasks_per_job: usize,
-    /// Share of submissions that are single non-repeatable requests.
+    /// Fraction of the submissions that are single, non-repeatable requests.
     pub request_share: f64,
     /// Shortest run time of a task in milliseconds.
     pub least_run_ms: u32,
     /// Longest run time of a task in milliseconds.
     pub most_run_ms: u32,
-    /// Declared run times are off by up to this factor, either way.
+    /// Maximum factor by which a declared run time is above or below the actual one.
     pub declared_error: f64,
-    /// Arrivals are this many times as frequent in the middle fifth.
+    /// Factor by which arrivals are more frequent in the middle fifth of the load.
     pub burst: f64,
 }
 
 /// One submission of a load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When it is sent, in microseconds after the start.
+    /// Time after the start of the load at which it is due, in microseconds.
     pub at_us: u64,
-    /// Whether it is a single request, not a job.
+    /// Whether it is a single request and not a job.
     pub is_request: bool,
     /// Run time of each task in milliseconds.
     pub run_ms: Vec<u32>,
@@ -43,7 +44,8 @@
 }
 
 impl Workload {
-    /// Draws all arrivals, in order. Their gaps are exponential.
+    /// Draws all arrivals, in the order of their times. The gaps between them are
+    /// distributed exponentially.
     #[must_use]
     pub fn arrivals(&self) -> Vec<Arrival> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Mean number of submissions in a second.
+    /// Mean number of submissions per second, without the burst.
     #[must_use]
     pub fn submissions_per_s(&self) -> f64 {
         let mean_run_s = f64::from(self.least_run_ms + self.most_run_ms) / 2.0 / 1e3;
--- a/crates/cli/tests/check_settings.rs
+++ b/crates/cli/tests/check_settings.rs
@@ -1,4 +1,5 @@
-//! `gannetvane check-settings` on the files of both interfaces.
+//! Tests of `gannetvane check-settings` on settings files of `gannetvaned` and of
+//! the platform's programs.
 
 use std::path::PathBuf;
 use std::process::Command;
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,5 +1,5 @@
-//! The story of a job from logs: each `.log` file has a `.txt` file with what
-//! is told.
+//! Tests of `explain`: each `.log` file has a `.txt` file with the history that is
+//! expected from it.
 
 use gannetvane::explain;
 use yare::parameterized;
--- a/crates/cli/tests/load.rs
+++ b/crates/cli/tests/load.rs
@@ -1,4 +1,5 @@
-//! The load tool: arrivals, references, figures and settings.
+//! Tests of the load tool (arrivals, reference disciplines, figures, settings), and
+//! of the exit codes of the commands.
 
 use gannetvane::Arrival;
 use gannetvane::Discipline;
@@ -56,7 +57,7 @@
     let is_in_burst = |a: &&Arrival| (24_000_000..36_000_000).contains(&a.at_us);
     let inside = arrivals.iter().filter(is_in_burst).count();
     let outside = arrivals.len() - inside;
-    // 10 times the rate in a quarter of the other time.
+    // 10 times the rate in a time that is a quarter of the rest: about 2.5.
     let ratio = inside as f64 / outside as f64;
     assert!((1.8..3.4).contains(&ratio), "{ratio}");
 }
--- a/crates/standins/examples/platform.rs
+++ b/crates/standins/examples/platform.rs
@@ -1,5 +1,5 @@
-//! Runs stand-ins for the platform in one process: the log service and any
-//! number of minions, until it is ended.
+//! Runs stand-ins for the platform in one process, the log service and any number of
+//! minions, until the process is ended.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
--- a/crates/standins/src/group.rs
+++ b/crates/standins/src/group.rs
@@ -1,5 +1,8 @@
-//! Groups of the store: partitions divided evenly among the members, each of
-//! which keeps what it lost until it joins with the generation that took it.
+//! Groups of the store, which divide partitions evenly among their members.
+//!
+//! Each new assignment has a new generation. A member that loses a partition holds
+//! it until the member joins with that generation, or is removed; only then can
+//! another member get it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,13 +10,13 @@
 /// A member of a group.
 #[derive(Debug)]
 struct Member {
-    /// When it counts as gone.
+    /// Time at which the member is removed unless it joins again, in milliseconds.
     expires_ms: u64,
-    /// The last generation that it joined with.
+    /// The generation with which it joined last.
     generation: u64,
-    /// What it holds.
+    /// Partitions that it holds.
     held: BTreeSet<u32>,
-    /// What it is to hold.
+    /// Partitions that it is to hold under the present assignment.
     target: BTreeSet<u32>,
 }
 
@@ -25,7 +28,9 @@
 }
 
 impl Group {
-    /// A member joins or stays; its generation and partitions.
+    /// Adds a member, or renews its membership for `ttl_ms`. `generation` is the
+    /// last one that the member knows. Returns the present generation, and the
+    /// partitions that the member holds and is to keep.
     pub fn join(
         &mut self,
         now_ms: u64,
@@ -50,7 +55,7 @@
         if let Some(member) = self.members.get_mut(name)
             && member.generation >= self.generation
         {
-            // What is not to be held is let go with this join.
+            // With this join the member releases what it is not to hold.
             let target = member.target.clone();
             member.held.retain(|part| target.contains(part));
         }
@@ -62,14 +67,15 @@
         (self.generation, served.unwrap_or_default())
     }
 
-    /// A member leaves.
+    /// Removes a member and assigns all partitions again.
     pub fn leave(&mut self, name: &str, partitions: u32) {
         if self.members.remove(name).is_some() {
             self.assign_targets(partitions);
         }
     }
 
-    /// All partitions are dealt anew at once.
+    /// Assigns all partitions again, and moves them without waiting for the members
+    /// to release them.
     pub fn rebalance(&mut self, partitions: u32) {
         let names: Vec<String> = self.members.keys().cloned().collect();
         self.generation += 1;
@@ -77,7 +83,8 @@
             member.held.clear();
             member.target.clear();
         }
-        // In the other order, so that most change their owner.
+        // The order of the members is reversed, so that most partitions change
+        // their owner.
         for (part, name) in (0..partitions).zip(names.iter().rev().cycle()) {
             if let Some(member) = self.members.get_mut(name) {
                 member.held.insert(part);
@@ -86,7 +93,7 @@
         }
     }
 
-    /// Partitions with the members that hold them.
+    /// Returns the held partitions, each with the member that holds it.
     pub fn owners(&mut self, now_ms: u64, partitions: u32) -> Vec<(u32, String)> {
         self.expire(now_ms, partitions);
         let members = self.members.iter();
@@ -97,6 +104,7 @@
         owners.collect()
     }
 
+    /// Removes the members whose time has passed, and assigns again if there were any.
     fn expire(&mut self, now_ms: u64, partitions: u32) {
         let before = self.members.len();
         self.members.retain(|_, member| member.expires_ms > now_ms);
@@ -106,6 +114,7 @@
         self.assign_unheld();
     }
 
+    /// Starts a new generation, with the partitions divided evenly among the members.
     fn assign_targets(&mut self, partitions: u32) {
         self.generation += 1;
         let count = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
@@ -115,7 +124,7 @@
         }
     }
 
-    /// Gives members what nobody holds any more.
+    /// Gives each member the partitions that it is to hold and that no member holds.
     fn assign_unheld(&mut self) {
         let held = self.members.values().flat_map(|member| &member.held);
         let held: BTreeSet<u32> = held.copied().collect();
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the platform: its log service, and minions on workers.
 //!
-//! Only tests and the quick start use them. They count what the product must
-//! never cause, such as a task that starts twice.
+//! Only tests and the quick start use them. They record what shows faults of the
+//! product, such as a task that starts twice.
 
 mod group;
 mod log_service;
--- a/crates/standins/src/log_service.rs
+++ b/crates/standins/src/log_service.rs
@@ -1,9 +1,10 @@
-//! The platform's log service: streams of records with offsets.
+//! Stand-in for the platform's log service: streams of records with offsets.
 //!
 //! - `POST /streams/{name}/records` appends the body as a record.
 //! - `GET /streams/{name}/records?from=N&limit=N` reads records.
+//! - `GET /counts` returns the numbers of appends and reads.
 //! - `PUT /fault` with `none`, `down`, `lose-answers` or `slow N` (milliseconds)
-//!   brings a failure about.
+//!   sets the fault that the service shows.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -22,22 +23,22 @@
 use crate::serve::Call;
 use crate::serve::serve;
 
-/// Connections served at one time.
+/// Maximum number of connections that are served at one time.
 const MAX_CONNECTIONS: usize = 512;
-/// Records in a page when the reader does not say.
+/// Number of records in a page when the reader gives no limit.
 const DEFAULT_PAGE_RECORDS: u64 = 256;
 
-/// A failure of the log.
+/// A fault that the log shows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFault {
-    /// Works.
+    /// The log works.
     #[default]
     None,
-    /// Answers nothing but errors; nothing is appended.
+    /// The log answers appends and reads with an error, and appends nothing.
     Down,
-    /// Appends, but answers with an error.
+    /// The log appends records, but answers appends with an error.
     LoseAnswers,
-    /// Answers late.
+    /// The log delays its answers.
     Slow {
         /// Delay of each answer in milliseconds.
         delay_ms: u64,
@@ -86,7 +87,7 @@
 }
 
 impl LogService {
-    /// A log that keeps records for `retention`.
+    /// Creates a log that retains records for `retention`.
     #[must_use]
     pub fn new(retention: Duration) -> Self {
         let shared = Shared {
@@ -105,18 +106,18 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error when the address cannot be bound.
     pub fn serve(&self, addr: SocketAddr) -> std::io::Result<()> {
         let log = self.clone();
         serve(addr, MAX_CONNECTIONS, move |call| log.answer(call))
     }
 
-    /// Brings a failure about, or ends it.
+    /// Sets the fault that the log shows; [`LogFault::None`] ends it.
     pub fn set_fault(&self, fault: LogFault) {
         self.lock().fault = fault;
     }
 
-    /// Records in a stream that are still held.
+    /// Returns the records of a stream that are still retained.
     #[must_use]
     pub fn records(&self, stream: &str) -> Vec<String> {
         let shared = self.lock();
@@ -128,8 +129,8 @@
         records.map(|record| record.data.clone()).collect()
     }
 
-    /// Forgets all but the newest `keep` records of a stream, as if their
-    /// retention had passed.
+    /// Drops all but the newest `keep` records of a stream, as if their retention
+    /// had passed.
     pub fn forget(&self, stream: &str, keep: usize) {
         if let Some(stream) = self.lock().streams.get_mut(stream) {
             while stream.records.len() > keep {
--- a/crates/standins/src/minion.rs
+++ b/crates/standins/src/minion.rs
@@ -1,9 +1,10 @@
-//! A minion: runs tasks that only wait, and remembers every start.
+//! Stand-in for a minion, which runs tasks that only wait and records every start.
 //!
-//! - `POST /tasks/{submission}/{index}` runs a task. The body says how:
-//!   `run_ms=N` and optionally `fail`.
-//! - `DELETE /tasks/{submission}/{index}` stops it.
-//! - `GET /starts` lists all starts, `PUT /fault` with `none` or `fail-all`.
+//! - `POST /tasks/{submission}/{index}` runs a task. The body holds the run time,
+//!   `run_ms=N`, and `fail` if the task is to fail.
+//! - `DELETE /tasks/{submission}/{index}` stops a task.
+//! - `GET /starts` lists all starts.
+//! - `PUT /fault` with `fail-all` makes every task fail at once; `none` ends that.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,19 +23,19 @@
 use crate::serve::Call;
 use crate::serve::serve;
 
-/// Connections that a minion serves at one time.
+/// Maximum number of connections that a minion serves at one time.
 const MAX_CONNECTIONS: usize = 64;
 
-/// One start of a task, as the minion saw it.
+/// One start of a task on the minion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartRecord {
-    /// Submission and index of the task.
+    /// The task, as `submission/index`.
     pub task: String,
     /// Whether the task may run more than once.
     pub is_repeatable: bool,
 }
 
-/// A minion with slots.
+/// A minion that runs one task on each of its slots.
 #[derive(Clone, Debug)]
 pub struct MinionStandIn {
     shared: Arc<Shared>,
@@ -50,13 +51,14 @@
 #[derive(Debug, Default)]
 struct State {
     starts: Vec<StartRecord>,
+    /// Running tasks, and whether each was asked to stop.
     running: BTreeMap<String, bool>,
     max_running: usize,
     fails_all: bool,
 }
 
 impl MinionStandIn {
-    /// A minion with this many slots.
+    /// Creates a minion with `slots` slots.
     #[must_use]
     pub fn new(slots: usize) -> Self {
         let shared = Shared {
@@ -73,25 +75,25 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error when the address cannot be bound.
     pub fn serve(&self, addr: SocketAddr) -> std::io::Result<()> {
         let minion = self.clone();
         serve(addr, MAX_CONNECTIONS, move |call| minion.answer(call))
     }
 
-    /// All starts so far.
+    /// Returns all starts so far.
     #[must_use]
     pub fn starts(&self) -> Vec<StartRecord> {
         self.lock().starts.clone()
     }
 
-    /// Tasks that run now.
+    /// Returns the number of tasks that run now.
     #[must_use]
     pub fn running(&self) -> usize {
         self.lock().running.len()
     }
 
-    /// Whether every task is to fail at once.
+    /// Sets whether every task fails at once.
     pub fn set_fails_all(&self, fails_all: bool) {
         self.lock().fails_all = fails_all;
     }
@@ -150,7 +152,8 @@
         Answer::new(200, format!("done {task}"))
     }
 
-    /// Waits for the run time to pass; true when the task was stopped.
+    /// Waits until the run time has passed or the task is stopped. Returns true if
+    /// it was stopped.
     fn wait_unless_stopped(&self, task: &str, run_time: Duration) -> bool {
         let end = Instant::now() + run_time;
         let mut state = self.lock();
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! A small HTTP server for the stand-ins.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use oxhttp::model::Request;
 use oxhttp::model::Response;
 
-/// A request with its body.
+/// An HTTP request with its whole body.
 pub(crate) struct Call {
     pub(crate) method: String,
     pub(crate) path: String,
@@ -19,7 +19,7 @@
 }
 
 impl Call {
-    /// The number of a query field.
+    /// Returns the value of a query field that is a number.
     pub(crate) fn number(&self, key: &str) -> Option<u64> {
         let pairs = self
             .query
@@ -31,7 +31,7 @@
     }
 }
 
-/// What a stand-in answers; `None` drops the connection without an answer.
+/// The status and body of a stand-in's response.
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) body: String,
@@ -46,6 +46,7 @@
     }
 }
 
+/// Serves `handler` at an address from threads that run until the process ends.
 pub(crate) fn serve(
     addr: SocketAddr,
     connections: usize,
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,11 +1,11 @@
-//! Final answers to submissions.
+//! The final answer to a submission, and the reasons for refusals and failures.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::Name;
 
-/// What is known to have run of a submission.
+/// Whether tasks of a submission were started, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
@@ -21,15 +21,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Every task ran and gave its result.
+    /// Every task ran and returned a result.
     Complete,
-    /// At least one task gave no result.
+    /// At least one task returned no result.
     Failed,
 }
 
-/// Why a submission was refused or failed, or why a task was tried again.
+/// The reason for which a submission was refused or failed, or a task was retried.
 ///
-/// Each value has a counter of its own.
+/// The metrics count each reason separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -41,7 +41,7 @@
     BodyTooLarge,
     /// The caller sent its own idempotency key instead of taking an id.
     OwnKey,
-    /// No such path or method.
+    /// The path does not exist, or does not support the method.
     NoSuchPath,
     /// The service is not in the configuration.
     UnknownService,
@@ -53,17 +53,17 @@
     FitsNoWorker,
     /// The service has no live minion.
     NoCapacity,
-    /// The queue of the service is full.
+    /// The queue of the service at the home is full.
     QueueFull,
     /// The team has reached its quota of waiting tasks.
     TeamQuota,
-    /// The deadline cannot be met with the present queue.
+    /// The deadline cannot be met with the tasks that are queued now.
     DeadlineUnreachable,
     /// The deadline passed.
     DeadlinePassed,
     /// The caller cancelled the submission.
     Cancelled,
-    /// The home is leaving and takes no new submission.
+    /// The home is leaving and accepts no new submissions.
     HomeLeaving,
     /// The home of the submission is lost.
     HomeLost,
@@ -71,7 +71,7 @@
     HomeSilent,
     /// The id is older than the retention of answers.
     IdExpired,
-    /// The id was issued for the future or for another process.
+    /// The id names a generation that has not begun, or another process.
     IdInvalid,
     /// The id is already used for another submission.
     IdReused,
@@ -83,21 +83,21 @@
     TaskFailed,
     /// The agent of a started task is lost.
     AgentLost,
-    /// An agent said nothing of a started task for too long.
+    /// The agent of a started task did not report on it in time.
     AgentSilent,
     /// The agent could not be reached, so the task was not started.
     AgentUnreachable,
     /// The minion could not be reached, so the task was not started.
     MinionUnreachable,
-    /// The slot credit of a start was no longer valid.
+    /// The credit that a start used was no longer valid.
     StaleCredit,
     /// The agent is leaving.
     AgentLeaving,
     /// The retry budget is used up.
     RetryBudget,
-    /// The entry holds as many requests as it may.
+    /// The entry already holds its maximum number of requests.
     EntryOverloaded,
-    /// The plan was made on another version of the configuration.
+    /// The change was planned on another version of the configuration.
     VersionConflict,
     /// The platform's log cannot be reached.
     LogDown,
@@ -105,28 +105,28 @@
     ChangePending,
 }
 
-/// State of one task at the time of the final answer.
+/// The state of one task at the time of the final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskStatus {
-    /// Ran and gave a result.
+    /// The task ran and returned a result.
     Done,
-    /// Ran and failed.
+    /// The task ran and failed.
     Failed,
-    /// Not started, and never will be.
+    /// The task was not started and never will be.
     NotRun,
-    /// Started; the answer was given before its result arrived.
+    /// The task was started, but the answer was given before its result arrived.
     Started,
-    /// It cannot be known whether it ran.
+    /// It cannot be known whether the task ran.
     Unknown,
 }
 
-/// What an answer says of one task.
+/// The part of an answer about one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// State of the task.
     pub status: TaskStatus,
-    /// Output of a task that is done, or the error of one that failed.
+    /// The output of a task that is done, or the error of a task that failed.
     pub output: Name,
 }
 
@@ -135,19 +135,19 @@
 pub struct Answer {
     /// How the submission ended.
     pub outcome: Outcome,
-    /// What is known to have run.
+    /// Whether tasks were started, as far as it is known.
     pub ran: Ran,
-    /// Why it was refused or failed.
+    /// Why the submission was refused or failed.
     pub reason: Reason,
-    /// When a new submission may succeed, in milliseconds from now; `None`
-    /// when there is nothing to wait for.
+    /// Time after which a new submission may succeed, in milliseconds; `None`
+    /// when waiting does not help.
     pub retry_after_ms: Option<u32>,
-    /// One report for each task; empty when refused as a whole.
+    /// One report for each task; empty when the whole submission was refused.
     pub tasks: Vec<TaskReport>,
 }
 
 impl Answer {
-    /// A refusal of a whole submission.
+    /// Creates the answer that refuses a whole submission.
     #[must_use]
     pub fn refusal(ran: Ran, reason: Reason, retry_after_ms: Option<u32>) -> Self {
         Self {
--- a/crates/wire/src/api.rs
+++ b/crates/wire/src/api.rs
@@ -1,4 +1,4 @@
-//! Bodies of the HTTP interface for callers and operators, in JSON.
+//! JSON bodies of the HTTP interface for callers and operators.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,13 +11,13 @@
 use crate::Reason;
 use crate::TaskStatus;
 
-/// Time that a caller waits when it does not say, in milliseconds.
+/// Deadline of a submission whose caller sets none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
 /// Reply to `POST /v1/ids`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdsBody {
-    /// The ids, for use within the retention of answers.
+    /// The ids; each can be used until the retention of answers has passed.
     pub ids: Vec<String>,
 }
 
@@ -25,15 +25,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskBody {
-    /// Kind of task.
+    /// Kind of the task.
     pub kind: Name,
     /// Text that the minion receives.
     #[serde(default = "empty")]
     pub payload: Name,
-    /// Expected run time in milliseconds.
+    /// Run time that the caller expects, in milliseconds.
     #[serde(default)]
     pub declared_ms: Option<u32>,
-    /// What the task needs of its worker.
+    /// Resources that the task needs of its worker.
     #[serde(default)]
     pub needs: Needs,
 }
@@ -44,9 +44,9 @@
 pub struct JobBody {
     /// The service that runs the job.
     pub service: Name,
-    /// The team that submits it.
+    /// The team whose quota applies.
     pub team: Name,
-    /// Time that the caller waits, in milliseconds.
+    /// Time within which the caller needs the answer, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
     /// The tasks.
@@ -59,31 +59,31 @@
 pub struct RequestBody {
     /// The service that runs the request.
     pub service: Name,
-    /// The team that submits it.
+    /// The team whose quota applies.
     pub team: Name,
-    /// Time that the caller waits, in milliseconds.
+    /// Time within which the caller needs the answer, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
     /// Whether the request may run more than once.
     #[serde(default)]
     pub repeatable: bool,
-    /// Kind of task.
+    /// Kind of the task that serves the request.
     pub kind: Name,
     /// Text that the minion receives.
     #[serde(default = "empty")]
     pub payload: Name,
-    /// Expected run time in milliseconds.
+    /// Run time that the caller expects, in milliseconds.
     #[serde(default)]
     pub declared_ms: Option<u32>,
-    /// What the request needs of its worker.
+    /// Resources that the request needs of its worker.
     #[serde(default)]
     pub needs: Needs,
 }
 
-/// The whole answer to a job or request.
+/// Reply to a job or request whose tasks all returned a result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerBody {
-    /// The id that was submitted.
+    /// The id of the submission.
     pub id: String,
     /// One result for each task, in the order of the tasks.
     pub results: Vec<Name>,
@@ -92,33 +92,34 @@
 /// State of one task of a job that failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskState {
-    /// What is known of it.
+    /// State of the task.
     pub status: TaskStatus,
-    /// The error of a task that ran and failed.
+    /// The error, if the task ran and failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<Name>,
 }
 
-/// A refusal or failure: problem details of RFC 9457.
+/// Reply to a submission that was refused or failed: problem details of RFC 9457.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Identifies the kind of problem.
+    /// URN that identifies the kind of problem.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The same in words.
+    /// The kind of problem in words.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
     /// What is wrong with this request.
     pub detail: String,
-    /// What is known to have run.
+    /// Whether tasks were started, as far as it is known.
     pub ran: Ran,
     /// The reason, as counted by the metrics.
     pub reason: Reason,
-    /// When to come back, in milliseconds; absent when waiting will not help.
+    /// Time after which the caller may try again, in milliseconds; absent when
+    /// waiting does not help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u32>,
-    /// One state for each task, when some may have run.
+    /// One state for each task, if some may have run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tasks: Vec<TaskState>,
 }
@@ -127,10 +128,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanRequest {
-    /// Id for the change; drawn by the entry when absent.
+    /// Id for the change; the entry draws one when it is absent.
     #[serde(default)]
     pub change_id: Option<Name>,
-    /// The intent.
+    /// The steps that the operator intends.
     pub operations: Vec<Operation>,
 }
 
@@ -140,7 +141,7 @@
 pub struct PlanBody {
     /// The change to confirm.
     pub change: Change,
-    /// One line for each effect.
+    /// Text about the effects of the change, one line for each.
     #[serde(default)]
     pub effects: Vec<String>,
 }
@@ -148,9 +149,9 @@
 /// Reply to a confirmed change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeBody {
-    /// The change.
+    /// Id of the change.
     pub change_id: Name,
-    /// Version of the configuration that is in force now.
+    /// Version of the configuration that is now in force.
     pub version: u64,
 }
 
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,13 +1,13 @@
-//! Encoding of envelopes.
+//! Encoding and decoding of envelopes.
 
 use thiserror::Error;
 
 use crate::Envelope;
 
-/// Largest encoded envelope in bytes that a process sends or accepts.
+/// Maximum size of an encoded envelope that a process sends or accepts, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// An envelope that cannot be encoded or decoded.
+/// Why an envelope cannot be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum CodecError {
     /// The bytes are not a valid envelope.
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// [`CodecError::TooLarge`] when the result is over [`MAX_FRAME_BYTES`].
+/// Returns [`CodecError::TooLarge`] when the result is over [`MAX_FRAME_BYTES`].
 pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, CodecError> {
     let bytes = postcard::to_stdvec(envelope)?;
     if bytes.len() > MAX_FRAME_BYTES {
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// [`CodecError::Malformed`] when the bytes are not a valid envelope.
+/// Returns [`CodecError::Malformed`] when the bytes are not a valid envelope.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, CodecError> {
     Ok(postcard::from_bytes(bytes)?)
 }
--- a/crates/wire/src/configuration.rs
+++ b/crates/wire/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of services and teams, and its records in the log.
+//! The configuration of services and teams, and its records in the platform's log.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 
 use crate::Name;
 
-/// Which measure weighs more for a service.
+/// Whether a short response time or few messages weigh more for a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Preference {
-    /// Response time: several homes, each result sent at once.
+    /// Short response time: several homes; each result is sent at once.
     #[default]
     ResponseTime,
-    /// Messages: one home, tasks of a job packed on few agents.
+    /// Few messages: one home; the tasks of a job are packed on few agents.
     Messages,
 }
 
@@ -22,16 +22,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// Which measure weighs more.
+    /// The preferred measure.
     #[serde(default)]
     pub preference: Preference,
-    /// Most tasks in one job.
+    /// Maximum number of tasks in one job.
     #[serde(default = "default_max_tasks_per_job")]
     pub max_tasks_per_job: u16,
-    /// Most tasks that wait at one home.
+    /// Maximum number of tasks that wait at one home.
     #[serde(default = "default_max_queued_tasks")]
     pub max_queued_tasks: u32,
-    /// Most homes, at most one in each availability zone.
+    /// Maximum number of homes, with at most one in each availability zone.
     #[serde(default = "default_max_homes")]
     pub max_homes: u16,
 }
@@ -49,7 +49,7 @@
 }
 
 impl ServiceConfig {
-    /// Number of homes that the preference asks for.
+    /// Number of homes that the service may have under its preference.
     #[must_use]
     pub fn homes(&self) -> usize {
         match self.preference {
@@ -63,18 +63,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamConfig {
-    /// Share of the slots relative to other teams, when slots are short.
+    /// Weight of the team, relative to other teams, in the division of scarce slots.
     pub weight: u16,
-    /// Most tasks that wait at one home.
+    /// Maximum number of tasks that wait at one home.
     pub max_queued_tasks: u32,
-    /// Most tasks that run at one time, over all homes.
+    /// Maximum number of tasks that run at one time, over all homes.
     pub max_running_tasks: u32,
 }
 
 /// The configuration at one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Number of changes that led here.
+    /// Number of changes that led to this version.
     pub version: u64,
     /// Services by name.
     pub services: BTreeMap<Name, ServiceConfig>,
@@ -112,26 +112,27 @@
     },
 }
 
-/// A change of the configuration, valid on one version only.
+/// A change of the configuration that can be applied to one version only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
     /// Identifies the change, so that it is never applied twice.
     pub change_id: Name,
-    /// The version that the change was planned on.
+    /// The version of the configuration that the change was planned on.
     pub base_version: u64,
     /// The steps, in order.
     pub operations: Vec<Operation>,
 }
 
-/// The whole configuration, written again before the log forgets it.
+/// The whole configuration, written to the log again before the earlier records
+/// expire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The configuration.
     pub configuration: Configuration,
-    /// Ids of the changes that led to it most recently, newest last.
+    /// Ids of the most recent changes that the configuration contains, newest last.
     pub recent_changes: Vec<Name>,
-    /// Offset of the first log record that is not yet taken into account.
+    /// Offset of the first log record that the configuration does not contain.
     pub next_offset: u64,
 }
 
--- a/crates/wire/src/id.rs
+++ b/crates/wire/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers of processes, submissions and tasks.
+//! Ids of processes, submissions and tasks.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// One run of one process: a random number drawn at its start.
+/// Id of one run of a process: a random number drawn at its start.
 ///
-/// A restarted process at the same address has another `NodeId`, so a message
-/// meant for the earlier run is recognised and ignored.
+/// A process that restarts at the same address draws another `NodeId`, so that
+/// it recognises and ignores messages meant for the earlier run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Identifies a submission and names the agent that answers for it.
+/// Id of a submission; it names the agent that answers for the submission.
 ///
 /// The text form is `home-generation-nonce` in hexadecimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
     pub home: NodeId,
     /// The generation of the home's table that the submission belongs to.
     pub generation: u32,
-    /// Random part, drawn by the entry that issued the id.
+    /// Random number, drawn by the entry that issued the id.
     pub nonce: u64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A submission id that cannot be read.
+/// A text that is not a submission id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("submission id {text:?} is not of the form home-generation-nonce in hexadecimal")]
 pub struct IdError {
@@ -71,15 +71,15 @@
     })
 }
 
-/// Identifies one attempt at one task of a submission.
+/// Id of one attempt at one task of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskId {
     /// The submission that the task belongs to.
     pub submission: SubmissionId,
-    /// Position of the task in the submission.
+    /// Position of the task in the submission, from 0.
     pub index: u16,
-    /// Number of the attempt, from 0; above 0 only for repeatable requests
-    /// and for tasks that were provably not started before.
+    /// Number of the attempt, from 0. It is above 0 only for repeatable requests
+    /// and for tasks that are known not to have started before.
     pub attempt: u16,
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
 //! Messages that the processes of gannetvane exchange, and their encoding.
 //!
-//! Every message is a [`Envelope`] in `postcard` encoding. Small ones travel
-//! as UDP datagrams, large ones and all task traffic over TCP.
+//! Every message travels in an [`Envelope`] in `postcard` encoding. Small messages
+//! of membership are sent as UDP datagrams; large messages and all task traffic
+//! are sent over TCP.
 
 mod answer;
 pub mod api;
@@ -50,5 +51,5 @@
 pub use submission::Submission;
 pub use submission::Task;
 
-/// A shared immutable name, for services, teams, zones and kinds of task.
+/// A shared immutable text, such as the name of a service, team, zone or kind of task.
 pub type Name = std::sync::Arc<str>;
--- a/crates/wire/src/member.rs
+++ b/crates/wire/src/member.rs
@@ -1,4 +1,4 @@
-//! What the processes know of each other.
+//! Members: what each process knows about the others.
 
 use std::net::SocketAddr;
 
@@ -9,37 +9,39 @@
 use crate::Needs;
 use crate::NodeId;
 
-/// What a process does.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Runs beside a minion and can be home of submissions.
+    /// Runs beside a minion and can be the home of submissions.
     Agent,
     /// Takes requests from callers.
     Entry,
 }
 
-/// Liveness of a member.
+/// Whether a member is reachable, leaves, or has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// Answers probes.
+    /// The member answers probes.
     Alive,
-    /// Missed a probe; declared dead unless it answers.
+    /// The member did not answer a probe, and is declared dead unless it answers.
     Suspect,
-    /// Finishes its work and takes no more.
+    /// The member finishes its work and accepts no more.
     Leaving,
-    /// Missed its probes for the suspicion timeout.
+    /// The member answered no probe during the suspicion timeout.
     Dead,
-    /// Stopped as planned; its submissions are answered by the successor.
+    /// The member stopped as planned; the successor, if any, answers for its
+    /// submissions.
     Left {
-        /// The agent that answers for it, if any.
+        /// The agent that answers for the member's submissions, if any.
         successor: Option<NodeId>,
     },
 }
 
 impl MemberState {
-    /// Order in which states of one version replace each other.
+    /// Rank of the state among those of the same version: a higher one replaces
+    /// a lower one.
     #[must_use]
     pub fn rank(self) -> u8 {
         match self {
@@ -51,39 +53,40 @@
         }
     }
 
-    /// Whether the member will never again send a message of its own.
+    /// Whether this run of the member sends no more messages of its own.
     #[must_use]
     pub fn is_gone(self) -> bool {
         matches!(self, Self::Dead | Self::Left { .. })
     }
 }
 
-/// One member as carried by gossip.
+/// One member, as gossip carries it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The run of the process.
+    /// Id of the run of the process.
     pub node: NodeId,
-    /// Where it receives UDP and TCP.
+    /// Address at which the member receives UDP datagrams and TCP connections.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the member.
     pub zone: Name,
-    /// The service of its minion.
+    /// Service of the member's minion.
     pub service: Name,
-    /// Slots of its minion.
+    /// Number of slots of the member's minion.
     pub slots: u16,
-    /// Capacity of its worker for one task.
+    /// Resources that the member's worker has for one task.
     pub capacity: Needs,
-    /// Raised by the member itself to refute a suspicion.
+    /// Version of the member's state; the member itself raises it to refute a
+    /// suspicion.
     pub version: u32,
-    /// Liveness.
+    /// State of the member.
     pub state: MemberState,
-    /// Milliseconds since the member started, at the time of sending. The
-    /// generation of its table follows from it.
+    /// Milliseconds since the member started, at the time of sending. They give
+    /// the generation of the member's table.
     pub uptime_ms: u64,
 }
 
 impl Member {
-    /// Whether `self` is newer than `other`, of the same node.
+    /// Whether `self` is newer than `other`; both must be of the same node.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.version, self.state.rank()) > (other.version, other.state.rank())
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between processes.
+//! Messages between processes, and the parts that they are made of.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,39 +19,39 @@
 
 /// The right to start one task on one slot of one agent, once.
 ///
-/// The agent counts the uses of each slot. A start is accepted only with the
-/// present count, which it raises; a repeated, late or revoked start carries a
-/// lower count and starts nothing, however late it arrives.
+/// The agent counts the uses of each slot. It accepts a start only with the
+/// present count, and then raises the count. A repeated, delayed or revoked start
+/// carries a lower count and starts nothing, whenever it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Credit {
-    /// The agent of the slot.
+    /// The agent that has the slot.
     pub agent: NodeId,
-    /// The slot.
+    /// Number of the slot at the agent.
     pub slot: u16,
-    /// Use count of the slot that this credit is good for.
+    /// Use count of the slot for which this credit is valid.
     pub sequence: u64,
 }
 
-/// A credit as it is passed on, with its age.
+/// A credit that is passed on, with the time for which its slot has been idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotCredit {
     /// The credit.
     pub credit: Credit,
-    /// Milliseconds for which the slot has been idle; the agent takes the
-    /// credit back after its lease.
+    /// Milliseconds for which the slot has been idle. The agent reclaims the
+    /// credit when its lease has ended.
     pub idle_ms: u64,
 }
 
-/// A task to be started.
+/// An order to start a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStart {
     /// The task.
     pub task_id: TaskId,
-    /// The credit that the start uses.
+    /// The credit that the start uses up.
     pub credit: Credit,
     /// What to run.
     pub task: Task,
-    /// Whether the task may run again elsewhere.
+    /// Whether the task may run again on another agent.
     pub repeatable: bool,
     /// Milliseconds until the caller's deadline, at the time of sending.
     pub remaining_ms: u64,
@@ -60,13 +60,13 @@
 /// How an attempt at a task ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskResult {
-    /// Ran; the output.
+    /// The task ran and returned this output.
     Done(Name),
-    /// Ran and failed; the error.
+    /// The task ran and failed with this error.
     Failed(Name),
-    /// Was not started and never will be with this credit.
+    /// The task was not started and never will be with this credit.
     NotStarted(Reason),
-    /// The agent no longer knows whether it ran.
+    /// The agent no longer knows whether the task ran.
     Unknown,
 }
 
@@ -75,29 +75,29 @@
 pub struct Finished {
     /// The task.
     pub task_id: TaskId,
-    /// How it ended.
+    /// How the attempt ended.
     pub result: TaskResult,
-    /// Time that the minion took, in milliseconds.
+    /// Time for which the task ran on the minion, in milliseconds.
     pub run_ms: u32,
-    /// The next credit of the slot, unless the agent keeps it.
+    /// The next credit of the slot; `None` when the agent keeps it.
     pub next_credit: Option<Credit>,
 }
 
-/// One submission in a table that moves to a successor.
+/// One submission of a table that is handed over to a successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverEntry {
     /// The submission.
     pub id: SubmissionId,
-    /// Hash of its content; 0 when it was never submitted, only cancelled.
+    /// Hash of the submission's content; 0 when it was cancelled but never submitted.
     pub fingerprint: u64,
-    /// Its final answer; `None` when the answer is no longer held.
+    /// The final answer; `None` when it is no longer held.
     pub answer: Option<Arc<Answer>>,
 }
 
-/// Membership news carried by every probe and its answer.
+/// Updates on membership that every ping and its answer carry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Members whose state changed lately.
+    /// Members whose state changed recently.
     pub members: Vec<Member>,
     /// Version of the sender's configuration.
     pub configuration_version: u64,
@@ -106,19 +106,19 @@
 /// A message from one process to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Entry to home: run this, or answer for it if known.
+    /// Entry to home: run the submission, or send its answer if it is known already.
     Submit {
         /// The submission's id.
         id: SubmissionId,
-        /// What to run; `None` asks for the answer only.
+        /// The submission to run; `None` asks for the answer only.
         submission: Option<Arc<Submission>>,
-        /// Hash of the submission's content, echoed by the answer; 0 when
+        /// Hash of the submission's content, which the answer repeats; 0 when
         /// only the answer is asked for.
         fingerprint: u64,
         /// Milliseconds until the caller's deadline.
         remaining_ms: u64,
-        /// Version of the sender's configuration; a home with an older one
-        /// takes the sender's first.
+        /// Version of the sender's configuration. A home with an older one first
+        /// adopts the sender's.
         configuration_version: u64,
     },
     /// Entry to home: stop the submission.
@@ -130,15 +130,15 @@
     Answer {
         /// The submission's id.
         id: SubmissionId,
-        /// The fingerprint of the message that this answers.
+        /// The fingerprint in the message that is answered.
         fingerprint: u64,
         /// The answer.
         answer: Arc<Answer>,
     },
     /// Home to agent: start these tasks.
     Start(Vec<TaskStart>),
-    /// Home to agent: the tasks started with these credits were cancelled. Stop
-    /// those that run, and start none of the others.
+    /// Home to agent: the tasks of these credits were cancelled. Stop those that
+    /// run, and start none of the others.
     Revoke(Vec<Credit>),
     /// Agent to home: these attempts ended.
     Finished(Vec<Finished>),
@@ -146,88 +146,88 @@
     CreditRequest {
         /// The service.
         service: Name,
-        /// Number of credits.
+        /// Number of credits that the home needs.
         wanted: u32,
-        /// Milliseconds by which the turn of the sender's first waiting task
-        /// is overdue; negative when it is still to come.
+        /// Milliseconds by which the turn of the sender's first waiting task is
+        /// overdue; negative when its turn is in the future.
         overdue_ms: i64,
     },
-    /// Agent or home to home: these credits are yours.
+    /// Agent or home to home: the receiver may use these credits.
     CreditGrant {
         /// The service.
         service: Name,
         /// The credits.
         credits: Vec<SlotCredit>,
     },
-    /// Are you there?
+    /// Any process to a member: answer this probe.
     Ping {
-        /// Matches the answer to the probe.
+        /// Number of the probe, which its answer repeats.
         probe: u64,
-        /// News.
+        /// Updates on membership.
         gossip: Gossip,
     },
-    /// I am.
+    /// Answer to a [`Message::Ping`].
     Ack {
-        /// The probe that is answered.
+        /// The number in the probe that is answered.
         probe: u64,
-        /// News.
+        /// Updates on membership.
         gossip: Gossip,
     },
-    /// Probe this member for me.
+    /// Any process to a member: probe another member for the sender.
     PingRequest {
-        /// Matches the answer to the probe.
+        /// Number of the probe, which its answer repeats.
         probe: u64,
         /// The member to probe.
         target: NodeId,
     },
-    /// Entry or new agent to agent: what changed since?
+    /// Entry or new agent to agent: send the members that changed.
     ViewPull {
-        /// Change number up to which the sender knows the receiver's view.
+        /// Change number of the receiver's view up to which the sender knows it.
         since: u64,
         /// Version of the sender's configuration.
         configuration_version: u64,
     },
-    /// Agent to entry: what changed.
+    /// Agent to entry or new agent: the members that changed.
     ViewDelta {
-        /// Change number that this delta reaches.
+        /// Change number up to which this delta brings the receiver.
         upto: u64,
-        /// Whether more changes follow beyond `upto`.
+        /// Whether there are more changes after `upto`.
         more: bool,
         /// The changed members.
         members: Vec<Member>,
-        /// The configuration, when the receiver's is older.
+        /// The configuration, if the receiver's is older.
         configuration: Option<Snapshot>,
     },
-    /// Any process to any other: ask for the configuration.
+    /// Any process to any other: send the configuration.
     ConfigurationPull,
-    /// The configuration of the sender.
+    /// Any process to any other: the configuration of the sender.
     ConfigurationState(Snapshot),
-    /// Leaving agent to successor: part of a table.
+    /// Leaving agent to successor: one part of a table of submissions.
     Handover {
-        /// The agent run whose table this is.
+        /// Id of the agent run whose table it is.
         home: NodeId,
-        /// Milliseconds since that agent started.
+        /// Milliseconds since that agent run started.
         uptime_ms: u64,
         /// Oldest generation that the table still holds.
         oldest_generation: u32,
-        /// Submissions, all with their final answers.
+        /// Submissions of the table, each with its final answer.
         entries: Vec<HandoverEntry>,
         /// Number of this part, from 0.
         part: u32,
-        /// Number of parts.
+        /// Number of parts of the whole table.
         parts: u32,
     },
-    /// Successor to leaving agent: a part of the table is taken over.
+    /// Successor to leaving agent: the successor has taken over a part of a table.
     HandoverAck {
-        /// The agent run whose table it is.
+        /// Id of the agent run whose table it is.
         home: NodeId,
-        /// The part.
+        /// Number of the part, from 0.
         part: u32,
     },
 }
 
 impl Message {
-    /// Name of the kind of message, for counters and logs.
+    /// Name of the kind of message, as counters and logs show it.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -251,8 +251,8 @@
         }
     }
 
-    /// Whether the message belongs to membership and may be lost without harm,
-    /// so that a datagram is enough.
+    /// Whether the message belongs to membership. The loss of such a message does
+    /// no harm, so a datagram is enough for it.
     #[must_use]
     pub fn is_control(&self) -> bool {
         matches!(
@@ -269,12 +269,12 @@
 /// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The run of the process that sends.
+    /// Id of the run of the process that sends.
     pub from: NodeId,
-    /// Where the sender receives.
+    /// Address at which the sender receives messages.
     pub from_addr: SocketAddr,
-    /// The run of the process that is meant; `None` for first contact, when
-    /// only the address is known.
+    /// Id of the run of the process that is to receive; `None` for the first
+    /// contact, when only its address is known.
     pub to: Option<NodeId>,
     /// The message.
     pub message: Message,
--- a/crates/wire/src/submission.rs
+++ b/crates/wire/src/submission.rs
@@ -1,18 +1,18 @@
-//! What a caller submits.
+//! Submissions of callers, and their tasks.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::Name;
 
-/// A job of many tasks, or a single request.
+/// A job of one or more tasks, or a single request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Submission {
     /// The service that runs the tasks.
     pub service: Name,
     /// The team whose quota the tasks count against.
     pub team: Name,
-    /// Whether a task that may have run can be run again. Always false for jobs.
+    /// Whether a task that may have run can run again; always false for jobs.
     pub repeatable: bool,
     /// The tasks, at least one.
     pub tasks: Vec<Task>,
@@ -21,13 +21,13 @@
 /// One task of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Task {
-    /// Kind of task: run times are observed for each kind.
+    /// Kind of the task; run times are observed for each kind.
     pub kind: Name,
-    /// Opaque text that the minion receives.
+    /// Text for the minion, which nothing else interprets.
     pub payload: Name,
-    /// Run time that the caller expects, in milliseconds; a hint only.
+    /// Run time that the caller expects, in milliseconds; it is only a hint.
     pub declared_ms: Option<u32>,
-    /// What the task needs of its worker.
+    /// Resources that the task needs of its worker.
     pub needs: Needs,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Needs {
-    /// Whether a worker with the capacity `self` can run a task with `needs`.
+    /// Whether a worker with the capacity `self` can run a task that needs `needs`.
     #[must_use]
     pub fn covers(&self, needs: &Self) -> bool {
         self.memory_mb >= needs.memory_mb && self.accelerators >= needs.accelerators
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Messages survive their encoding, and foreign bytes do no harm.
+//! Tests of encoding: messages and ids round-trip, arbitrary bytes cause no panic,
+//! and the newer state of a member supersedes the older one.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
