--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -25,7 +25,7 @@
         source: std::io::Error,
     },
     /// The URL or a header is malformed.
-    #[error("{url}: not a valid request: {reason}")]
+    #[error("{url}: request is invalid: {reason}")]
     Request {
         /// The URL that was to be called.
         url: String,
@@ -34,7 +34,7 @@
     },
     /// The body of the request cannot be written as JSON, or the response is not
     /// the expected JSON.
-    #[error("response not understood: {0}")]
+    #[error("body is not the expected JSON: {0}")]
     Response(#[from] serde_json::Error),
 }
 
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -62,7 +62,7 @@
         allowed: &'static str,
     },
     /// The idle system did not complete a task of the round-trip measurement.
-    #[error("no answer before the load: {detail}")]
+    #[error("idle system did not complete a task before the load: {detail}")]
     NotServing {
         /// Id of the submission and the reason for its failure.
         detail: String,
@@ -71,7 +71,7 @@
     #[error(transparent)]
     Call(#[from] CallError),
     /// A thread could not be started.
-    #[error("thread: {0}")]
+    #[error("cannot start a thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
@@ -183,7 +183,7 @@
             (
                 "run times",
                 workload.least_run_ms <= workload.most_run_ms,
-                "least before most",
+                "the shortest must not exceed the longest",
             ),
             (
                 "warm-up",
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -60,21 +60,21 @@
 enum Command {
     /// work out what an intent would change
     Plan(PlanArguments),
-    /// put a plan into force
+    /// apply a plan
     Confirm(ConfirmArguments),
     /// run a job or request and print its answer
     Submit(SubmitArguments),
-    /// stop a submission
+    /// cancel a submission
     Cancel(IdArguments),
     /// print a submission's answer, or the members and configuration
     Status(StatusArguments),
-    /// put a load on the system and print a report
+    /// run a load against the system and print a report
     Load(LoadArguments),
     /// draw load reports as SVG
     Plot(PlotArguments),
     /// check a settings file of gannetvaned
     CheckSettings(CheckArguments),
-    /// tell what became of a job, from log files of all processes
+    /// print the history of a job from log files of all processes
     Explain(ExplainArguments),
 }
 
@@ -99,7 +99,7 @@
     /// intent in TOML: [[operations]] tables
     #[options(required, meta = "FILE")]
     intent: PathBuf,
-    /// id for the change; drawn when absent
+    /// id for the change; the entry draws one when absent
     #[options(no_short, meta = "ID")]
     change_id: Option<String>,
 }
@@ -167,7 +167,7 @@
     /// settings file in TOML
     #[options(required, meta = "FILE")]
     settings: PathBuf,
-    /// section.field=value, before the file
+    /// section.field=value, overrides the file
     #[options(no_short, meta = "FIELD")]
     set: Vec<String>,
 }
@@ -196,10 +196,10 @@
     /// URL of an entry, any number of times
     #[options(meta = "URL")]
     entry: Vec<String>,
-    /// HTTP URL of an agent, to read its metrics
+    /// HTTP URL of an agent, to read its metrics, any number of times
     #[options(no_short, meta = "URL")]
     agent: Vec<String>,
-    /// URL of a minion stand-in, to read its starts
+    /// URL of a minion stand-in, to read its starts, any number of times
     #[options(no_short, meta = "URL")]
     minion: Vec<String>,
     /// service to submit to
@@ -211,7 +211,7 @@
     /// slots of the service over all minions
     #[options(no_short, meta = "COUNT", default = "88")]
     slots: usize,
-    /// share of the slots to keep busy
+    /// slots that the load needs, as a share of all slots
     #[options(no_short, meta = "SHARE", default = "0.8")]
     load: f64,
     /// tasks of each job
@@ -223,7 +223,7 @@
     /// length of the load in seconds
     #[options(no_short, meta = "SECONDS", default = "30")]
     seconds: u64,
-    /// first seconds that the quantiles leave out
+    /// seconds at the start that the quantiles leave out
     #[options(no_short, meta = "SECONDS", default = "5")]
     warm_up: u64,
     /// seed of the arrivals
@@ -235,13 +235,13 @@
     /// longest run time of a task in milliseconds
     #[options(no_short, meta = "MS", default = "1000")]
     most_run_ms: u32,
-    /// factor by which declared run times are off, at most
+    /// largest factor by which declared run times are off
     #[options(no_short, meta = "FACTOR", default = "1.5")]
     declared_error: f64,
-    /// factor on the arrivals in the middle fifth
+    /// factor by which arrivals are more frequent in the middle fifth
     #[options(no_short, meta = "FACTOR", default = "1")]
     burst: f64,
-    /// time that callers wait, in milliseconds
+    /// deadline of each submission in milliseconds
     #[options(no_short, meta = "MS", default = "30000")]
     deadline_ms: u64,
 }
--- a/crates/cli/tests/load.rs
+++ b/crates/cli/tests/load.rs
@@ -141,7 +141,7 @@
     slots = { vec!["x".into()], Workload { slots: 0, ..workload() }, "slots: from 1 to 100000" },
     tasks = { vec!["x".into()], Workload { tasks_per_job: 0, ..workload() }, "tasks: from 1 to 1024" },
     run_times = {
-        vec!["x".into()], Workload { least_run_ms: 2_000, ..workload() }, "run times: least before most"
+        vec!["x".into()], Workload { least_run_ms: 2_000, ..workload() }, "run times: the shortest must not exceed the longest"
     },
 )]
 fn setting_out_of_range_is_named(entries: Vec<String>, workload: Workload, expected: &str) {
--- a/crates/standins/src/minion.rs
+++ b/crates/standins/src/minion.rs
@@ -136,7 +136,7 @@
             };
             state.starts.push(record);
             if state.fails_all {
-                return Answer::new(500, "out of order");
+                return Answer::new(500, "every task is set to fail");
             }
             state.running.insert(task.to_owned(), false);
             state.max_running = state.max_running.max(state.running.len());
