--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: arrivals do not wait for answers.
+//! The load tool: an open-loop load, whose arrivals do not wait for answers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::client::Client;
 use crate::client::Response;
 use crate::ids::IdPool;
-use crate::ids::NoId;
+use crate::ids::TakeIdError;
 use crate::model::Discipline;
 use crate::model::model_responses;
 use crate::report::Comparison;
@@ -39,18 +39,18 @@
 use crate::workload::Arrival;
 use crate::workload::Workload;
 
-/// Most submissions without an answer at one time.
+/// Maximum number of submissions that wait for an answer at one time.
 const MAX_IN_FLIGHT: usize = 2_000;
-/// Single tasks sent to the idle system to learn the round trip.
+/// Number of single tasks sent to the idle system to measure the round trip.
 const ROUND_TRIP_PROBES: usize = 20;
-/// Run time of these tasks in milliseconds.
+/// Run time of the tasks that measure the round trip, in milliseconds.
 const PROBE_RUN_MS: u32 = 20;
-/// Reason counted when an entry could not be reached at all.
+/// Reason that is counted when the connection to an entry failed.
 const NO_CONNECTION: &str = "no-connection";
-/// Stack of a sending thread in bytes.
+/// Stack size of a sending thread, in bytes.
 const SENDER_STACK_BYTES: usize = 256 * 1024;
 
-/// A load that cannot be run.
+/// Why a load cannot be run.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// A setting is missing or out of range.
@@ -58,24 +58,24 @@
     Setting {
         /// The setting.
         field: &'static str,
-        /// What is allowed.
+        /// The allowed values.
         allowed: &'static str,
     },
-    /// The idle system did not answer a first task.
-    #[error("no answer before the load: {detail}")]
+    /// The idle system did not complete a task of the round-trip measurement.
+    #[error("idle system did not complete a task before the load: {detail}")]
     NotServing {
-        /// What came instead.
+        /// Id of the submission and the reason for its failure.
         detail: String,
     },
-    /// A minion does not tell its starts.
+    /// A minion stand-in did not list its starts.
     #[error(transparent)]
     Call(#[from] CallError),
     /// A thread could not be started.
-    #[error("thread: {0}")]
+    #[error("cannot start a thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// A load and where it goes.
+/// A load, and the processes that it is run on.
 #[derive(Clone, Debug)]
 pub struct Load {
     entries: Vec<String>,
@@ -95,7 +95,7 @@
 }
 
 impl LoadBuilder {
-    /// A load on these entries.
+    /// Creates a builder for a load on the entries at these URLs.
     #[must_use]
     pub fn new(entries: Vec<String>, workload: Workload) -> Self {
         let load = Load {
@@ -111,21 +111,21 @@
         Self { load }
     }
 
-    /// HTTP addresses of agents, whose metrics are read.
+    /// Sets the HTTP URLs of agents, whose metrics are read.
     #[must_use]
     pub fn agents(mut self, urls: Vec<String>) -> Self {
         self.load.agents = urls;
         self
     }
 
-    /// HTTP addresses of minion stand-ins, whose starts are read.
+    /// Sets the HTTP URLs of minion stand-ins, whose starts are read.
     #[must_use]
     pub fn minions(mut self, urls: Vec<String>) -> Self {
         self.load.minions = urls;
         self
     }
 
-    /// The service and team of all submissions.
+    /// Sets the service and team of all submissions.
     #[must_use]
     pub fn service(mut self, service: &str, team: &str) -> Self {
         self.load.service = service.to_owned();
@@ -133,25 +133,26 @@
         self
     }
 
-    /// Time that callers wait, in milliseconds.
+    /// Sets the deadline of each submission, in milliseconds.
     #[must_use]
     pub fn deadline_ms(mut self, deadline_ms: u64) -> Self {
         self.load.deadline_ms = deadline_ms;
         self
     }
 
-    /// First part of the load that the quantiles leave out, in milliseconds.
+    /// Sets the time at the start of the load that the quantiles leave out, in
+    /// milliseconds.
     #[must_use]
     pub fn warm_up_ms(mut self, warm_up_ms: u64) -> Self {
         self.load.warm_up_ms = warm_up_ms;
         self
     }
 
-    /// Checks the settings.
+    /// Checks the settings and builds the load.
     ///
     /// # Errors
     ///
-    /// [`LoadError::Setting`] names the first that is not allowed.
+    /// Returns [`LoadError::Setting`] with the first setting that is not allowed.
     pub fn build(self) -> Result<Load, LoadError> {
         let load = self.load;
         let workload = &load.workload;
@@ -182,7 +183,7 @@
             (
                 "run times",
                 workload.least_run_ms <= workload.most_run_ms,
-                "least before most",
+                "the shortest must not exceed the longest",
             ),
             (
                 "warm-up",
@@ -199,27 +200,31 @@
     }
 }
 
-/// What became of one submission.
+/// How one submission of the load ended.
 #[derive(Clone, Debug)]
 struct Sample {
+    /// Index of its arrival.
     arrival: usize,
     id: String,
+    /// Time from when it was due to its end, in microseconds.
     response_us: u64,
-    end: End,
+    end: SubmissionEnd,
 }
 
+/// The end of a submission, as its sender sees it.
 #[derive(Clone, Debug)]
-enum End {
-    Complete { is_right: bool },
+enum SubmissionEnd {
+    Complete { is_correct: bool },
     Problem { ran: Ran, reason: String },
 }
 
 impl Load {
-    /// Runs the load to its end and reports.
+    /// Runs the load to its end and returns the report.
     ///
     /// # Errors
     ///
-    /// [`LoadError`] when the system does not serve, or figures are missing.
+    /// Returns [`LoadError`] when the idle system does not complete a task, the
+    /// starts cannot be read, or a thread cannot be started.
     pub fn run(&self) -> Result<Report, LoadError> {
         let arrivals = Arc::new(self.workload.arrivals());
         let round_trip_us = self.measure_round_trip()?;
@@ -247,7 +252,8 @@
         })
     }
 
-    /// The least that single tasks on the idle system take beyond their run.
+    /// Measures the shortest time, in microseconds, that single tasks on the idle
+    /// system take beyond their run time.
     fn measure_round_trip(&self) -> Result<u64, LoadError> {
         let ids = IdPool::new(&self.service);
         let probe = Arrival {
@@ -256,77 +262,82 @@
             run_ms: vec![PROBE_RUN_MS],
             declared_ms: vec![PROBE_RUN_MS],
         };
-        let mut least_us = u64::MAX;
+        let mut min_us = u64::MAX;
         for number in 0..ROUND_TRIP_PROBES {
             let entry = Client::new(&self.entries[number % self.entries.len()]);
-            let began = Instant::now();
+            let started = Instant::now();
             let (id, end) = self.send_one(&entry, &ids, &probe);
-            if let End::Problem { reason, .. } = end {
+            if let SubmissionEnd::Problem { reason, .. } = end {
                 return Err(LoadError::NotServing {
                     detail: format!("{id}: {reason}"),
                 });
             }
-            // The first one pays for the ids.
+            // The first task is not counted, because its time includes the fetch of
+            // the ids.
             if number > 0 {
                 let extra_us =
-                    micros(began.elapsed()).saturating_sub(u64::from(PROBE_RUN_MS) * 1_000);
-                least_us = least_us.min(extra_us);
+                    micros(started.elapsed()).saturating_sub(u64::from(PROBE_RUN_MS) * 1_000);
+                min_us = min_us.min(extra_us);
             }
         }
-        Ok(least_us)
+        Ok(min_us)
     }
 
     fn send_all(&self, arrivals: &Arc<Vec<Arrival>>) -> Result<Vec<Sample>, LoadError> {
         let ids = Arc::new(IdPool::new(&self.service));
-        let (due, to_send) = unbounded::<usize>();
-        let (done, samples) = unbounded();
-        let began = Instant::now();
+        let (due_sender, due_arrivals) = unbounded::<usize>();
+        let (sample_sender, samples) = unbounded();
+        let started = Instant::now();
         for _ in 0..MAX_IN_FLIGHT.min(arrivals.len()) {
-            let sender = Sending {
+            let sender = SendingThread {
                 load: self.clone(),
                 arrivals: Arc::clone(arrivals),
                 ids: Arc::clone(&ids),
-                began,
+                started,
             };
-            let (to_send, done) = (to_send.clone(), done.clone());
+            let (due_arrivals, sample_sender) = (due_arrivals.clone(), sample_sender.clone());
             thread::Builder::new()
                 .stack_size(SENDER_STACK_BYTES)
-                .spawn(move || sender.run(&to_send, &done))?;
+                .spawn(move || sender.run(&due_arrivals, &sample_sender))?;
         }
-        drop(done);
+        drop(sample_sender);
         for (index, arrival) in arrivals.iter().enumerate() {
-            let at = began + Duration::from_micros(arrival.at_us);
+            let at = started + Duration::from_micros(arrival.at_us);
             thread::sleep(at.saturating_duration_since(Instant::now()));
-            // The receivers live until the channel is dropped.
-            let _ = due.send(index);
+            // The receivers exist until the channel is dropped.
+            let _ = due_sender.send(index);
         }
-        drop(due);
+        drop(due_sender);
         Ok(samples.iter().collect())
     }
 
-    fn send_one(&self, entry: &Client, ids: &IdPool, arrival: &Arrival) -> (String, End) {
+    fn send_one(&self, entry: &Client, ids: &IdPool, arrival: &Arrival) -> (String, SubmissionEnd) {
         let id = match ids.take(entry) {
             Ok(id) => id,
-            Err(NoId::Refused(response)) => return (String::new(), problem_end(&response)),
-            Err(NoId::Call(error)) => return (String::new(), broken_end(&error, Ran::NotRun)),
+            Err(TakeIdError::Refused(response)) => {
+                return (String::new(), end_from_problem(&response));
+            }
+            Err(TakeIdError::Call(error)) => {
+                return (String::new(), end_from_call_error(&error, Ran::NotRun));
+            }
         };
         let wait = Duration::from_millis(self.deadline_ms);
-        let sent = if arrival.is_request {
+        let response = if arrival.is_request {
             let path = format!("/v1/requests/{id}");
             entry.send(Method::PUT, &path, &self.request_body(arrival), wait)
         } else {
             let path = format!("/v1/jobs/{id}");
             entry.send(Method::PUT, &path, &self.job_body(arrival), wait)
         };
-        let end = match sent {
-            Ok(response) if response.is_success() => End::Complete {
-                is_right: is_right(&response, &id, arrival.run_ms.len()),
+        let end = match response {
+            Ok(response) if response.is_success() => SubmissionEnd::Complete {
+                is_correct: is_correct(&response, &id, arrival.run_ms.len()),
             },
-            Ok(response) => problem_end(&response),
-            Err(error) => broken_end(&error, Ran::Unknown),
+            Ok(response) => end_from_problem(&response),
+            Err(error) => end_from_call_error(&error, Ran::Unknown),
         };
-        if matches!(&end, End::Problem { reason, .. } if reason.starts_with("home-")) {
-            ids.forget_home_of(&id);
+        if matches!(&end, SubmissionEnd::Problem { reason, .. } if reason.starts_with("home-")) {
+            ids.drop_ids_of_home(&id);
         }
         (id, end)
     }
@@ -361,12 +372,12 @@
     }
 
     fn compare(&self, arrivals: &[Arrival], samples: &[Sample], round_trip_us: u64) -> Comparison {
-        let is_counted = |arrival: &Arrival| arrival.at_us >= self.warm_up_ms * 1_000;
+        let is_after_warm_up = |arrival: &Arrival| arrival.at_us >= self.warm_up_ms * 1_000;
         let measured = samples
             .iter()
-            .filter(|sample| matches!(sample.end, End::Complete { .. }))
+            .filter(|sample| matches!(sample.end, SubmissionEnd::Complete { .. }))
             .map(|sample| (&arrivals[sample.arrival], sample.response_us))
-            .filter(|(arrival, _)| is_counted(arrival))
+            .filter(|(arrival, _)| is_after_warm_up(arrival))
             .map(|(arrival, response_us)| ratio(arrival, response_us, round_trip_us));
         let model = |discipline| {
             let minions = self.minions.len().max(1);
@@ -375,7 +386,7 @@
             let pairs = arrivals
                 .iter()
                 .zip(responses)
-                .filter(|(arrival, _)| is_counted(arrival));
+                .filter(|(arrival, _)| is_after_warm_up(arrival));
             Quantiles::of(
                 pairs.map(|(arrival, us)| ratio(arrival, us + round_trip_us, round_trip_us)),
             )
@@ -389,23 +400,24 @@
     }
 }
 
-/// One thread that sends what is due.
-struct Sending {
+/// The state of a thread that sends due submissions, one after the other.
+struct SendingThread {
     load: Load,
     arrivals: Arc<Vec<Arrival>>,
     ids: Arc<IdPool>,
-    began: Instant,
+    started: Instant,
 }
 
-impl Sending {
-    fn run(&self, to_send: &Receiver<usize>, done: &Sender<Sample>) {
-        for index in to_send {
+impl SendingThread {
+    fn run(&self, due_arrivals: &Receiver<usize>, sample_sender: &Sender<Sample>) {
+        for index in due_arrivals {
             let arrival = &self.arrivals[index];
             let entry = Client::new(&self.load.entries[index % self.load.entries.len()]);
             let (id, end) = self.load.send_one(&entry, &self.ids, arrival);
-            // From the time at which it was due, so that a late sender shows.
-            let response_us = micros(self.began.elapsed()).saturating_sub(arrival.at_us);
-            if done
+            // The time is counted from when the submission was due, so that it
+            // includes a delay of the sender.
+            let response_us = micros(self.started.elapsed()).saturating_sub(arrival.at_us);
+            if sample_sender
                 .send(Sample {
                     arrival: index,
                     id,
@@ -425,8 +437,8 @@
     for sample in samples {
         outcomes.sent += 1;
         match &sample.end {
-            End::Complete { .. } => outcomes.complete += 1,
-            End::Problem { ran, reason } => {
+            SubmissionEnd::Complete { .. } => outcomes.complete += 1,
+            SubmissionEnd::Problem { ran, reason } => {
                 match ran {
                     Ran::NotRun => outcomes.not_run += 1,
                     Ran::Ran => outcomes.ran += 1,
@@ -448,7 +460,7 @@
     let window = |(at_s, samples): (u64, Vec<&Sample>)| {
         let complete = samples
             .iter()
-            .filter(|sample| matches!(sample.end, End::Complete { .. }));
+            .filter(|sample| matches!(sample.end, SubmissionEnd::Complete { .. }));
         let ratios = Quantiles::ratios(
             complete
                 .map(|sample| ratio(&arrivals[sample.arrival], sample.response_us, round_trip_us)),
@@ -463,28 +475,28 @@
     by_second.into_iter().map(window).collect()
 }
 
-/// Response over ideal of one submission.
+/// Returns the response time of one submission divided by the ideal one.
 fn ratio(arrival: &Arrival, response_us: u64, round_trip_us: u64) -> f64 {
-    response_us as f64 / (longest_us(arrival) + round_trip_us) as f64
+    response_us as f64 / (longest_run_us(arrival) + round_trip_us) as f64
 }
 
 fn slowest_refusal_ms(samples: &[Sample]) -> f64 {
     let refusals = samples.iter().filter(|sample| {
-        matches!(&sample.end, End::Problem { ran: Ran::NotRun, reason } if reason != "deadline-passed")
+        matches!(&sample.end, SubmissionEnd::Problem { ran: Ran::NotRun, reason } if reason != "deadline-passed")
     });
     refusals.map(|sample| sample.response_us).max().unwrap_or(0) as f64 / 1e3
 }
 
 fn violations(samples: &[Sample], starts: &Starts) -> Violations {
     let mut violations = Violations {
-        double_starts: starts.double,
+        double_starts: starts.started_twice,
         starts: starts.count,
         ..Violations::default()
     };
     for sample in samples {
         match sample.end {
-            End::Complete { is_right: false } => violations.wrong_answers += 1,
-            End::Problem {
+            SubmissionEnd::Complete { is_correct: false } => violations.wrong_answers += 1,
+            SubmissionEnd::Problem {
                 ran: Ran::NotRun, ..
             } if starts.submissions.contains(&sample.id) => {
                 violations.false_not_run += 1;
@@ -495,25 +507,25 @@
     violations
 }
 
-/// Whether an answer is whole and belongs to the submission.
-fn is_right(response: &Response, id: &str, tasks: usize) -> bool {
+/// Whether a response holds all results and belongs to the submission.
+fn is_correct(response: &Response, id: &str, tasks: usize) -> bool {
     let Ok(answer) = response.json::<AnswerBody>() else {
         return false;
     };
     let expected = |index: usize| format!("done {id}/{index}");
-    let is_own = (0..)
+    let has_own_results = (0..)
         .zip(&answer.results)
         .all(|(index, result)| **result == *expected(index));
-    answer.id == id && answer.results.len() == tasks && is_own
+    answer.id == id && answer.results.len() == tasks && has_own_results
 }
 
-fn problem_end(response: &Response) -> End {
+fn end_from_problem(response: &Response) -> SubmissionEnd {
     match response.json::<Problem>() {
-        Ok(problem) => End::Problem {
+        Ok(problem) => SubmissionEnd::Problem {
             ran: problem.ran,
             reason: reason_of(&problem),
         },
-        Err(_) => End::Problem {
+        Err(_) => SubmissionEnd::Problem {
             ran: Ran::Unknown,
             reason: format!("status-{}", response.status),
         },
@@ -529,19 +541,19 @@
         .to_owned()
 }
 
-fn broken_end(error: &CallError, ran: Ran) -> End {
+fn end_from_call_error(error: &CallError, ran: Ran) -> SubmissionEnd {
     let reason = match error {
         CallError::Connection { .. } => NO_CONNECTION.to_owned(),
         other => other.to_string(),
     };
-    End::Problem { ran, reason }
+    SubmissionEnd::Problem { ran, reason }
 }
 
 fn payload(run_ms: u32) -> Name {
     Name::from(format!("run_ms={run_ms}"))
 }
 
-fn longest_us(arrival: &Arrival) -> u64 {
+fn longest_run_us(arrival: &Arrival) -> u64 {
     arrival.run_ms.iter().max().copied().map_or(0, u64::from) * 1_000
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `gannetvane`: commands for operators and callers.
+//! The `gannetvane` program: commands for operators and callers.
 
 use std::io::Read;
 use std::path::Path;
@@ -33,13 +33,15 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
-/// Exit code when the system refused, or a submission failed.
+/// Exit code when a call was refused, a submission failed, a request or response is
+/// invalid, or no log line names the job to explain.
 const EXIT_REFUSED: u8 = 1;
 /// Exit code for a command line, file or setting that cannot be used.
 const EXIT_USAGE: u8 = 2;
 /// Exit code when no entry could be reached.
 const EXIT_UNREACHABLE: u8 = 3;
-const WAIT: Duration = Duration::from_secs(30);
+/// Time that an entry may take to respond to a command.
+const RESPONSE_WAIT: Duration = Duration::from_secs(30);
 
 /// Commands for operators and callers of gannetvane.
 #[derive(Debug, Options)]
@@ -58,21 +60,21 @@
 enum Command {
     /// work out what an intent would change
     Plan(PlanArguments),
-    /// put a plan into force
+    /// apply a plan
     Confirm(ConfirmArguments),
     /// run a job or request and print its answer
     Submit(SubmitArguments),
-    /// stop a submission
+    /// cancel a submission
     Cancel(IdArguments),
     /// print a submission's answer, or the members and configuration
     Status(StatusArguments),
-    /// put a load on the system and print a report
+    /// run a load against the system and print a report
     Load(LoadArguments),
     /// draw load reports as SVG
     Plot(PlotArguments),
     /// check a settings file of gannetvaned
     CheckSettings(CheckArguments),
-    /// tell what became of a job, from log files of all processes
+    /// print the history of a job from log files of all processes
     Explain(ExplainArguments),
 }
 
@@ -97,7 +99,7 @@
     /// intent in TOML: [[operations]] tables
     #[options(required, meta = "FILE")]
     intent: PathBuf,
-    /// id for the change; drawn when absent
+    /// id for the change; the entry draws one when absent
     #[options(no_short, meta = "ID")]
     change_id: Option<String>,
 }
@@ -165,7 +167,7 @@
     /// settings file in TOML
     #[options(required, meta = "FILE")]
     settings: PathBuf,
-    /// section.field=value, before the file
+    /// section.field=value, overrides the file
     #[options(no_short, meta = "FIELD")]
     set: Vec<String>,
 }
@@ -194,10 +196,10 @@
     /// URL of an entry, any number of times
     #[options(meta = "URL")]
     entry: Vec<String>,
-    /// HTTP URL of an agent, to read its metrics
+    /// HTTP URL of an agent, to read its metrics, any number of times
     #[options(no_short, meta = "URL")]
     agent: Vec<String>,
-    /// URL of a minion stand-in, to read its starts
+    /// URL of a minion stand-in, to read its starts, any number of times
     #[options(no_short, meta = "URL")]
     minion: Vec<String>,
     /// service to submit to
@@ -209,7 +211,7 @@
     /// slots of the service over all minions
     #[options(no_short, meta = "COUNT", default = "88")]
     slots: usize,
-    /// share of the slots to keep busy
+    /// slots that the load needs, as a share of all slots
     #[options(no_short, meta = "SHARE", default = "0.8")]
     load: f64,
     /// tasks of each job
@@ -221,7 +223,7 @@
     /// length of the load in seconds
     #[options(no_short, meta = "SECONDS", default = "30")]
     seconds: u64,
-    /// first seconds that the quantiles leave out
+    /// seconds at the start that the quantiles leave out
     #[options(no_short, meta = "SECONDS", default = "5")]
     warm_up: u64,
     /// seed of the arrivals
@@ -233,13 +235,13 @@
     /// longest run time of a task in milliseconds
     #[options(no_short, meta = "MS", default = "1000")]
     most_run_ms: u32,
-    /// factor by which declared run times are off, at most
+    /// largest factor by which declared run times are off
     #[options(no_short, meta = "FACTOR", default = "1.5")]
     declared_error: f64,
-    /// factor on the arrivals in the middle fifth
+    /// factor by which arrivals are more frequent in the middle fifth
     #[options(no_short, meta = "FACTOR", default = "1")]
     burst: f64,
-    /// time that callers wait, in milliseconds
+    /// deadline of each submission in milliseconds
     #[options(no_short, meta = "MS", default = "30000")]
     deadline_ms: u64,
 }
@@ -262,12 +264,12 @@
     Explain(#[from] ExplainError),
     #[error("explain: the id of a job and a log file are needed")]
     NoLogs,
-    /// The response was printed already.
+    /// The response says why; it has been printed already.
     #[error("refused")]
     Refused,
 }
 
-/// An intent as operators write it.
+/// The intent file of an operator: the steps of a change to plan.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Intent {
@@ -311,10 +313,10 @@
         Command::Cancel(arguments) => {
             let path = format!("/v1/jobs/{}", arguments.id);
             let client = Client::new(&arguments.entry);
-            print(&client.call(Method::DELETE, &path, Vec::new(), WAIT)?)
+            print_response(&client.call(Method::DELETE, &path, Vec::new(), RESPONSE_WAIT)?)
         }
         Command::Status(arguments) => status(&arguments),
-        Command::Explain(arguments) => tell(&arguments),
+        Command::Explain(arguments) => explain_job(&arguments),
         Command::Load(arguments) => load(arguments),
         Command::Plot(arguments) => plot(&arguments),
         Command::CheckSettings(arguments) => check_settings(&arguments),
@@ -323,7 +325,7 @@
 
 fn plan(arguments: PlanArguments) -> Result<(), CommandError> {
     let path = arguments.intent.display().to_string();
-    let text = read(&path)?;
+    let text = read_input(&path)?;
     let intent: Intent = toml::from_str(&text).map_err(|error| CommandError::File {
         path,
         reason: error.to_string(),
@@ -332,27 +334,28 @@
         change_id: arguments.change_id.map(Into::into),
         operations: intent.operations,
     };
-    let response = Client::new(&arguments.entry).send(Method::POST, "/v1/plans", &body, WAIT)?;
+    let response =
+        Client::new(&arguments.entry).send(Method::POST, "/v1/plans", &body, RESPONSE_WAIT)?;
     if response.is_success() {
         for effect in response.json::<PlanBody>()?.effects {
             eprintln!("{effect}");
         }
     }
-    print(&response)
+    print_response(&response)
 }
 
 fn confirm(arguments: &ConfirmArguments) -> Result<(), CommandError> {
-    let text = read(&arguments.plan)?;
+    let text = read_input(&arguments.plan)?;
     let plan: PlanBody = serde_json::from_str(&text).map_err(|error| CommandError::File {
         path: arguments.plan.clone(),
         reason: error.to_string(),
     })?;
     let path = format!("/v1/changes/{}", plan.change.change_id);
-    print(&Client::new(&arguments.entry).send(Method::PUT, &path, &plan, WAIT)?)
+    print_response(&Client::new(&arguments.entry).send(Method::PUT, &path, &plan, RESPONSE_WAIT)?)
 }
 
 fn submit(arguments: &SubmitArguments) -> Result<(), CommandError> {
-    let text = read(&arguments.body)?;
+    let text = read_input(&arguments.body)?;
     let body: serde_json::Value =
         serde_json::from_str(&text).map_err(|error| CommandError::File {
             path: arguments.body.clone(),
@@ -363,35 +366,41 @@
         Some(id) => id.clone(),
         None => take_id(&client, &body)?,
     };
-    // Told first, so that a caller who is cut off can ask again.
+    // The id is printed before the call, so that a caller whose connection breaks
+    // can ask for the answer later.
     eprintln!("id {id}");
     let kind = if body.get("tasks").is_some() {
         "jobs"
     } else {
         "requests"
     };
-    let wait = Duration::from_millis(body["deadline_ms"].as_u64().unwrap_or(30_000));
-    print(&client.send(Method::PUT, &format!("/v1/{kind}/{id}"), &body, wait)?)
+    let response_wait = Duration::from_millis(body["deadline_ms"].as_u64().unwrap_or(30_000));
+    print_response(&client.send(
+        Method::PUT,
+        &format!("/v1/{kind}/{id}"),
+        &body,
+        response_wait,
+    )?)
 }
 
 fn take_id(client: &Client, body: &serde_json::Value) -> Result<String, CommandError> {
     let service = body["service"].as_str().unwrap_or_default();
     let path = format!("/v1/ids?service={service}");
-    let response = client.call(Method::POST, &path, Vec::new(), WAIT)?;
+    let response = client.call(Method::POST, &path, Vec::new(), RESPONSE_WAIT)?;
     if !response.is_success() {
-        print(&response)?;
+        print_response(&response)?;
     }
-    let mut taken: IdsBody = response.json()?;
-    taken.ids.pop().ok_or(CommandError::Refused)
+    let mut ids_body: IdsBody = response.json()?;
+    ids_body.ids.pop().ok_or(CommandError::Refused)
 }
 
 fn status(arguments: &StatusArguments) -> Result<(), CommandError> {
     let client = Client::new(&arguments.entry);
     if let Some(id) = &arguments.id {
-        return print(&client.get(&format!("/v1/jobs/{id}"), WAIT)?);
+        return print_response(&client.get(&format!("/v1/jobs/{id}"), RESPONSE_WAIT)?);
     }
-    print(&client.get("/v1/members", WAIT)?)?;
-    print(&client.get("/v1/configuration", WAIT)?)
+    print_response(&client.get("/v1/members", RESPONSE_WAIT)?)?;
+    print_response(&client.get("/v1/configuration", RESPONSE_WAIT)?)
 }
 
 fn load(arguments: LoadArguments) -> Result<(), CommandError> {
@@ -425,7 +434,7 @@
 fn plot(arguments: &PlotArguments) -> Result<(), CommandError> {
     let mut reports = Vec::new();
     for path in &arguments.report {
-        let text = read(&path.display().to_string())?;
+        let text = read_input(&path.display().to_string())?;
         let report: Report = serde_json::from_str(&text).map_err(|error| CommandError::File {
             path: path.display().to_string(),
             reason: error.to_string(),
@@ -435,10 +444,10 @@
     Ok(draw(&reports, &arguments.response, &arguments.messages)?)
 }
 
-/// Checks a file of either interface: only those of the platform's programs
-/// have the table `host`.
+/// Checks a settings file of `gannetvaned` or of the platform's programs. Only the
+/// latter has the table `host`.
 fn check_settings(arguments: &CheckArguments) -> Result<(), CommandError> {
-    let text = read(&arguments.settings.display().to_string())?;
+    let text = read_input(&arguments.settings.display().to_string())?;
     let table: Option<toml::Table> = toml::from_str(&text).ok();
     if table.is_some_and(|table| table.contains_key("host")) {
         PlatformSettings::load(&arguments.settings)?;
@@ -449,36 +458,36 @@
     Ok(())
 }
 
-fn tell(arguments: &ExplainArguments) -> Result<(), CommandError> {
+fn explain_job(arguments: &ExplainArguments) -> Result<(), CommandError> {
     let Some((job, paths)) = arguments.job_and_logs.split_first() else {
         return Err(CommandError::NoLogs);
     };
     if paths.is_empty() {
         return Err(CommandError::NoLogs);
     }
-    let logs = paths.iter().map(|path| read(path));
+    let logs = paths.iter().map(|path| read_input(path));
     let logs: Vec<String> = logs.collect::<Result<_, _>>()?;
     let lines = logs.iter().flat_map(|log| log.lines());
     print!("{}", explain(job, lines)?);
     Ok(())
 }
 
-fn read(path: &str) -> Result<String, CommandError> {
+fn read_input(path: &str) -> Result<String, CommandError> {
     let mut text = String::new();
-    let read = if path == "-" {
+    let result = if path == "-" {
         std::io::stdin().read_to_string(&mut text)
     } else {
         std::fs::File::open(Path::new(path)).and_then(|mut file| file.read_to_string(&mut text))
     };
-    read.map_err(|error| CommandError::File {
+    result.map_err(|error| CommandError::File {
         path: path.to_owned(),
         reason: error.to_string(),
     })?;
     Ok(text)
 }
 
-/// Prints a response; a refusal becomes an error.
-fn print(response: &Response) -> Result<(), CommandError> {
+/// Prints the body of a response, and returns an error unless it is a success.
+fn print_response(response: &Response) -> Result<(), CommandError> {
     println!("{}", String::from_utf8_lossy(&response.body).trim_end());
     if response.is_success() {
         return Ok(());
--- a/crates/cli/src/scrape.rs
+++ b/crates/cli/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Figures that the processes and stand-ins tell of themselves.
+//! Figures read over HTTP: metrics of the processes, starts of the minion stand-ins.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,49 +10,54 @@
 use crate::client::Client;
 use crate::report::Messages;
 
-const MESSAGES: &str = "gannetvane_messages_sent_total";
-const BYTES: &str = "gannetvane_bytes_sent_total";
-const RESENDS: &str = "gannetvane_resends_total";
-const RETRIES: &str = "gannetvane_retries_total";
-/// Messages without which no task can be served.
-const NEEDFUL: [&str; 4] = ["submit", "answer", "start", "finished"];
-/// Messages of the task path that a task can do without.
-const AVOIDABLE: [&str; 3] = ["credit-request", "credit-grant", "revoke"];
-const WAIT: Duration = Duration::from_secs(5);
+const MESSAGES_METRIC: &str = "gannetvane_messages_sent_total";
+const BYTES_METRIC: &str = "gannetvane_bytes_sent_total";
+const RESENDS_METRIC: &str = "gannetvane_resends_total";
+const RETRIES_METRIC: &str = "gannetvane_retries_total";
+/// Kinds of messages that every task needs.
+const REQUIRED_KINDS: [&str; 4] = ["submit", "answer", "start", "finished"];
+/// Kinds of messages about tasks and credits that a task can do without.
+const AVOIDABLE_KINDS: [&str; 3] = ["credit-request", "credit-grant", "revoke"];
+/// Time that a process may take to respond.
+const RESPONSE_WAIT: Duration = Duration::from_secs(5);
 
-/// Sums of counters over several processes, by metric and label.
+/// Counters summed over several processes, by metric and label.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counters {
     values: BTreeMap<CounterKey, u64>,
 }
 
+/// Metric and label that identify a counter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CounterKey {
     metric: String,
     label: String,
 }
 
-/// One start as a minion tells it.
+/// One start of a task, as a minion stand-in lists it.
 #[derive(Clone, Debug, Deserialize)]
 struct Start {
     task: String,
     is_repeatable: bool,
 }
 
-/// Starts over all minions.
+/// Starts of tasks over all minions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Starts {
+    /// Number of starts.
     pub(crate) count: u64,
-    pub(crate) double: u64,
+    /// Number of tasks that may run only once but started more often.
+    pub(crate) started_twice: u64,
+    /// Submissions of which a task started.
     pub(crate) submissions: BTreeSet<String>,
 }
 
 impl Counters {
-    /// Reads the metrics of these processes; those that are gone count nothing.
+    /// Reads the metrics of processes. A process that gives no response adds nothing.
     pub(crate) fn scrape(urls: &[String]) -> Self {
         let mut counters = Self::default();
         for url in urls {
-            if let Ok(response) = Client::new(url).get("/metrics", WAIT) {
+            if let Ok(response) = Client::new(url).get("/metrics", RESPONSE_WAIT) {
                 counters.add(&String::from_utf8_lossy(&response.body));
             }
         }
@@ -92,7 +97,7 @@
             .sum()
     }
 
-    /// Messages since `earlier`, for this many tasks.
+    /// Computes the figures of the messages sent since `earlier` for `tasks` tasks.
     pub(crate) fn messages_since(&self, earlier: &Self, tasks: u64) -> Messages {
         let since = |metric: &str, label: &str| {
             self.get(metric, label)
@@ -100,38 +105,41 @@
         };
         let sum_since = |metric: &str| self.sum(metric).saturating_sub(earlier.sum(metric));
         let mut by_kind = BTreeMap::new();
-        for kind in NEEDFUL.iter().chain(&AVOIDABLE) {
-            by_kind.insert((*kind).to_owned(), since(MESSAGES, kind));
+        for kind in REQUIRED_KINDS.iter().chain(&AVOIDABLE_KINDS) {
+            by_kind.insert((*kind).to_owned(), since(MESSAGES_METRIC, kind));
         }
-        let all: u64 = by_kind.values().sum();
-        let avoidable: u64 = AVOIDABLE.iter().map(|kind| since(MESSAGES, kind)).sum();
-        let repeated = sum_since(RESENDS) + 2 * sum_since(RETRIES);
+        let total: u64 = by_kind.values().sum();
+        let avoidable: u64 = AVOIDABLE_KINDS
+            .iter()
+            .map(|kind| since(MESSAGES_METRIC, kind))
+            .sum();
+        let repeated = sum_since(RESENDS_METRIC) + 2 * sum_since(RETRIES_METRIC);
         let wasted = avoidable + repeated;
-        let path_bytes: u64 = NEEDFUL
+        let task_path_bytes: u64 = REQUIRED_KINDS
             .iter()
-            .chain(&AVOIDABLE)
-            .map(|kind| since(BYTES, kind))
+            .chain(&AVOIDABLE_KINDS)
+            .map(|kind| since(BYTES_METRIC, kind))
             .sum();
         Messages {
             by_kind,
-            per_task: all as f64 / tasks.max(1) as f64,
-            wasted_share: wasted as f64 / all.saturating_sub(wasted).max(1) as f64,
-            control_bytes: sum_since(BYTES).saturating_sub(path_bytes),
+            per_task: total as f64 / tasks.max(1) as f64,
+            wasted_share: wasted as f64 / total.saturating_sub(wasted).max(1) as f64,
+            control_bytes: sum_since(BYTES_METRIC).saturating_sub(task_path_bytes),
         }
     }
 }
 
 impl Starts {
-    /// Reads the starts of these minions.
+    /// Reads the starts from minion stand-ins.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when a minion does not tell them.
+    /// Returns [`CallError`] when a minion does not list its starts.
     pub(crate) fn read(urls: &[String]) -> Result<Self, CallError> {
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
         let mut starts = Self::default();
         for url in urls {
-            let response = Client::new(url).get("/starts", WAIT)?;
+            let response = Client::new(url).get("/starts", RESPONSE_WAIT)?;
             for start in response.json::<Vec<Start>>()? {
                 starts.count += 1;
                 let submission = start.task.split('/').next().unwrap_or_default();
@@ -141,16 +149,19 @@
                 }
             }
         }
-        starts.double = counts.values().filter(|count| **count > 1).count() as u64;
+        starts.started_twice = counts.values().filter(|count| **count > 1).count() as u64;
         Ok(starts)
     }
 }
 
-/// The first label that is not about the library.
+/// Returns the value of the first label that gannetvane sets itself; the metrics
+/// library adds others.
 fn label_of(labels: &str) -> String {
     let pairs = labels.split(',').filter_map(|pair| pair.split_once('='));
-    let mut own = pairs.filter(|(key, _)| matches!(*key, "message" | "reason" | "event"));
-    own.next()
+    let mut counter_labels =
+        pairs.filter(|(key, _)| matches!(*key, "message" | "reason" | "event"));
+    counter_labels
+        .next()
         .map(|(_, value)| value.trim_matches('"').to_owned())
         .unwrap_or_default()
 }
--- a/crates/cli/tests/load.rs
+++ b/crates/cli/tests/load.rs
@@ -1,4 +1,5 @@
-//! The load tool: arrivals, references, figures and settings.
+//! Tests of the load tool (arrivals, reference disciplines, figures, settings), and
+//! of the exit codes of the commands.
 
 use gannetvane::Arrival;
 use gannetvane::Discipline;
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn burst_falls_in_the_middle_fifth() {
+fn burst_raises_arrivals_in_the_middle_fifth() {
     let arrivals = Workload {
         burst: 10.0,
         load: 0.1,
@@ -56,7 +57,7 @@
     let is_in_burst = |a: &&Arrival| (24_000_000..36_000_000).contains(&a.at_us);
     let inside = arrivals.iter().filter(is_in_burst).count();
     let outside = arrivals.len() - inside;
-    // 10 times the rate in a quarter of the other time.
+    // 10 times the rate in a time that is a quarter of the rest: about 2.5.
     let ratio = inside as f64 / outside as f64;
     assert!((1.8..3.4).contains(&ratio), "{ratio}");
 }
@@ -71,7 +72,7 @@
     }
 }
 
-fn at(at_ms: u64, run_ms: &[u32]) -> Arrival {
+fn arrival_at(at_ms: u64, run_ms: &[u32]) -> Arrival {
     let run_ms = run_ms.to_vec();
     Arrival {
         at_us: at_ms * 1_000,
@@ -83,7 +84,11 @@
 
 #[test]
 fn central_queue_serves_in_the_order_of_arrival() {
-    let arrivals = [at(0, &[100, 100]), at(10, &[50]), at(20, &[50, 50])];
+    let arrivals = [
+        arrival_at(0, &[100, 100]),
+        arrival_at(10, &[50]),
+        arrival_at(20, &[50, 50]),
+    ];
     let responses = model_responses(&arrivals, 2, 1, Discipline::Central);
     assert_eq!(responses, [100_000, 140_000, 180_000]);
 }
@@ -109,7 +114,7 @@
 }
 
 #[test]
-fn quantiles_count_what_they_are_given() {
+fn quantiles_of_known_values() {
     let quantiles = Quantiles::of((1..=1_000).map(f64::from));
     assert_eq!(quantiles.count, 1_000);
     assert!((quantiles.p50 - 500.0).abs() < 2.0);
@@ -117,7 +122,7 @@
 }
 
 #[test]
-fn outcomes_balance() {
+fn outcomes_balance_only_when_all_sent_are_counted() {
     let mut outcomes = Outcomes {
         sent: 4,
         complete: 1,
@@ -136,7 +141,7 @@
     slots = { vec!["x".into()], Workload { slots: 0, ..workload() }, "slots: from 1 to 100000" },
     tasks = { vec!["x".into()], Workload { tasks_per_job: 0, ..workload() }, "tasks: from 1 to 1024" },
     run_times = {
-        vec!["x".into()], Workload { least_run_ms: 2_000, ..workload() }, "run times: least before most"
+        vec!["x".into()], Workload { least_run_ms: 2_000, ..workload() }, "run times: the shortest must not exceed the longest"
     },
 )]
 fn setting_out_of_range_is_named(entries: Vec<String>, workload: Workload, expected: &str) {
--- a/crates/standins/src/group.rs
+++ b/crates/standins/src/group.rs
@@ -1,5 +1,8 @@
-//! Groups of the store: partitions divided evenly among the members, each of
-//! which keeps what it lost until it joins with the generation that took it.
+//! Groups of the store, which divide partitions evenly among their members.
+//!
+//! Each new assignment has a new generation. A member that loses a partition holds
+//! it until the member joins with that generation, or is removed; only then can
+//! another member get it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,13 +10,13 @@
 /// A member of a group.
 #[derive(Debug)]
 struct Member {
-    /// When it counts as gone.
+    /// Time at which the member is removed unless it joins again, in milliseconds.
     expires_ms: u64,
-    /// The last generation that it joined with.
+    /// The generation with which it joined last.
     generation: u64,
-    /// What it holds.
-    parts: BTreeSet<u32>,
-    /// What it is to hold.
+    /// Partitions that it holds.
+    held: BTreeSet<u32>,
+    /// Partitions that it is to hold under the present assignment.
     target: BTreeSet<u32>,
 }
 
@@ -25,104 +28,110 @@
 }
 
 impl Group {
-    /// A member joins or stays; its generation and partitions.
+    /// Adds a member, or renews its membership for `ttl_ms`. `generation` is the
+    /// last one that the member knows. Returns the present generation, and the
+    /// partitions that the member holds and is to keep.
     pub fn join(
         &mut self,
         now_ms: u64,
         name: &str,
         generation: u64,
         ttl_ms: u64,
-        parts: u32,
+        partitions: u32,
     ) -> (u64, Vec<u32>) {
-        self.expire(now_ms, parts);
+        self.expire(now_ms, partitions);
         let is_new = !self.members.contains_key(name);
         let member = self.members.entry(name.to_owned()).or_insert(Member {
             expires_ms: now_ms,
             generation,
-            parts: BTreeSet::new(),
+            held: BTreeSet::new(),
             target: BTreeSet::new(),
         });
         member.expires_ms = now_ms + ttl_ms;
         member.generation = generation;
         if is_new {
-            self.deal(parts);
+            self.assign_targets(partitions);
         }
         if let Some(member) = self.members.get_mut(name)
             && member.generation >= self.generation
         {
-            // What is not to be held is let go with this join.
+            // With this join the member releases what it is not to hold.
             let target = member.target.clone();
-            member.parts.retain(|part| target.contains(part));
+            member.held.retain(|part| target.contains(part));
         }
-        self.hand_out();
-        let listed = self.members.get(name).map(|member| {
-            let both = member.parts.intersection(&member.target);
-            both.copied().collect()
+        self.assign_unheld();
+        let served = self.members.get(name).map(|member| {
+            let held_targets = member.held.intersection(&member.target);
+            held_targets.copied().collect()
         });
-        (self.generation, listed.unwrap_or_default())
+        (self.generation, served.unwrap_or_default())
     }
 
-    /// A member leaves.
-    pub fn leave(&mut self, name: &str, parts: u32) {
+    /// Removes a member and assigns all partitions again.
+    pub fn leave(&mut self, name: &str, partitions: u32) {
         if self.members.remove(name).is_some() {
-            self.deal(parts);
+            self.assign_targets(partitions);
         }
     }
 
-    /// All partitions are dealt anew at once.
-    pub fn rebalance(&mut self, parts: u32) {
+    /// Assigns all partitions again, and moves them without waiting for the members
+    /// to release them.
+    pub fn rebalance(&mut self, partitions: u32) {
         let names: Vec<String> = self.members.keys().cloned().collect();
         self.generation += 1;
         for member in self.members.values_mut() {
-            member.parts.clear();
+            member.held.clear();
             member.target.clear();
         }
-        // In the other order, so that most change their owner.
-        for (part, name) in (0..parts).zip(names.iter().rev().cycle()) {
+        // The order of the members is reversed, so that most partitions change
+        // their owner.
+        for (part, name) in (0..partitions).zip(names.iter().rev().cycle()) {
             if let Some(member) = self.members.get_mut(name) {
-                member.parts.insert(part);
+                member.held.insert(part);
                 member.target.insert(part);
             }
         }
     }
 
-    /// Partitions with the members that hold them.
-    pub fn owners(&mut self, now_ms: u64, parts: u32) -> Vec<(u32, String)> {
-        self.expire(now_ms, parts);
+    /// Returns the held partitions, each with the member that holds it.
+    pub fn owners(&mut self, now_ms: u64, partitions: u32) -> Vec<(u32, String)> {
+        self.expire(now_ms, partitions);
         let members = self.members.iter();
         let owners = members.flat_map(|(name, member)| {
-            let parts = member.parts.iter();
-            parts.map(move |part| (*part, name.clone()))
+            let held = member.held.iter();
+            held.map(move |part| (*part, name.clone()))
         });
         owners.collect()
     }
 
-    fn expire(&mut self, now_ms: u64, parts: u32) {
+    /// Removes the members whose time has passed, and assigns again if there were any.
+    fn expire(&mut self, now_ms: u64, partitions: u32) {
         let before = self.members.len();
         self.members.retain(|_, member| member.expires_ms > now_ms);
         if self.members.len() != before {
-            self.deal(parts);
+            self.assign_targets(partitions);
         }
-        self.hand_out();
+        self.assign_unheld();
     }
 
-    fn deal(&mut self, parts: u32) {
+    /// Starts a new generation, with the partitions divided evenly among the members.
+    fn assign_targets(&mut self, partitions: u32) {
         self.generation += 1;
         let count = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         for (position, member) in (0..).zip(self.members.values_mut()) {
-            let own = (0..parts).filter(|part| part % count == position);
-            member.target = own.collect();
+            let assigned = (0..partitions).filter(|part| part % count == position);
+            member.target = assigned.collect();
         }
     }
 
-    /// Gives members what nobody holds any more.
-    fn hand_out(&mut self) {
-        let held = self.members.values().flat_map(|member| &member.parts);
+    /// Gives each member the partitions that it is to hold and that no member holds.
+    fn assign_unheld(&mut self) {
+        let held = self.members.values().flat_map(|member| &member.held);
         let held: BTreeSet<u32> = held.copied().collect();
         for member in self.members.values_mut() {
             let free = member.target.iter().filter(|part| !held.contains(part));
             let free: Vec<u32> = free.copied().collect();
-            member.parts.extend(free);
+            member.held.extend(free);
         }
     }
 }
--- a/crates/standins/src/minion.rs
+++ b/crates/standins/src/minion.rs
@@ -1,9 +1,10 @@
-//! A minion: runs tasks that only wait, and remembers every start.
+//! Stand-in for a minion, which runs tasks that only wait and records every start.
 //!
-//! - `POST /tasks/{submission}/{index}` runs a task. The body says how:
-//!   `run_ms=N` and optionally `fail`.
-//! - `DELETE /tasks/{submission}/{index}` stops it.
-//! - `GET /starts` lists all starts, `PUT /fault` with `none` or `fail-all`.
+//! - `POST /tasks/{submission}/{index}` runs a task. The body holds the run time,
+//!   `run_ms=N`, and `fail` if the task is to fail.
+//! - `DELETE /tasks/{submission}/{index}` stops a task.
+//! - `GET /starts` lists all starts.
+//! - `PUT /fault` with `fail-all` makes every task fail at once; `none` ends that.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,19 +23,19 @@
 use crate::serve::Call;
 use crate::serve::serve;
 
-/// Connections that a minion serves at one time.
-const CONNECTIONS: usize = 64;
+/// Maximum number of connections that a minion serves at one time.
+const MAX_CONNECTIONS: usize = 64;
 
-/// One start of a task, as the minion saw it.
+/// One start of a task on the minion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartRecord {
-    /// Submission and index of the task.
+    /// The task, as `submission/index`.
     pub task: String,
     /// Whether the task may run more than once.
     pub is_repeatable: bool,
 }
 
-/// A minion with slots.
+/// A minion that runs one task on each of its slots.
 #[derive(Clone, Debug)]
 pub struct MinionStandIn {
     shared: Arc<Shared>,
@@ -50,13 +51,14 @@
 #[derive(Debug, Default)]
 struct State {
     starts: Vec<StartRecord>,
+    /// Running tasks, and whether each was asked to stop.
     running: BTreeMap<String, bool>,
-    most_running: usize,
+    max_running: usize,
     fails_all: bool,
 }
 
 impl MinionStandIn {
-    /// A minion with this many slots.
+    /// Creates a minion with `slots` slots.
     #[must_use]
     pub fn new(slots: usize) -> Self {
         let shared = Shared {
@@ -73,25 +75,25 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error when the address cannot be bound.
     pub fn serve(&self, addr: SocketAddr) -> std::io::Result<()> {
         let minion = self.clone();
-        serve(addr, CONNECTIONS, move |call| minion.answer(call))
+        serve(addr, MAX_CONNECTIONS, move |call| minion.answer(call))
     }
 
-    /// All starts so far.
+    /// Returns all starts so far.
     #[must_use]
     pub fn starts(&self) -> Vec<StartRecord> {
         self.lock().starts.clone()
     }
 
-    /// Tasks that run now.
+    /// Returns the number of tasks that run now.
     #[must_use]
     pub fn running(&self) -> usize {
         self.lock().running.len()
     }
 
-    /// Whether every task is to fail at once.
+    /// Sets whether every task fails at once.
     pub fn set_fails_all(&self, fails_all: bool) {
         self.lock().fails_all = fails_all;
     }
@@ -134,12 +136,12 @@
             };
             state.starts.push(record);
             if state.fails_all {
-                return Answer::new(500, "out of order");
+                return Answer::new(500, "every task is set to fail");
             }
             state.running.insert(task.to_owned(), false);
-            state.most_running = state.most_running.max(state.running.len());
+            state.max_running = state.max_running.max(state.running.len());
         }
-        let was_stopped = self.wait(task, run_time(&call.body));
+        let was_stopped = self.wait_unless_stopped(task, parse_run_time(&call.body));
         self.lock().running.remove(task);
         if was_stopped {
             return Answer::new(409, "stopped");
@@ -150,19 +152,20 @@
         Answer::new(200, format!("done {task}"))
     }
 
-    /// Waits for the run time to pass; true when the task was stopped.
-    fn wait(&self, task: &str, run_time: Duration) -> bool {
+    /// Waits until the run time has passed or the task is stopped. Returns true if
+    /// it was stopped.
+    fn wait_unless_stopped(&self, task: &str, run_time: Duration) -> bool {
         let end = Instant::now() + run_time;
         let mut state = self.lock();
         loop {
             if state.running.get(task).copied().unwrap_or(false) {
                 return true;
             }
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let waited = self.shared.changed.wait_timeout(state, left);
+            let waited = self.shared.changed.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -180,7 +183,7 @@
     }
 }
 
-fn run_time(body: &str) -> Duration {
+fn parse_run_time(body: &str) -> Duration {
     let words = body.split_whitespace();
     let run_ms = words
         .filter_map(|word| word.strip_prefix("run_ms="))
