--- a/crates/daemon/src/minion.rs
+++ b/crates/daemon/src/minion.rs
@@ -84,8 +84,8 @@
             .ok()
     }
 
-    /// Logs an error after which it is unknown whether the task ran, and returns
-    /// the unknown result.
+    /// Returns the unknown result for a call whose connection broke or timed out:
+    /// the task may have run. Logs the error.
     fn unknown_result(&self, task_id: TaskId, error: &std::io::Error) -> TaskResult {
         warn!(self.log, "task-outcome-unknown"; "task" => %task_id, "error" => %error);
         TaskResult::Unknown
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -87,7 +87,8 @@
     ///
     /// # Errors
     ///
-    /// [`LogError`] when neither the log nor an entry returns addresses.
+    /// [`LogError`] when the call to the log fails and no balancer is set, or when the
+    /// log returns no addresses and the call to an entry through the balancer fails.
     fn contacts(&self) -> Result<Vec<SocketAddr>, LogError>;
 }
 
--- a/crates/daemon/src/role.rs
+++ b/crates/daemon/src/role.rs
@@ -21,7 +21,7 @@
     fn handle(&mut self, now_ms: u64, input: CoreInput) -> Vec<Action>;
     /// Does the work that is due and returns the actions to execute.
     fn tick(&mut self, now_ms: u64) -> Vec<Action>;
-    /// Adds addresses of agents to contact first.
+    /// Adds addresses of agents for the first contact.
     fn add_contacts(&mut self, contacts: Vec<SocketAddr>);
     /// Starts a planned stop and returns the actions to execute.
     fn start_stop(&mut self, now_ms: u64) -> Vec<Action>;
@@ -86,7 +86,8 @@
     }
 
     fn can_stop(&self, _now_ms: u64, _http: &HttpServer) -> bool {
-        // The core returns `Action::Stop` once its table has moved to other agents.
+        // The core returns `Action::Stop` itself, after it has handed its table over
+        // or could not.
         false
     }
 
--- a/crates/daemon/src/routes.rs
+++ b/crates/daemon/src/routes.rs
@@ -46,8 +46,8 @@
 const MAX_NAME_BYTES: usize = 64;
 /// Largest number of addresses in a reply to a process that looks for agents.
 const MAX_CONTACTS: usize = 16;
-/// Time for which a lookup without `wait_ms`, a cancellation or a change waits
-/// for the answer.
+/// Time to wait for the answer to a lookup without `wait_ms`, a cancellation, or
+/// the confirmation or status of a change.
 const DEFAULT_WAIT_MS: u64 = 30_000;
 /// Time beyond the wait of a command after which a core that does not reply is
 /// taken to be stopping.
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -114,7 +114,8 @@
 pub struct ContactSection {
     /// Addresses of agents, in addition to those announced in the log.
     pub addresses: Vec<SocketAddr>,
-    /// URL of the balancer in front of the entries, used while the log is down.
+    /// URL of the balancer in front of the entries, used while the log is down or
+    /// has no announcements of agents.
     pub balancer_url: Option<String>,
 }
 
--- a/crates/daemon/tests/fleet/mod.rs
+++ b/crates/daemon/tests/fleet/mod.rs
@@ -256,8 +256,8 @@
         own.map(|start| start.task).collect()
     }
 
-    /// Checks that no task was started twice, and that the end reported to the caller
-    /// matches the starts.
+    /// Checks that no task that may run only once was started twice, that each result
+    /// belongs to its task, and that nothing was started when the end says so.
     pub fn check_end(&self, id: &str, end: &End) {
         let mut starts = self.starts_of(id);
         let count = starts.len();
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -106,7 +106,8 @@
     for victim in [0, 1] {
         fleet.agents[victim].take().expect("runs").kill();
     }
-    // The callers repeat their unanswered submissions through the other entry.
+    // The callers do not wait for the missing answers: they repeat all submissions
+    // through the other entry.
     let again = submit_all(entries.into_iter().rev().collect(), ids, job(&[400, 700]));
     for (id, end) in join_ends(calls).into_iter().chain(join_ends(again)) {
         assert!(!matches!(end, End::NoAnswer(_)), "{end:?}");
@@ -232,8 +233,11 @@
     wait_until("the entry is not ready", || {
         call(entry, Method::GET, "/readyz", &Value::Null).is_ok_and(|r| r.status == 503)
     });
-    let late = submit(entry, &ids[1], &booking(10));
-    assert!(matches!(late, End::Complete(_)), "{late:?}");
+    let end_after_stop = submit(entry, &ids[1], &booking(10));
+    assert!(
+        matches!(end_after_stop, End::Complete(_)),
+        "{end_after_stop:?}"
+    );
     for (id, end) in join_ends(calls) {
         assert!(matches!(end, End::Complete(_)), "{end:?}");
         fleet.check_end(&id, &end);
--- a/crates/daemon/tests/soak/checks.rs
+++ b/crates/daemon/tests/soak/checks.rs
@@ -22,8 +22,8 @@
 use crate::site::TASKS_PER_MINION;
 use crate::site::ZONES_DIVISOR;
 
-/// Time from the request to evacuate a zone until no task is started there,
-/// without other faults.
+/// Time after the request to evacuate a zone within which the last task may still
+/// start there, without other faults.
 const EVACUATION_TIMEOUT_MS: u64 = 1_000;
 /// Failed runs after which a task has failed, as configured for the queue.
 const MAX_ATTEMPTS: usize = 2;
@@ -36,7 +36,7 @@
 /// Ids of jobs whose tasks crash minions, sent without other faults, and whether
 /// each is stored.
 const CRASHING_JOBS: [(&str, bool); 2] = [("0000000000e0e0e2", false), ("0000000000e0e0e3", true)];
-/// Time within which the stored one of these jobs must fail.
+/// Time within which a stored job whose task crashes minions must have failed.
 const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl Soak {
@@ -141,8 +141,9 @@
         overcommits.for_each(|what| self.report_violation(format!("over its capacity: {what}")));
     }
 
-    /// Checks that a task that crashes minions is given up after at most
-    /// [`MAX_CRASHES`], without other faults.
+    /// Checks, without other faults, that a job whose task crashes minions fails, or
+    /// times out unless it is stored, after at least one crash and at most
+    /// [`MAX_CRASHES`].
     pub fn check_crashing(&self) {
         let front = self.fronts[0].addr;
         for (id, is_stored) in CRASHING_JOBS {
--- a/crates/daemon/tests/soak/clients.rs
+++ b/crates/daemon/tests/soak/clients.rs
@@ -16,8 +16,8 @@
 
 /// Pause before a client repeats an unanswered call.
 const RESEND_MS: u64 = 1_300;
-/// Of this many jobs, on average one crashes each minion that starts one of its
-/// tasks, and one fails.
+/// One random job in this many crashes each minion that starts one of its tasks,
+/// and another one in this many fails.
 const FAULTY_JOB_DIVISOR: u32 = 30;
 
 /// The answers that callers got for one job.
@@ -52,7 +52,7 @@
 }
 
 impl ClientJob {
-    pub fn draw(client: usize, seed: u64, sent: u32, rng: &mut ChaCha8Rng) -> Self {
+    pub fn random(client: usize, seed: u64, sent: u32, rng: &mut ChaCha8Rng) -> Self {
         let work_ms = rng.random_range(10..500);
         Self {
             id: format!("{client:04x}{:04x}{sent:08x}", seed & 0xffff),
@@ -98,7 +98,7 @@
     let mut sent = 0;
     while !stop.load(Ordering::Relaxed) {
         sent += 1;
-        let job = ClientJob::draw(number, seed, sent, &mut rng);
+        let job = ClientJob::random(number, seed, sent, &mut rng);
         let mut record = job.new_record();
         while !stop.load(Ordering::Relaxed) && !record.is_accepted {
             let front = fronts[rng.random_range(0..fronts.len())];
@@ -132,7 +132,7 @@
     let mut sent = 0;
     while !stop.load(Ordering::Relaxed) {
         sent += 1;
-        let job = ClientJob::draw(number, seed, sent, &mut rng);
+        let job = ClientJob::random(number, seed, sent, &mut rng);
         let mut record = job.new_record();
         for _ in 0..3 {
             let front = fronts[rng.random_range(0..fronts.len())];
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -45,7 +45,7 @@
 
 /// Seeds that every run uses by default.
 const SEEDS: std::ops::Range<u64> = 0..2;
-/// Seeds that failed in the past, each with its cause.
+/// Seeds that failed in the past, each with its cause; every run uses them.
 const REGRESSIONS: &[u64] = &[
     809, // A stored job avoided all hosts except one in an evacuated zone.
     823, // A stored job avoided all hosts except one in an evacuated zone.
--- a/crates/daemon/tests/soak/site.rs
+++ b/crates/daemon/tests/soak/site.rs
@@ -32,7 +32,7 @@
 pub const MINION_CPU_MILLI: u32 = 8_000;
 /// One agent in this many is in the second zone, which the test evacuates.
 pub const ZONES_DIVISOR: usize = 2;
-/// Remainder of the indices of these agents.
+/// An agent is in the second zone if its index modulo [`ZONES_DIVISOR`] is this.
 pub const EVACUATED_INDEX: usize = 1;
 /// Key of the operators' request to evacuate the second zone.
 pub const EVACUATE_KEY: &str = "evacuate/hella";
