--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -304,7 +304,7 @@
         for (index, arrival) in arrivals.iter().enumerate() {
             let at = started + Duration::from_micros(arrival.at_us);
             thread::sleep(at.saturating_duration_since(Instant::now()));
-            // The receivers exist until the channel is dropped.
+            // The receivers exist until the channel is dropped, so the send cannot fail.
             let _ = due_sender.send(index);
         }
         drop(due_sender);
--- a/crates/cli/src/model.rs
+++ b/crates/cli/src/model.rs
@@ -1,5 +1,5 @@
-//! Simulated reference disciplines, to compare a load run with: an ideal central
-//! queue, and two disciplines that choose a minion without a central queue.
+//! Reference disciplines, simulated with the same arrivals and run times as a load
+//! run: an ideal central queue, and two that choose a minion without such a queue.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -61,7 +61,8 @@
 pub struct Outcomes {
     /// Submissions that were sent.
     pub sent: u64,
-    /// Submissions whose tasks all returned a result.
+    /// Submissions that were answered with success, including those whose answer is
+    /// counted in [`Violations::wrong_answers`].
     pub complete: u64,
     /// Submissions that ended without a task having run.
     pub not_run: u64,
@@ -130,7 +131,7 @@
     pub at_s: u64,
     /// Number of submissions that were due in this second and sent.
     pub sent: u64,
-    /// Number of those submissions whose tasks all returned a result.
+    /// Number of those submissions that were answered with success.
     pub complete: u64,
     /// 90th percentile of response over ideal of the complete submissions.
     pub p90: f64,
--- a/crates/standins/src/group.rs
+++ b/crates/standins/src/group.rs
@@ -2,7 +2,8 @@
 //!
 //! Each new assignment has a new generation. A member that loses a partition holds
 //! it until the member joins with that generation, or is removed; only then can
-//! another member get it.
+//! another member get it. [`Group::rebalance`] is the exception: it assigns
+//! and moves all partitions at once.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -57,7 +58,7 @@
         {
             // With this join the member releases what it is not to hold.
             let target = member.target.clone();
-            member.held.retain(|part| target.contains(part));
+            member.held.retain(|partition| target.contains(partition));
         }
         self.assign_unheld();
         let served = self.members.get(name).map(|member| {
@@ -85,10 +86,10 @@
         }
         // The order of the members is reversed, so that most partitions change
         // their owner.
-        for (part, name) in (0..partitions).zip(names.iter().rev().cycle()) {
+        for (partition, name) in (0..partitions).zip(names.iter().rev().cycle()) {
             if let Some(member) = self.members.get_mut(name) {
-                member.held.insert(part);
-                member.target.insert(part);
+                member.held.insert(partition);
+                member.target.insert(partition);
             }
         }
     }
@@ -99,7 +100,7 @@
         let members = self.members.iter();
         let owners = members.flat_map(|(name, member)| {
             let held = member.held.iter();
-            held.map(move |part| (*part, name.clone()))
+            held.map(move |partition| (*partition, name.clone()))
         });
         owners.collect()
     }
@@ -119,7 +120,7 @@
         self.generation += 1;
         let count = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         for (position, member) in (0..).zip(self.members.values_mut()) {
-            let assigned = (0..partitions).filter(|part| part % count == position);
+            let assigned = (0..partitions).filter(|partition| partition % count == position);
             member.target = assigned.collect();
         }
     }
@@ -129,7 +130,10 @@
         let held = self.members.values().flat_map(|member| &member.held);
         let held: BTreeSet<u32> = held.copied().collect();
         for member in self.members.values_mut() {
-            let free = member.target.iter().filter(|part| !held.contains(part));
+            let free = member
+                .target
+                .iter()
+                .filter(|partition| !held.contains(partition));
             let free: Vec<u32> = free.copied().collect();
             member.held.extend(free);
         }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,8 @@
 //! Stand-ins for the platform: its log service, and minions on workers.
 //!
-//! Only tests and the quick start use them. They record what shows faults of the
-//! product, such as a task that starts twice.
+//! Only tests and the quick start use them. They record every start of a
+//! task, so that events that the product must never cause can be counted, such as a
+//! task that starts twice.
 
 mod group;
 mod log_service;
--- a/crates/standins/src/log_service.rs
+++ b/crates/standins/src/log_service.rs
@@ -117,7 +117,8 @@
         self.lock().fault = fault;
     }
 
-    /// Returns the records of a stream that are still retained.
+    /// Returns the records of a stream that the log still holds. Records whose
+    /// retention has passed are dropped only by the next read.
     #[must_use]
     pub fn records(&self, stream: &str) -> Vec<String> {
         let shared = self.lock();
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -71,7 +71,8 @@
     HomeSilent,
     /// The id is older than the retention of answers.
     IdExpired,
-    /// The id names a generation that has not begun, or another process.
+    /// The text is not an id, or the id names a generation that is too far in the
+    /// future for its home.
     IdInvalid,
     /// The id is already used for another submission.
     IdReused,
--- a/crates/wire/src/api.rs
+++ b/crates/wire/src/api.rs
@@ -44,7 +44,7 @@
 pub struct JobBody {
     /// The service that runs the job.
     pub service: Name,
-    /// The team whose quota applies.
+    /// The team that submits the job, and whose quota applies.
     pub team: Name,
     /// Time within which the caller needs the answer, in milliseconds.
     #[serde(default = "default_deadline_ms")]
@@ -59,7 +59,7 @@
 pub struct RequestBody {
     /// The service that runs the request.
     pub service: Name,
-    /// The team whose quota applies.
+    /// The team that submits the request, and whose quota applies.
     pub team: Name,
     /// Time within which the caller needs the answer, in milliseconds.
     #[serde(default = "default_deadline_ms")]
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -106,7 +106,7 @@
 /// A message from one process to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Entry to home: run the submission, or send its answer if it is known already.
+    /// Entry to home: run the submission, or answer for it if the home knows it already.
     Submit {
         /// The submission's id.
         id: SubmissionId,
