--- a/crates/dispatch/src/agent/incarnations.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -23,8 +23,8 @@
 use crate::RunEnd;
 use crate::agent::breaker::Breaker;
 use crate::agent::minion::Minion;
-use crate::agent::pace::Pace;
 use crate::agent::run_table::Run;
+use crate::agent::speed::Pace;
 use crate::minion_calls::CallOutcome;
 
 /// Pause before an unanswered call to a candidate is sent again, in milliseconds: the
--- a/crates/dispatch/src/agent/mod.rs
+++ b/crates/dispatch/src/agent/mod.rs
@@ -13,9 +13,9 @@
 mod listings;
 mod minion;
 pub(crate) mod offers;
-mod pace;
 mod retained_ends;
 mod run_table;
+mod speed;
 mod stalls;
 mod starts;
 mod suspect_starts;
@@ -51,10 +51,10 @@
 use crate::agent::links::Link;
 use crate::agent::minion::Minion;
 use crate::agent::offers::Offers;
-use crate::agent::pace::Pace;
 use crate::agent::run_table::Phase;
 use crate::agent::run_table::Run;
 use crate::agent::run_table::RunTable;
+use crate::agent::speed::Pace;
 use crate::agent::trial::Trial;
 
 /// Identity of an agent, for as long as its process runs.
