--- a/crates/dispatch/src/agent/incarnations.rs
+++ b/crates/dispatch/src/agent/incarnations.rs
@@ -24,7 +24,7 @@
 use crate::agent::breaker::Breaker;
 use crate::agent::minion::Minion;
 use crate::agent::run_table::Run;
-use crate::agent::speed::Pace;
+use crate::agent::speed::MinionSpeed;
 use crate::minion_calls::CallOutcome;
 
 /// Pause before an unanswered call to a candidate is sent again, in milliseconds: the
@@ -139,7 +139,7 @@
     fn adopt(&mut self, now_ms: u64, report: MinionReport) {
         let detail = format!("life={} capacity={:?}", report.incarnation, report.capacity);
         self.event("minion-found", None, detail);
-        self.pace = Pace::default();
+        self.speed = MinionSpeed::default();
         if report.incarnation.started_unix_ms().is_some() {
             self.delayed_calls.inherit(now_ms);
         }
@@ -359,7 +359,7 @@
         } = end
         {
             let crash = Crash::observed(&run.key, run.order, self.identity.node, evidence);
-            self.crashes.learn(now_ms, crash);
+            self.crashes.add(now_ms, crash);
         }
     }
 
--- a/crates/dispatch/src/agent/links.rs
+++ b/crates/dispatch/src/agent/links.rs
@@ -219,7 +219,7 @@
         let entries = self.links.len() as u64;
         let update_interval_ms =
             FREE_UPDATE_INTERVAL_MS * entries.div_ceil(ENTRIES_AT_FULL_RATE).max(1);
-        let speed_permille = self.pace.permille(now_ms);
+        let speed_permille = self.speed.permille(now_ms);
         let demands = self.links.values().map(|link| link.demand);
         let demand = demands.fold(Demand::default(), Demand::plus);
         for (id, link) in &mut self.links {
--- a/crates/dispatch/src/agent/listings.rs
+++ b/crates/dispatch/src/agent/listings.rs
@@ -43,7 +43,7 @@
 
 impl Agent {
     /// Handles the result of a listing call.
-    pub fn listed(
+    pub fn list_answered(
         &mut self,
         now_ms: u64,
         incarnation: &Incarnation,
@@ -132,8 +132,8 @@
         }
         self.epochs.accepted();
         if !minion.has_no_leftovers && incarnation.started_unix_ms().is_some() {
-            let longest_lease_ms = self.longest_lease_ms;
-            minion.retained_ends.inherit_lease(now_ms, longest_lease_ms);
+            let max_lease_ms = self.max_lease_ms;
+            minion.retained_ends.inherit_lease(now_ms, max_lease_ms);
         }
         minion.acknowledged_through = minion
             .acknowledged_through
@@ -177,7 +177,7 @@
                 self.record_end_for_breaker(now_ms, &run, ended.end);
                 if ended.end == RunEnd::Done {
                     let (done_ms, spent_ms) = run.advance(now_ms, DONE_PERCENT);
-                    self.pace.add(now_ms, done_ms, spent_ms);
+                    self.speed.add(now_ms, done_ms, spent_ms);
                 }
                 match retained {
                     Some(end) => self.report_retained_end(link, order, &end, run.ran_ms(now_ms)),
@@ -216,7 +216,7 @@
                 run.was_seen_running = true;
                 run.was_listed = true;
                 let (done_ms, spent_ms) = run.advance(now_ms, row.percent);
-                self.pace.add(now_ms, done_ms, spent_ms);
+                self.speed.add(now_ms, done_ms, spent_ms);
                 if run.phase == Phase::Starting {
                     run.phase = Phase::Running;
                     run.confirmed_ms = now_ms;
--- a/crates/dispatch/src/agent/mod.rs
+++ b/crates/dispatch/src/agent/mod.rs
@@ -54,7 +54,7 @@
 use crate::agent::run_table::Phase;
 use crate::agent::run_table::Run;
 use crate::agent::run_table::RunTable;
-use crate::agent::speed::Pace;
+use crate::agent::speed::MinionSpeed;
 use crate::agent::trial::Trial;
 
 /// Identity of an agent, for as long as its process runs.
@@ -95,7 +95,7 @@
         epoch: u64,
     },
     /// Extend the lease, acknowledge ends and list runs; the result goes to
-    /// [`Agent::listed`].
+    /// [`Agent::list_answered`].
     List {
         /// Number of the call.
         call: u64,
@@ -147,13 +147,13 @@
     /// Crashes of the minion, for the entries that are greeted next.
     pub(crate) crashes: KnownCrashes,
     /// Longest lease that the minion grants, in milliseconds.
-    pub(crate) longest_lease_ms: u64,
+    pub(crate) max_lease_ms: u64,
     pub(crate) runs: RunTable,
     pub(crate) links: BTreeMap<LinkId, Link>,
     pub(crate) offers: Offers,
     pub(crate) breaker: Breaker,
     pub(crate) trial: Trial,
-    pub(crate) pace: Pace,
+    pub(crate) speed: MinionSpeed,
     pub(crate) evacuations: Evacuations,
     pub(crate) is_stopping: bool,
     /// Number of the next listing call.
@@ -173,13 +173,13 @@
             epochs: Epochs::default(),
             delayed_calls: DelayedCalls::default(),
             crashes: KnownCrashes::default(),
-            longest_lease_ms: MINION_LEASE_MS,
+            max_lease_ms: MINION_LEASE_MS,
             runs: RunTable::default(),
             links: BTreeMap::new(),
             offers: Offers::default(),
             breaker: Breaker::default(),
             trial: Trial::default(),
-            pace: Pace::default(),
+            speed: MinionSpeed::default(),
             evacuations: Evacuations::default(),
             is_stopping: false,
             next_call: 1,
@@ -190,8 +190,8 @@
     /// Sets the longest lease that the minion grants, in milliseconds; at least
     /// [`MINION_LEASE_MS`].
     #[must_use]
-    pub fn with_longest_lease(mut self, lease_ms: u64) -> Self {
-        self.longest_lease_ms = lease_ms.max(MINION_LEASE_MS);
+    pub fn with_max_lease(mut self, lease_ms: u64) -> Self {
+        self.max_lease_ms = lease_ms.max(MINION_LEASE_MS);
         self
     }
 
@@ -213,7 +213,7 @@
 
     /// Whether a planned stop may end the process now.
     #[must_use]
-    pub fn may_stop(&self) -> bool {
+    pub fn can_stop(&self) -> bool {
         let minion = self.minion.as_ref();
         let has_no_retained_ends = minion.is_none_or(|minion| minion.retained_ends.is_empty());
         self.is_stopping && self.runs.is_empty() && has_no_retained_ends
@@ -226,7 +226,7 @@
     }
 
     /// Handles a frame of an entry.
-    pub fn frame(&mut self, now_ms: u64, link: LinkId, frame: EntryFrame) {
+    pub fn frame_received(&mut self, now_ms: u64, link: LinkId, frame: EntryFrame) {
         let Some(state) = self.links.get_mut(&link) else {
             return;
         };
--- a/crates/dispatch/src/agent/retained_ends.rs
+++ b/crates/dispatch/src/agent/retained_ends.rs
@@ -54,8 +54,8 @@
     /// Records that a call which was meant for an earlier incarnation may have extended
     /// the lease until now. The call gives the end of the lease on the earlier
     /// incarnation's clock, so the lease may be as long as the minion ever grants.
-    pub(crate) fn inherit_lease(&mut self, now_ms: u64, longest_ms: u64) {
-        self.inherited_lease_until_ms = now_ms + longest_ms + longest_ms / 50;
+    pub(crate) fn inherit_lease(&mut self, now_ms: u64, max_lease_ms: u64) {
+        self.inherited_lease_until_ms = now_ms + max_lease_ms + max_lease_ms / 50;
     }
 
     /// Records that the report of an end was sent to the entry of a link.
--- a/crates/dispatch/src/agent/speed.rs
+++ b/crates/dispatch/src/agent/speed.rs
@@ -11,13 +11,13 @@
 
 /// Decaying sums of the expected work that was done and of the time spent on it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct MinionSpeed {
     done_ms: f64,
     spent_ms: f64,
     updated_ms: u64,
 }
 
-impl Pace {
+impl MinionSpeed {
     /// Adds the progress of one run: the fraction of its expected run time that was
     /// done, in milliseconds, and the time that this took.
     pub(crate) fn add(&mut self, now_ms: u64, done_ms: f64, spent_ms: u64) {
--- a/crates/dispatch/src/crashes.rs
+++ b/crates/dispatch/src/crashes.rs
@@ -82,7 +82,7 @@
 
 impl KnownCrashes {
     /// Adds a crash. Returns false if the crash is known already or too old.
-    pub(crate) fn learn(&mut self, now_ms: u64, crash: Crash) -> bool {
+    pub(crate) fn add(&mut self, now_ms: u64, crash: Crash) -> bool {
         let mut known = self.by_sequence.values();
         let is_known = known.any(|other| other.crash.number == crash.number);
         if is_known || crash.age_ms >= CRASH_TTL_MS {
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -92,7 +92,7 @@
 
     /// Adds addresses that another process has recently reached, as mentioned just now.
     /// Returns true if the number of targets grew.
-    pub fn learn(&mut self, now_ms: u64, entries: &[SocketAddr]) -> bool {
+    pub fn add_mentioned(&mut self, now_ms: u64, entries: &[SocketAddr]) -> bool {
         let before = self.targets(now_ms).len();
         for entry in entries {
             self.record_mentioned(now_ms, *entry, now_ms);
@@ -194,7 +194,7 @@
     /// recently seen entries.
     #[must_use]
     pub fn recent_addrs(&self, now_ms: u64) -> Vec<SocketAddr> {
-        let reached = self.known(now_ms);
+        let reached = self.seen_entries(now_ms);
         reached.into_iter().map(|entry| entry.addr).collect()
     }
 
@@ -202,7 +202,7 @@
     /// entries, with the time since each was last seen. Every receiver adds to this age, so
     /// that an entry that is gone is forgotten everywhere.
     #[must_use]
-    pub fn known(&self, now_ms: u64) -> Vec<SeenEntry> {
+    pub fn seen_entries(&self, now_ms: u64) -> Vec<SeenEntry> {
         let own = self.own.map(|addr| (addr, now_ms));
         let recent = self
             .last_seen_ms
--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -92,7 +92,7 @@
         };
         let run = job.run_key(state.position);
         let crash = Crash::observed(&run, order, agent.hello.node, evidence);
-        self.learn_crash(now_ms, crash);
+        self.add_crash(now_ms, crash);
     }
 
     /// Returns the known crashes.
@@ -102,10 +102,10 @@
     }
 
     /// Records crashes that an agent or another entry reported.
-    pub fn learn_crashes(&mut self, now_ms: u64, crashes: Vec<Crash>) {
+    pub fn add_crashes(&mut self, now_ms: u64, crashes: Vec<Crash>) {
         for crash in crashes {
             let id = crash.task.job.clone();
-            let is_new = self.learn_crash(now_ms, crash);
+            let is_new = self.add_crash(now_ms, crash);
             if is_new && self.jobs.get(&id).is_some_and(JobState::is_open) {
                 self.event("crash-told", Some(id.clone()), String::new());
                 self.advance_job(now_ms, &id);
@@ -115,9 +115,9 @@
 
     /// Records the crashes that no agent saw: the predecessor of an agent that
     /// greets may have been lost together with its minion.
-    pub(crate) fn learn_unseen_crashes(&mut self, now_ms: u64, agent: &AgentHello) {
+    pub(crate) fn add_unseen_crashes(&mut self, now_ms: u64, agent: &AgentHello) {
         let crashes = self.lost_runs.lost_with_minion(now_ms, agent);
-        self.learn_crashes(now_ms, crashes);
+        self.add_crashes(now_ms, crashes);
     }
 
     /// Counts the known crashes against the tasks of a job that was just
@@ -131,8 +131,8 @@
 
     /// Records a crash and counts it against its task; returns whether it was
     /// new.
-    fn learn_crash(&mut self, now_ms: u64, crash: Crash) -> bool {
-        let is_new = self.crashes.learn(now_ms, crash.clone());
+    fn add_crash(&mut self, now_ms: u64, crash: Crash) -> bool {
+        let is_new = self.crashes.add(now_ms, crash.clone());
         if is_new {
             self.apply_crash(crash);
         }
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -264,8 +264,8 @@
         self.event("agent-up", None, detail);
         self.hosts.record_greeting(&hello);
         self.retained_ends_reported(link, hello.retained_ends.clone());
-        self.learn_crashes(now_ms, hello.crashes.clone());
-        self.learn_unseen_crashes(now_ms, &hello);
+        self.add_crashes(now_ms, hello.crashes.clone());
+        self.add_unseen_crashes(now_ms, &hello);
         let host = hello.host.clone();
         let stale = self
             .agents
--- a/crates/dispatch/src/ledger/mod.rs
+++ b/crates/dispatch/src/ledger/mod.rs
@@ -200,7 +200,7 @@
 
     /// Returns whether a planned stop may go on, because the entry owns no partition any more.
     #[must_use]
-    pub fn may_stop(&self) -> bool {
+    pub fn can_stop(&self) -> bool {
         self.partitions.is_empty()
     }
 
--- a/crates/dispatch/src/policy/backlog.rs
+++ b/crates/dispatch/src/policy/backlog.rs
@@ -45,7 +45,7 @@
 
 impl BacklogFraction {
     /// Returns the fraction at `now_ms`, after its growth since the last call.
-    pub(super) fn fraction_at(&mut self, now_ms: u64) -> f64 {
+    pub(super) fn at(&mut self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.last_growth_ms);
         self.last_growth_ms = now_ms;
         let growth = passed_ms as f64 / 1_000.0 * GROWTH_PER_S;
@@ -57,7 +57,7 @@
     pub(super) fn shrink(&mut self, now_ms: u64) {
         if now_ms >= self.last_shrink_ms + SHRINK_PAUSE_MS {
             self.last_shrink_ms = now_ms;
-            self.fraction = (self.fraction_at(now_ms) * SHRINK_FACTOR).max(MIN_BACKLOG_FRACTION);
+            self.fraction = (self.at(now_ms) * SHRINK_FACTOR).max(MIN_BACKLOG_FRACTION);
         }
     }
 }
--- a/crates/dispatch/src/policy/fair_share.rs
+++ b/crates/dispatch/src/policy/fair_share.rs
@@ -71,7 +71,7 @@
     /// capacity.
     fn backlog_ms(&mut self, now_ms: u64) -> f64 {
         let mean_slack_ms = self.weighted_slack.rate() / self.offered.rate().max(1.0);
-        MIN_BACKLOG_MS + self.fraction.fraction_at(now_ms) * mean_slack_ms
+        MIN_BACKLOG_MS + self.fraction.at(now_ms) * mean_slack_ms
     }
 }
 
--- a/crates/dispatch/tests/at_most_once.rs
+++ b/crates/dispatch/tests/at_most_once.rs
@@ -209,7 +209,7 @@
     assert_eq!(session.outcome(job), Some(JobOutcome::Completed));
     assert!(session.callers[job].answered_ms.unwrap() < session.callers[job].sent_ms + 600);
     session.run(50);
-    assert!(session.agent(0).may_stop());
+    assert!(session.agent(0).can_stop());
     assert_clean(&session);
 }
 
--- a/crates/dispatch/tests/driver/mod.rs
+++ b/crates/dispatch/tests/driver/mod.rs
@@ -106,7 +106,8 @@
 
     /// Answers one listing call.
     pub fn answer_call(&mut self, incarnation: &Incarnation, call: u64, result: ListResult) {
-        self.agent.listed(self.now_ms, incarnation, call, result);
+        self.agent
+            .list_answered(self.now_ms, incarnation, call, result);
     }
 
     /// Answers the next listing calls.
@@ -134,7 +135,7 @@
             {
                 is_listed = true;
                 self.agent
-                    .listed(self.now_ms, &incarnation, call, result.clone());
+                    .list_answered(self.now_ms, &incarnation, call, result.clone());
             }
         }
         is_listed
@@ -144,7 +145,8 @@
     /// actions.
     pub fn advance(&mut self, for_ms: u64) -> Vec<AgentAction> {
         self.now_ms += for_ms;
-        self.agent.frame(self.now_ms, LINK, self.frame(Vec::new()));
+        self.agent
+            .frame_received(self.now_ms, LINK, self.frame(Vec::new()));
         self.agent.tick(self.now_ms);
         self.agent.take_actions()
     }
@@ -152,7 +154,7 @@
     /// Delivers an order; returns the agent's actions within the next millisecond.
     pub fn order(&mut self, order: Order) -> Vec<AgentAction> {
         let frame = self.frame(vec![order]);
-        self.agent.frame(self.now_ms, LINK, frame);
+        self.agent.frame_received(self.now_ms, LINK, frame);
         self.advance(1)
     }
 
@@ -257,7 +259,8 @@
             } = action
             {
                 let result = ListResult::Listed(listing.clone());
-                self.agent.listed(self.now_ms, &incarnation, call, result);
+                self.agent
+                    .list_answered(self.now_ms, &incarnation, call, result);
             }
         }
         self.advance(1)
@@ -275,7 +278,8 @@
                         call, incarnation, ..
                     } => {
                         let result = ListResult::Unreached;
-                        self.agent.listed(self.now_ms, &incarnation, call, result);
+                        self.agent
+                            .list_answered(self.now_ms, &incarnation, call, result);
                     }
                     AgentAction::Send(_, frame) => {
                         ends.extend(frame.reports.iter().filter_map(ended));
--- a/crates/dispatch/tests/gossip.rs
+++ b/crates/dispatch/tests/gossip.rs
@@ -120,10 +120,10 @@
 fn a_crash_is_sent_once_on_a_connection_with_its_age() {
     let mut entry = entry(START_MS);
     let mut sender = GossipSender::default();
-    entry.learn_crashes(START_MS, vec![crash(1), crash(2), crash(1)]);
+    entry.add_crashes(START_MS, vec![crash(1), crash(2), crash(1)]);
     let sent = sent_crashes(&mut sender, START_MS + 50, &entry);
     assert_eq!(sent, [(1, 1_050), (2, 1_050)]);
-    entry.learn_crashes(START_MS + 60, vec![crash(2), crash(3)]);
+    entry.add_crashes(START_MS + 60, vec![crash(2), crash(3)]);
     assert_eq!(
         sent_crashes(&mut sender, START_MS + 60, &entry),
         [(3, 1_000)]
@@ -135,7 +135,7 @@
 #[test]
 fn known_crashes_are_limited_by_age_and_count() {
     let mut entry = entry(START_MS);
-    entry.learn_crashes(START_MS, (0..2_000).map(crash).collect());
+    entry.add_crashes(START_MS, (0..2_000).map(crash).collect());
     let sent = sent_crashes(&mut GossipSender::default(), START_MS, &entry);
     assert_eq!(sent.first(), Some(&(976, 1_000)));
     assert_eq!(sent.len(), 1_024);
@@ -149,7 +149,7 @@
         age_ms: 30_000,
         ..crash(5_000)
     };
-    entry.learn_crashes(later_ms, vec![old]);
+    entry.add_crashes(later_ms, vec![old]);
     assert_eq!(
         sent_crashes(&mut GossipSender::default(), later_ms, &entry),
         []
--- a/crates/dispatch/tests/growth/agent.rs
+++ b/crates/dispatch/tests/growth/agent.rs
@@ -37,11 +37,11 @@
         self.tally.targets.measure(|| directory.targets(now_ms))
     }
 
-    pub fn learn(&mut self, now_ms: u64, entries: &[SocketAddr]) {
+    pub fn add_mentioned(&mut self, now_ms: u64, entries: &[SocketAddr]) {
         let directory = &mut self.directory;
         self.tally
             .learn
-            .measure(|| directory.learn(now_ms, entries));
+            .measure(|| directory.add_mentioned(now_ms, entries));
     }
 }
 
--- a/crates/dispatch/tests/growth/change.rs
+++ b/crates/dispatch/tests/growth/change.rs
@@ -206,6 +206,6 @@
     let all: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
     let mut directory = directory.with_max_targets(agent::host(agent).into(), MAX_LINKED_ENTRIES);
-    directory.learn(0, &all);
+    directory.add_mentioned(0, &all);
     directory.targets(0)
 }
--- a/crates/dispatch/tests/growth/entry.rs
+++ b/crates/dispatch/tests/growth/entry.rs
@@ -96,7 +96,7 @@
     pub fn next_frame(&mut self, now_ms: u64, to: usize) -> Option<Vec<u8>> {
         let connection = self.connections.get_mut(&to)?;
         connection.frames += 1;
-        let known = || self.directory.known(now_ms);
+        let known = || self.directory.seen_entries(now_ms);
         let frame = connection.sender.next_frame(now_ms, &self.gossip, known);
         let bytes = encode(&frame).expect("the frame encodes");
         self.tally.count_frame(&bytes);
--- a/crates/dispatch/tests/growth/fleet.rs
+++ b/crates/dispatch/tests/growth/fleet.rs
@@ -122,7 +122,7 @@
         }
         let addrs: Vec<SocketAddr> = known.iter().map(|known| known.addr).collect();
         for agent in &mut self.agents {
-            agent.learn(START_MS, &addrs);
+            agent.add_mentioned(START_MS, &addrs);
         }
     }
 
@@ -148,7 +148,7 @@
         let seeds: Vec<SocketAddr> = (0..SEEDS).map(addr).collect();
         let mut new = Entry::new(addr(number), &seeds);
         let others: Vec<SocketAddr> = (0..number).map(addr).collect();
-        new.directory.learn(self.now_ms, &others);
+        new.directory.add_mentioned(self.now_ms, &others);
         self.entries.push(new);
         self.queue.add(self.now_ms, Event::EntryRefresh(number));
     }
@@ -383,7 +383,7 @@
         state.directory.mark_seen(now_ms, addr(entry));
         for order in frame.orders {
             if let Order::Entries(entries) = order {
-                state.learn(now_ms, &entries);
+                state.add_mentioned(now_ms, &entries);
             }
         }
         if state.directory.discoveries() != state.dialed_discoveries {
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -30,7 +30,7 @@
     let name = format!("side-{agent}");
     let mut directory =
         Directory::new(None, [seed]).with_max_targets(name.into(), MAX_LINKED_ENTRIES);
-    directory.learn(NOW_MS, entries);
+    directory.add_mentioned(NOW_MS, entries);
     directory.targets(NOW_MS)
 }
 
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -63,7 +63,7 @@
         if !self.is_up[other] {
             return;
         }
-        let list = self.directories[number].known(self.now_ms);
+        let list = self.directories[number].seen_entries(self.now_ms);
         self.directories[number].mark_seen(self.now_ms, target);
         self.directories[other].mark_seen(self.now_ms, addr(number));
         self.directories[other].merge_seen(self.now_ms, &list);
@@ -118,7 +118,7 @@
 #[test]
 fn addresses_from_the_store_are_dialed_but_not_gossiped() {
     let mut directory = Directory::new(Some(addr(1)), []);
-    directory.learn(1_000, &[addr(9)]);
+    directory.add_mentioned(1_000, &[addr(9)]);
     assert!(directory.targets(1_000).contains(&addr(9)));
     assert_eq!(directory.recent_addrs(1_000), [addr(1)]);
     directory.mark_seen(1_500, addr(9));
--- a/crates/dispatch/tests/sent_entries.rs
+++ b/crates/dispatch/tests/sent_entries.rs
@@ -48,7 +48,7 @@
 fn chosen(host: &str, entries: &[SocketAddr]) -> Vec<SocketAddr> {
     let directory = Directory::new(None, []);
     let mut directory = directory.with_max_targets(host.into(), MAX_LINKED_ENTRIES);
-    directory.learn(NOW_MS, entries);
+    directory.add_mentioned(NOW_MS, entries);
     directory.targets(NOW_MS).into_iter().collect()
 }
 
--- a/crates/dispatch/tests/session/mod.rs
+++ b/crates/dispatch/tests/session/mod.rs
@@ -479,7 +479,7 @@
             zone: zone(agent).into(),
         };
         Process {
-            core: Agent::new(identity).with_longest_lease(minion::MAX_LEASE_MS),
+            core: Agent::new(identity).with_max_lease(minion::MAX_LEASE_MS),
             inbox: VecDeque::new(),
             due_ms: self.now_ms,
             suspended_until_ms: 0,
@@ -902,7 +902,7 @@
         for event in std::mem::take(&mut process.inbox) {
             match event {
                 Event::LinkUp(link, addr) => process.core.link_up(now_ms, link, addr),
-                Event::ToAgent(link, frame) => process.core.frame(now_ms, link, frame),
+                Event::ToAgent(link, frame) => process.core.frame_received(now_ms, link, frame),
                 Event::LinkDown(link) => process.core.link_down(now_ms, link),
                 Event::Started(incarnation, key, result) => {
                     process
@@ -915,7 +915,9 @@
                         .stop_answered(now_ms, &incarnation, &key, is_done);
                 }
                 Event::Listed(incarnation, call, result) => {
-                    process.core.listed(now_ms, &incarnation, call, result);
+                    process
+                        .core
+                        .list_answered(now_ms, &incarnation, call, result);
                 }
                 Event::Reported(report) => process.core.minion_reported(now_ms, report),
                 Event::MinionLeft(instance) => process.core.minion_left(&instance),
@@ -1205,7 +1207,7 @@
                 Event::Appended(partition, epoch, number, result) => {
                     ledger.appended(now_ms, partition, epoch, number, result, dispatcher);
                 }
-                Event::Crashes(crashes) => dispatcher.learn_crashes(now_ms, crashes),
+                Event::Crashes(crashes) => dispatcher.add_crashes(now_ms, crashes),
                 Event::Loaded(partition, load, records) => {
                     ledger.loaded(now_ms, partition, load, records.as_deref());
                 }
@@ -1428,7 +1430,7 @@
     let known: Vec<SocketAddr> = (0..entries).map(addr).collect();
     let directory = Directory::new(None, []);
     let mut directory = directory.with_max_targets(host(agent).into(), MAX_LINKED_ENTRIES);
-    directory.learn(0, &known);
+    directory.add_mentioned(0, &known);
     let targets = directory.targets(0);
     let link_targets = (0..entries).filter(|entry| targets.contains(&known[*entry]));
     link_targets.collect()
--- a/crates/dispatch/tests/stored.rs
+++ b/crates/dispatch/tests/stored.rs
@@ -164,7 +164,7 @@
     }
     let starts: usize = session.starts.values().sum();
     assert_eq!(starts, 1 + 16);
-    assert!(session.ledger(0).may_stop());
+    assert!(session.ledger(0).can_stop());
     check(&mut session);
 }
 
--- a/crates/node/src/agent_node.rs
+++ b/crates/node/src/agent_node.rs
@@ -58,7 +58,7 @@
     /// Node id, host and availability zone of the agent.
     pub identity: AgentIdentity,
     /// Length of the longest lease that the minion grants, in milliseconds.
-    pub longest_lease_ms: u64,
+    pub max_lease_ms: u64,
     /// Settings that can change without a restart.
     pub tunables: Tunables,
 }
@@ -179,8 +179,7 @@
         let directory = Directory::new(None, settings.tunables.seeds.iter().copied())
             .with_max_targets(settings.identity.host.clone(), MAX_LINKED_ENTRIES);
         Self {
-            agent: Agent::new(settings.identity.clone())
-                .with_longest_lease(settings.longest_lease_ms),
+            agent: Agent::new(settings.identity.clone()).with_max_lease(settings.max_lease_ms),
             settings,
             clock,
             log,
@@ -292,7 +291,7 @@
                 self.links.insert(link, (sender, closer));
                 self.agent.link_up(now_ms, link, addr);
             }
-            Input::Frame(link, frame) => self.agent.frame(now_ms, link, frame),
+            Input::Frame(link, frame) => self.agent.frame_received(now_ms, link, frame),
             Input::LinkDown(link) => {
                 self.links.remove(&link);
                 self.agent.link_down(now_ms, link);
@@ -308,11 +307,11 @@
                     .stop_answered(now_ms, &incarnation, &key, is_acknowledged);
             }
             Input::Listed(incarnation, call, result) => {
-                self.agent.listed(now_ms, &incarnation, call, result);
+                self.agent.list_answered(now_ms, &incarnation, call, result);
             }
             Input::Entries(entries) => {
                 self.is_searching = false;
-                self.directory.borrow_mut().learn(now_ms, &entries);
+                self.directory.borrow_mut().add_mentioned(now_ms, &entries);
             }
             Input::Reload(tunables) => {
                 self.directory
@@ -336,7 +335,7 @@
         };
         let is_stop_limit_over =
             self.clock.now_ms() >= stop_began_at_ms + self.settings.tunables.stop_limit_ms;
-        is_stop_limit_over || self.agent.may_stop()
+        is_stop_limit_over || self.agent.can_stop()
     }
 
     fn execute_actions(&mut self) {
@@ -384,7 +383,7 @@
                 }
                 AgentAction::Entries(entries) => {
                     let now_ms = self.clock.now_ms();
-                    if self.directory.borrow_mut().learn(now_ms, &entries) {
+                    if self.directory.borrow_mut().add_mentioned(now_ms, &entries) {
                         self.last_refresh_ms = 0;
                     }
                 }
--- a/crates/node/src/entry_node.rs
+++ b/crates/node/src/entry_node.rs
@@ -332,7 +332,7 @@
                     .for_each(|table| self.configure(table));
             }
             Input::Entries(entries) => {
-                self.directory.borrow_mut().learn(now_ms, &entries);
+                self.directory.borrow_mut().add_mentioned(now_ms, &entries);
             }
             Input::Refresh => self.spread_entries(now_ms),
             Input::Stored(stored) => self.handle_stored_input(now_ms, stored, store),
@@ -360,7 +360,7 @@
         if let Some(table) = frame.table {
             self.configure(table);
         }
-        self.dispatcher.learn_crashes(now_ms, frame.crashes);
+        self.dispatcher.add_crashes(now_ms, frame.crashes);
     }
 
     /// Spreads crashes that became known here to other entries.
@@ -443,7 +443,7 @@
         let is_stop_limit_over =
             self.clock.now_ms() >= stop_began_at_ms + self.settings.tunables.stop_limit_ms;
         let are_callers_gone = *self.http_stop.borrow() && self.open_connections.count() == 0;
-        is_stop_limit_over || are_callers_gone && self.ledger.may_stop()
+        is_stop_limit_over || are_callers_gone && self.ledger.can_stop()
     }
 
     fn execute_actions(&mut self) {
--- a/crates/node/src/peer_links.rs
+++ b/crates/node/src/peer_links.rs
@@ -54,7 +54,7 @@
     let mut was_answered = false;
     while clock.now_ms() < last_seen_ms + IDLE_TIMEOUT_MS && is_target(entry, &directory, &clock) {
         let now_ms = clock.now_ms();
-        let known = || directory.borrow().known(now_ms);
+        let known = || directory.borrow().seen_entries(now_ms);
         let frame = gossip_sender.next_frame(now_ms, &gossip.borrow_and_update(), known);
         let Ok(bytes) = encode(&frame) else {
             return was_answered;
--- a/crates/node/tests/searching.rs
+++ b/crates/node/tests/searching.rs
@@ -103,7 +103,7 @@
             host: "host-1".into(),
             zone: "selfoss".into(),
         },
-        longest_lease_ms: 1_000,
+        max_lease_ms: 1_000,
         tunables: Tunables {
             seeds: Vec::new(),
             remote_factor: 1.5,
--- a/crates/node/tests/suspension.rs
+++ b/crates/node/tests/suspension.rs
@@ -194,7 +194,7 @@
             host: "host-1".into(),
             zone: "selfoss".into(),
         },
-        longest_lease_ms: 1_000,
+        max_lease_ms: 1_000,
         tunables: Tunables {
             seeds: vec![entry],
             remote_factor: 1.5,
