--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -20,16 +20,16 @@
 use crate::Runner;
 use crate::TableSettings;
 use crate::View;
-use crate::agent_configuration::Held;
+use crate::agent_configuration::HeldSubmission;
 use crate::drain::Drain;
 use crate::drain::PartKey;
 use crate::home::Arrival;
 use crate::home::Context;
 use crate::home::Home;
-use crate::membership::Step;
+use crate::membership::StepOutcome;
 
 /// Interval of periodic work in milliseconds.
-const MAINTAIN_MS: u64 = 100;
+const MAINTENANCE_INTERVAL_MS: u64 = 100;
 
 /// Settings of an agent's core.
 #[derive(Clone, Debug)]
@@ -56,12 +56,12 @@
     pub(crate) membership: Membership,
     pub(crate) configuration: ConfigurationStore,
     pub(crate) home: Home,
-    pub(crate) held: Vec<Held>,
+    pub(crate) held: Vec<HeldSubmission>,
     pub(crate) runner: Runner,
     pub(crate) drain: Drain,
     pub(crate) next_maintain_ms: u64,
-    pub(crate) next_read_ms: u64,
-    pub(crate) snapshot_tried_at_ms: Option<u64>,
+    pub(crate) next_log_read_ms: u64,
+    pub(crate) snapshot_attempted_at_ms: Option<u64>,
 }
 
 impl Agent {
@@ -77,10 +77,10 @@
             home: Home::new(node, settings.table, now_ms),
             held: Vec::new(),
             runner: Runner::new(node, settings.member.slots, now_ms),
-            drain: Drain::Working,
+            drain: Drain::NotLeaving,
             next_maintain_ms: now_ms,
-            next_read_ms: now_ms,
-            snapshot_tried_at_ms: None,
+            next_log_read_ms: now_ms,
+            snapshot_attempted_at_ms: None,
             settings,
         }
     }
@@ -118,7 +118,7 @@
     /// Whether a planned stop has begun.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        !matches!(self.drain, Drain::Working)
+        !matches!(self.drain, Drain::NotLeaving)
     }
 
     /// Adds addresses for the first contact.
@@ -133,8 +133,8 @@
             return Vec::new();
         }
         let from = Peer::known(envelope.from, envelope.from_addr);
-        self.settled(now_ms, |agent, actions| {
-            agent.one_message(now_ms, from, envelope.message, actions);
+        self.run_step(now_ms, |agent, actions| {
+            agent.handle_message(now_ms, from, envelope.message, actions);
         })
     }
 
@@ -153,14 +153,14 @@
         let Message::Start(starts) = message else {
             return Vec::new();
         };
-        self.settled(now_ms, |agent, actions| {
+        self.run_step(now_ms, |agent, actions| {
             agent.with_home(now_ms, actions, |home, ctx| home.undelivered(ctx, &starts));
         })
     }
 
     /// The minion ended a task.
     pub fn task_ended(&mut self, now_ms: u64, credit: Credit, result: TaskResult) -> Vec<Action> {
-        self.settled(now_ms, |agent, actions| {
+        self.run_step(now_ms, |agent, actions| {
             if let Some(ended) = agent.runner.finish(now_ms, credit, result) {
                 let message = Message::Finished(vec![ended.finished]);
                 actions.push(Action::Send {
@@ -173,20 +173,20 @@
 
     /// Does what is due. To be called every few milliseconds.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
-        self.settled(now_ms, |agent, actions| {
+        self.run_step(now_ms, |agent, actions| {
             let version = agent.configuration.current().version;
             let step = agent.membership.tick(now_ms, version);
-            agent.take_step(now_ms, step, actions);
+            agent.apply_step(now_ms, step, actions);
             agent.with_home(now_ms, actions, Home::expire_deadlines);
             if now_ms >= agent.next_maintain_ms {
-                agent.next_maintain_ms = now_ms + MAINTAIN_MS;
+                agent.next_maintain_ms = now_ms + MAINTENANCE_INTERVAL_MS;
                 agent.maintain(now_ms, actions);
             }
         })
     }
 
     /// Runs a step, then all messages that it sends to this agent itself.
-    pub(crate) fn settled(
+    pub(crate) fn run_step(
         &mut self,
         now_ms: u64,
         step: impl FnOnce(&mut Self, &mut Vec<Action>),
@@ -199,7 +199,7 @@
             match action {
                 Action::Send { to, message } if to == self.me => {
                     let mut further = Vec::new();
-                    self.one_message(now_ms, self.me, message, &mut further);
+                    self.handle_message(now_ms, self.me, message, &mut further);
                     pending.extend(further);
                 }
                 other => actions.push(other),
@@ -208,7 +208,7 @@
         actions
     }
 
-    pub(crate) fn one_message(
+    pub(crate) fn handle_message(
         &mut self,
         now_ms: u64,
         from: Peer,
@@ -229,7 +229,7 @@
                     fingerprint,
                     remaining_ms,
                 };
-                let held = Held {
+                let held = HeldSubmission {
                     entry: from,
                     arrival,
                     since_ms: now_ms,
@@ -261,7 +261,7 @@
             }
             Message::CreditGrant { service, credits } => {
                 self.with_home(now_ms, actions, |home, ctx| {
-                    home.granted(ctx, from, &service, &credits);
+                    home.handle_grant(ctx, from, &service, &credits);
                 });
             }
             Message::Handover {
@@ -301,17 +301,19 @@
         actions: &mut Vec<Action>,
     ) {
         let version = self.configuration.current().version;
-        let mut step = Step::default();
+        let mut step = StepOutcome::default();
         match message {
             Message::Ping { probe, gossip } => {
                 step.gone = self.membership.merge(now_ms, &gossip.members);
-                step.newer_configuration_at = newer(from, gossip.configuration_version, version);
+                step.newer_configuration_at =
+                    peer_if_newer(from, gossip.configuration_version, version);
                 step.actions
                     .push(self.membership.ping(now_ms, from, probe, version));
             }
             Message::Ack { probe, gossip } => {
                 step.gone = self.membership.merge(now_ms, &gossip.members);
-                step.newer_configuration_at = newer(from, gossip.configuration_version, version);
+                step.newer_configuration_at =
+                    peer_if_newer(from, gossip.configuration_version, version);
                 step.actions
                     .extend(self.membership.ack(now_ms, probe, version));
             }
@@ -325,7 +327,7 @@
                 since,
                 configuration_version,
             } => {
-                step.newer_configuration_at = newer(from, configuration_version, version);
+                step.newer_configuration_at = peer_if_newer(from, configuration_version, version);
                 let delta = self.membership.pull(now_ms, since);
                 let is_newer = version > configuration_version;
                 let message = Message::ViewDelta {
@@ -361,12 +363,12 @@
         }
         if let Some(node) = from.node {
             step.gone
-                .extend(self.membership.replaced(now_ms, node, from.addr));
+                .extend(self.membership.mark_replaced(now_ms, node, from.addr));
         }
-        self.take_step(now_ms, step, actions);
+        self.apply_step(now_ms, step, actions);
     }
 
-    pub(crate) fn take_step(&mut self, now_ms: u64, step: Step, actions: &mut Vec<Action>) {
+    pub(crate) fn apply_step(&mut self, now_ms: u64, step: StepOutcome, actions: &mut Vec<Action>) {
         actions.extend(step.actions);
         for node in step.gone {
             self.with_home(now_ms, actions, |home, ctx| home.agent_gone(ctx, node));
@@ -414,6 +416,6 @@
     }
 }
 
-fn newer(from: Peer, theirs: u64, ours: u64) -> Option<Peer> {
+fn peer_if_newer(from: Peer, theirs: u64, ours: u64) -> Option<Peer> {
     (theirs > ours).then_some(from)
 }
--- a/crates/core/src/agent_configuration.rs
+++ b/crates/core/src/agent_configuration.rs
@@ -18,7 +18,7 @@
         let at_end = page.at_end;
         let version = self.configuration.current().version;
         self.configuration.read(now_ms, page);
-        self.settled(now_ms, |agent, actions| {
+        self.run_step(now_ms, |agent, actions| {
             if agent.configuration.current().version > version {
                 agent.configuration_changed(now_ms, actions);
             }
@@ -50,7 +50,12 @@
 
     /// A submission from an entry that knows a newer configuration waits until
     /// this agent has it too, or for [`MAX_HOLD_MS`].
-    pub(crate) fn submit_or_hold(&mut self, now_ms: u64, held: Held, actions: &mut Vec<Action>) {
+    pub(crate) fn submit_or_hold(
+        &mut self,
+        now_ms: u64,
+        held: HeldSubmission,
+        actions: &mut Vec<Action>,
+    ) {
         let is_behind = held.configuration_version > self.configuration.current().version;
         if is_behind && now_ms.saturating_sub(held.since_ms) < MAX_HOLD_MS {
             if self.held.is_empty() {
@@ -63,7 +68,7 @@
             self.held.push(held);
             return;
         }
-        let Held {
+        let HeldSubmission {
             entry,
             mut arrival,
             since_ms,
@@ -84,7 +89,7 @@
 
 /// A submission that waits for a newer configuration.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldSubmission {
     pub(crate) entry: Peer,
     pub(crate) arrival: Arrival,
     pub(crate) since_ms: u64,
--- a/crates/core/src/borrowing.rs
+++ b/crates/core/src/borrowing.rs
@@ -16,7 +16,7 @@
 
 impl Home {
     /// Takes in credits from an agent or another home.
-    pub(crate) fn granted(
+    pub(crate) fn handle_grant(
         &mut self,
         ctx: &mut Context<'_>,
         from: Peer,
@@ -46,7 +46,7 @@
         let service = self.services.entry(name.clone()).or_default();
         service
             .lending
-            .remember(ctx.now_ms, asker, wanted as usize, overdue_ms);
+            .add_request(ctx.now_ms, asker, wanted as usize, overdue_ms);
         self.dispatch(ctx, name);
     }
 
@@ -57,22 +57,22 @@
         let Some(service) = self.services.get_mut(name) else {
             return;
         };
-        service.lending.satisfied();
+        service.lending.clear_request();
         while let Some(loan) = service.lending.next_loan(ctx.now_ms) {
             let spare = service.credits.take_spare(ctx.now_ms, loan.wanted);
             if spare.is_empty() {
                 return;
             }
-            service.lending.lent(spare.len());
-            ctx.actions.push(grant(loan.to, name, spare));
+            service.lending.record_loan(spare.len());
+            ctx.actions.push(grant_message(loan.to, name, spare));
         }
         let is_home = service.group.iter().any(|peer| peer.node == Some(me));
-        let Some(heir) = service.group.first().copied().filter(|_| !is_home) else {
+        let Some(receiver) = service.group.first().copied().filter(|_| !is_home) else {
             return;
         };
         let spare = service.credits.take_spare(ctx.now_ms, usize::MAX);
         if !spare.is_empty() {
-            ctx.actions.push(grant(heir, name, spare));
+            ctx.actions.push(grant_message(receiver, name, spare));
         }
     }
 
@@ -91,7 +91,7 @@
             };
             let spare = service.credits.take_spare(ctx.now_ms, loan.wanted);
             if !spare.is_empty() {
-                ctx.actions.push(grant(loan.to, name, spare));
+                ctx.actions.push(grant_message(loan.to, name, spare));
             }
         }
     }
@@ -102,7 +102,7 @@
             return;
         };
         if service.queue.is_empty() {
-            service.lending.satisfied();
+            service.lending.clear_request();
             return;
         }
         if service.group.iter().all(|peer| peer.node == Some(me)) {
@@ -125,7 +125,7 @@
     }
 }
 
-fn grant(to: Peer, name: &Name, credits: Vec<SlotCredit>) -> Action {
+fn grant_message(to: Peer, name: &Name, credits: Vec<SlotCredit>) -> Action {
     Action::Send {
         to,
         message: Message::CreditGrant {
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug)]
 struct Gap {
     /// The configuration takes all records before this offset into account.
-    settled_offset: u64,
+    covered_offset: u64,
     /// From this offset on all changes are held.
     held_from: u64,
     changes: BTreeMap<u64, Change>,
@@ -185,7 +185,7 @@
             next_offset: self
                 .gap
                 .as_ref()
-                .map_or(self.next_offset, |gap| gap.settled_offset),
+                .map_or(self.next_offset, |gap| gap.covered_offset),
         }
     }
 
@@ -205,7 +205,7 @@
                     if self.reached_end {
                         self.snapshot_seen_at_ms = Some(now_ms);
                     }
-                    self.settle(&snapshot);
+                    self.apply_snapshot(&snapshot);
                 }
                 None => {}
             }
@@ -218,7 +218,7 @@
     pub fn adopt(&mut self, snapshot: &Snapshot) -> bool {
         let is_newer = snapshot.configuration.version > self.current.version;
         if is_newer {
-            self.settle(snapshot);
+            self.apply_snapshot(snapshot);
         }
         is_newer
     }
@@ -254,9 +254,9 @@
     }
 
     fn open_gap(&mut self, oldest_offset: u64) {
-        let settled_offset = self.snapshot().next_offset;
+        let covered_offset = self.snapshot().next_offset;
         let gap = Gap {
-            settled_offset,
+            covered_offset,
             held_from: oldest_offset,
             changes: BTreeMap::new(),
         };
@@ -269,12 +269,12 @@
             Some(gap) => {
                 gap.changes.insert(offset, change);
             }
-            None => self.decide(change),
+            None => self.apply_or_refuse(change),
         }
     }
 
     /// The first change on a version wins; all later ones on it are refused.
-    fn decide(&mut self, change: Change) {
+    fn apply_or_refuse(&mut self, change: Change) {
         if self.recent.contains(&change.change_id) {
             return;
         }
@@ -290,7 +290,7 @@
     }
 
     /// Takes in a snapshot that is not older, and closes the gap if it can.
-    fn settle(&mut self, snapshot: &Snapshot) {
+    fn apply_snapshot(&mut self, snapshot: &Snapshot) {
         if snapshot.configuration.version < self.current.version {
             return;
         }
@@ -307,12 +307,12 @@
             return;
         };
         if snapshot.next_offset < gap.held_from {
-            gap.settled_offset = gap.settled_offset.max(snapshot.next_offset);
+            gap.covered_offset = gap.covered_offset.max(snapshot.next_offset);
             self.gap = Some(gap);
             return;
         }
         for (_, change) in gap.changes.split_off(&snapshot.next_offset) {
-            self.decide(change);
+            self.apply_or_refuse(change);
         }
     }
 }
--- a/crates/core/src/confirm.rs
+++ b/crates/core/src/confirm.rs
@@ -18,11 +18,11 @@
 use crate::Reply;
 
 /// Time for which a confirmation waits for its outcome, in milliseconds.
-const MAX_WAIT_MS: u64 = 5_000;
+const CONFIRMATION_TIMEOUT_MS: u64 = 5_000;
 /// When to repeat a confirmation whose outcome is not known.
-const RETRY_SOON_MS: u32 = 1_000;
+const RETRY_AFTER_MS: u32 = 1_000;
 /// Interval between reads of the log while an outcome is awaited.
-const POLL_MS: u64 = 20;
+const LOG_POLL_INTERVAL_MS: u64 = 20;
 
 /// Confirmations without an outcome.
 #[derive(Debug, Default)]
@@ -103,14 +103,14 @@
                 ChangeOutcome::Unseen => {}
             }
         }
-        self.next_poll_ms = now_ms + POLL_MS;
+        self.next_poll_ms = now_ms + LOG_POLL_INTERVAL_MS;
     }
 
     /// The log cannot be reached: the outcome stays unknown for now.
     pub(crate) fn log_failed(&mut self, actions: &mut Vec<Action>) {
         let ids: Vec<Name> = self.pending.keys().cloned().collect();
         for change_id in ids {
-            let answer = Answer::refusal(Ran::Unknown, Reason::LogDown, Some(RETRY_SOON_MS));
+            let answer = Answer::refusal(Ran::Unknown, Reason::LogDown, Some(RETRY_AFTER_MS));
             self.end(&change_id, &Reply::Answer(Arc::new(answer)), actions);
             actions.push(Action::Count(Counter::Failed(Reason::LogDown)));
         }
@@ -131,12 +131,12 @@
             .map(|(id, _)| id.clone())
             .collect();
         for change_id in late {
-            let answer = Answer::refusal(Ran::Unknown, Reason::ChangePending, Some(RETRY_SOON_MS));
+            let answer = Answer::refusal(Ran::Unknown, Reason::ChangePending, Some(RETRY_AFTER_MS));
             self.end(&change_id, &Reply::Answer(Arc::new(answer)), actions);
             actions.push(Action::Count(Counter::Failed(Reason::ChangePending)));
         }
         if !self.pending.is_empty() && now_ms >= self.next_poll_ms {
-            self.next_poll_ms = now_ms + POLL_MS;
+            self.next_poll_ms = now_ms + LOG_POLL_INTERVAL_MS;
             actions.push(Action::ReadLog {
                 from_offset: configuration.next_offset(),
             });
@@ -156,7 +156,7 @@
             change: None,
             callers: Vec::new(),
             is_appended: false,
-            deadline_at_ms: now_ms + MAX_WAIT_MS,
+            deadline_at_ms: now_ms + CONFIRMATION_TIMEOUT_MS,
         });
         pending.callers.push(caller);
         pending.change = pending.change.take().or(change);
--- a/crates/core/src/credits.rs
+++ b/crates/core/src/credits.rs
@@ -13,11 +13,11 @@
 /// Credits of one service at one home, at most one for each slot.
 #[derive(Clone, Debug, Default)]
 pub struct CreditPool {
-    idle: BTreeMap<NodeId, Vec<Idle>>,
+    idle: BTreeMap<NodeId, Vec<IdleCredit>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Idle {
+struct IdleCredit {
     credit: Credit,
     idle_since_ms: u64,
     usable_at_ms: u64,
@@ -28,7 +28,7 @@
     /// `idle_since_ms` may lie in the past; it is usable from `usable_at_ms`.
     pub fn add(&mut self, credit: Credit, idle_since_ms: u64, usable_at_ms: u64) {
         let of_agent = self.idle.entry(credit.agent).or_default();
-        let added = Idle {
+        let added = IdleCredit {
             credit,
             idle_since_ms,
             usable_at_ms,
@@ -59,7 +59,7 @@
     /// for which it gives `None` are passed over. Among equals the agent with
     /// the most idle slots is taken.
     pub fn take(&mut self, now_ms: u64, rank: impl Fn(NodeId) -> Option<u32>) -> Option<Credit> {
-        let usable = |idle: &Idle| idle.is_usable(now_ms);
+        let usable = |idle: &IdleCredit| idle.is_usable(now_ms);
         let (_, _, agent) = self
             .idle
             .iter()
@@ -104,7 +104,7 @@
     }
 }
 
-impl Idle {
+impl IdleCredit {
     fn is_held(&self, now_ms: u64) -> bool {
         now_ms.saturating_sub(self.idle_since_ms) < CREDIT_LEASE_MS
     }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -21,9 +21,9 @@
 use crate::submission::TaskState;
 
 /// Factor on the time of the slowest usual run before a task is asked for.
-const CHECK_FACTOR: u64 = 2;
+const CHECK_INTERVAL_FACTOR: u64 = 2;
 /// Least time after which a started task without a result is asked for.
-const MIN_CHECK_MS: u64 = 2_000;
+const MIN_CHECK_INTERVAL_MS: u64 = 2_000;
 
 impl Home {
     /// Starts waiting tasks while there are credits.
@@ -114,10 +114,11 @@
         let agent = ctx.view.peer(credit.agent)?;
         let service = self.services.get_mut(&open.submission.service)?;
         let wire_task = open.submission.tasks.get(usize::from(task.index))?;
-        let usual_ms = service
+        let straggler_ms = service
             .estimates
             .straggler_ms(&wire_task.kind, wire_task.declared_ms);
-        let check_interval_ms = (u64::from(usual_ms) * CHECK_FACTOR).max(MIN_CHECK_MS);
+        let check_interval_ms =
+            (u64::from(straggler_ms) * CHECK_INTERVAL_FACTOR).max(MIN_CHECK_INTERVAL_MS);
         let check_at_ms = ctx.now_ms + check_interval_ms;
         let started = StartedTask {
             credit,
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -16,19 +16,19 @@
 /// Bytes of output in one part of a table.
 const MAX_PART_BYTES: usize = 512 * 1024;
 /// Interval between sendings of a part that was not acknowledged.
-const RESEND_PART_MS: u64 = 500;
+const PART_RESEND_INTERVAL_MS: u64 = 500;
 /// Time after which the handover is given up, in milliseconds.
-const MAX_HANDOVER_MS: u64 = 15_000;
+const HANDOVER_TIMEOUT_MS: u64 = 15_000;
 /// Time for which a stopped agent still tells who succeeds it.
-const LINGER_MS: u64 = 1_500;
+const LEFT_ANNOUNCEMENT_MS: u64 = 1_500;
 /// Interval between these announcements.
-const ANNOUNCE_MS: u64 = 300;
+const ANNOUNCE_INTERVAL_MS: u64 = 300;
 
 /// How far a planned stop has come.
 #[derive(Debug)]
 pub(crate) enum Drain {
     /// No stop is planned.
-    Working,
+    NotLeaving,
     /// Finishes what it has.
     Leaving { since_ms: u64 },
     /// Moves its tables to the successor.
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(crate) struct Handover {
     successor: Peer,
-    began_ms: u64,
+    started_at_ms: u64,
     unacknowledged: BTreeMap<PartKey, Part>,
 }
 
@@ -82,7 +82,7 @@
         }
         Self {
             successor,
-            began_ms: now_ms,
+            started_at_ms: now_ms,
             unacknowledged,
         }
     }
@@ -100,7 +100,7 @@
     }
 
     pub(crate) fn is_overdue(&self, now_ms: u64) -> bool {
-        now_ms.saturating_sub(self.began_ms) >= MAX_HANDOVER_MS
+        now_ms.saturating_sub(self.started_at_ms) >= HANDOVER_TIMEOUT_MS
     }
 
     /// Parts to send now.
@@ -108,7 +108,7 @@
         let mut due = Vec::new();
         for part in self.unacknowledged.values_mut() {
             if part.next_send_ms <= now_ms {
-                part.next_send_ms = now_ms + RESEND_PART_MS;
+                part.next_send_ms = now_ms + PART_RESEND_INTERVAL_MS;
                 due.push(part.message.clone());
             }
         }
@@ -123,7 +123,7 @@
             Self::Left {
                 next_announce_ms, ..
             } if *next_announce_ms <= now_ms => {
-                *next_announce_ms = now_ms + ANNOUNCE_MS;
+                *next_announce_ms = now_ms + ANNOUNCE_INTERVAL_MS;
                 true
             }
             _ => false,
@@ -131,8 +131,8 @@
     }
 
     /// Whether the process may stop.
-    pub(crate) fn is_over(&self, now_ms: u64) -> bool {
-        matches!(self, Self::Left { since_ms, .. } if now_ms.saturating_sub(*since_ms) >= LINGER_MS)
+    pub(crate) fn is_finished(&self, now_ms: u64) -> bool {
+        matches!(self, Self::Left { since_ms, .. } if now_ms.saturating_sub(*since_ms) >= LEFT_ANNOUNCEMENT_MS)
     }
 }
 
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -32,23 +32,23 @@
 use crate::home::fingerprint;
 use crate::table::generation_at;
 use crate::waiting::Caller;
-use crate::waiting::FIRST_RESEND_MS;
+use crate::waiting::FIRST_RESEND_INTERVAL_MS;
 use crate::waiting::Request;
 use crate::waiting::WaitKey;
 use crate::waiting::Waiting;
 
 /// Interval between pulls of an agent's view in milliseconds.
-const PULL_MS: u64 = 500;
+const VIEW_PULL_INTERVAL_MS: u64 = 500;
 /// Interval between looks at the waiting callers.
-const SCAN_MS: u64 = 20;
+const SCAN_INTERVAL_MS: u64 = 20;
 /// Pause before a submission is sent again after its connection broke.
-const RECONNECT_MS: u64 = 200;
+const RECONNECT_DELAY_MS: u64 = 200;
 /// Time past the caller's deadline for which a home's own answer is awaited.
-const GRACE_MS: u64 = 250;
+const DEADLINE_GRACE_MS: u64 = 250;
 /// Time after the first whole view for which an unheard home may still appear.
-const SETTLE_MS: u64 = 3_000;
+const VIEW_SETTLE_MS: u64 = 3_000;
 /// When to come back after a refusal that passes by itself, in milliseconds.
-const RETRY_SOON_MS: u32 = 1_000;
+const RETRY_AFTER_MS: u32 = 1_000;
 
 /// Settings of an entry's core.
 #[derive(Clone, Debug)]
@@ -75,11 +75,11 @@
     pub(crate) waiting: BTreeMap<WaitKey, Waiting>,
     pub(crate) waiting_callers: usize,
     pub(crate) confirmations: Confirmations,
-    pub(crate) pulled: BTreeMap<NodeId, u64>,
-    pub(crate) pulls: usize,
+    pub(crate) pulled_up_to: BTreeMap<NodeId, u64>,
+    pub(crate) pull_count: usize,
     pub(crate) next_pull_ms: u64,
     pub(crate) next_scan_ms: u64,
-    pub(crate) whole_view_since_ms: Option<u64>,
+    pub(crate) complete_view_since_ms: Option<u64>,
 }
 
 impl Entry {
@@ -94,11 +94,11 @@
             waiting: BTreeMap::new(),
             waiting_callers: 0,
             confirmations: Confirmations::default(),
-            pulled: BTreeMap::new(),
-            pulls: 0,
+            pulled_up_to: BTreeMap::new(),
+            pull_count: 0,
             next_pull_ms: now_ms,
             next_scan_ms: now_ms,
-            whole_view_since_ms: None,
+            complete_view_since_ms: None,
         }
     }
 
@@ -123,7 +123,7 @@
     /// Whether the entry knows the agents and can serve.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.whole_view_since_ms.is_some()
+        self.complete_view_since_ms.is_some()
     }
 
     /// Adds addresses for the first contact.
@@ -157,7 +157,7 @@
                     id: caller,
                     deadline_at_ms: now_ms + deadline_ms,
                 };
-                self.wait(
+                self.add_caller(
                     now_ms,
                     key,
                     Request::Submit(submission),
@@ -171,7 +171,7 @@
                     id: caller,
                     deadline_at_ms: now_ms + wait_ms,
                 };
-                self.wait(now_ms, key, Request::Lookup, caller, &mut actions);
+                self.add_caller(now_ms, key, Request::Lookup, caller, &mut actions);
             }
             Command::Cancel { id } => self.cancel(now_ms, id, caller, &mut actions),
             Command::Plan {
@@ -224,7 +224,7 @@
                 fingerprint,
                 answer,
             } => {
-                self.answered(WaitKey { id, fingerprint }, &answer, &mut actions);
+                self.deliver_answer(WaitKey { id, fingerprint }, &answer, &mut actions);
             }
             Message::ViewDelta {
                 upto,
@@ -235,11 +235,11 @@
                 for member in &members {
                     self.view.merge(now_ms, member);
                 }
-                self.pulled.insert(envelope.from, upto);
+                self.pulled_up_to.insert(envelope.from, upto);
                 if more {
                     actions.push(self.pull(from));
                 } else {
-                    self.whole_view_since_ms.get_or_insert(now_ms);
+                    self.complete_view_since_ms.get_or_insert(now_ms);
                 }
                 if let Some(snapshot) = configuration {
                     self.adopt_configuration(now_ms, &snapshot, &mut actions);
@@ -262,10 +262,10 @@
     pub fn peer_down(&mut self, now_ms: u64, addr: SocketAddr) -> Vec<Action> {
         for waiting in self.waiting.values_mut() {
             if waiting.sent_to.is_some_and(|peer| peer.addr == addr) {
-                waiting.next_send_ms = waiting.next_send_ms.min(now_ms + RECONNECT_MS);
+                waiting.next_send_ms = waiting.next_send_ms.min(now_ms + RECONNECT_DELAY_MS);
             }
         }
-        self.next_pull_ms = self.next_pull_ms.min(now_ms + RECONNECT_MS);
+        self.next_pull_ms = self.next_pull_ms.min(now_ms + RECONNECT_DELAY_MS);
         Vec::new()
     }
 
@@ -276,7 +276,7 @@
         let version = self.configuration.current().version;
         self.configuration.read(now_ms, page);
         if self.configuration.current().version > version {
-            self.spread_configuration(&mut actions);
+            self.push_configuration(&mut actions);
         }
         if !at_end {
             let from_offset = self.configuration.next_offset();
@@ -298,12 +298,12 @@
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         if now_ms >= self.next_pull_ms {
-            self.next_pull_ms = now_ms + PULL_MS;
+            self.next_pull_ms = now_ms + VIEW_PULL_INTERVAL_MS;
             self.view.forget_gone(now_ms, self.settings.retention_ms);
             self.pull_views(&mut actions);
         }
         if now_ms >= self.next_scan_ms {
-            self.next_scan_ms = now_ms + SCAN_MS;
+            self.next_scan_ms = now_ms + SCAN_INTERVAL_MS;
             self.scan(now_ms, &mut actions);
             self.confirmations
                 .expire(now_ms, &self.configuration, &mut actions);
@@ -324,7 +324,7 @@
         };
         let homes = self.view.homes(service, config.homes());
         if homes.is_empty() {
-            return refused(Reason::NoCapacity, Some(RETRY_SOON_MS));
+            return refused(Reason::NoCapacity, Some(RETRY_AFTER_MS));
         }
         let ids = (0..count)
             .filter_map(|_| self.draw_id(now_ms, &homes))
@@ -343,7 +343,7 @@
         })
     }
 
-    pub(crate) fn wait(
+    pub(crate) fn add_caller(
         &mut self,
         now_ms: u64,
         key: WaitKey,
@@ -354,7 +354,7 @@
         if self.waiting_callers >= self.settings.max_waiting {
             // Another entry may have run it already, so "not run" would be a guess.
             let answer =
-                Answer::refusal(Ran::Unknown, Reason::EntryOverloaded, Some(RETRY_SOON_MS));
+                Answer::refusal(Ran::Unknown, Reason::EntryOverloaded, Some(RETRY_AFTER_MS));
             actions.push(Action::Count(Counter::Refused(Reason::EntryOverloaded)));
             reply(caller.id, Arc::new(answer), actions);
             return;
@@ -378,7 +378,7 @@
         let key = WaitKey { id, fingerprint: 0 };
         let caller = Caller {
             id: caller,
-            deadline_at_ms: now_ms + FIRST_RESEND_MS,
+            deadline_at_ms: now_ms + FIRST_RESEND_INTERVAL_MS,
         };
         let waiting = self
             .waiting
@@ -391,7 +391,7 @@
         self.send_due(now_ms, key, actions);
     }
 
-    pub(crate) fn answered(
+    pub(crate) fn deliver_answer(
         &mut self,
         key: WaitKey,
         answer: &Arc<Answer>,
@@ -419,7 +419,7 @@
         let Some(waiting) = self.waiting.get_mut(&key) else {
             return;
         };
-        let is_late = |caller: &Caller| now_ms >= caller.deadline_at_ms + GRACE_MS;
+        let is_late = |caller: &Caller| now_ms >= caller.deadline_at_ms + DEADLINE_GRACE_MS;
         let late: Vec<Caller> = waiting.callers.iter().copied().filter(is_late).collect();
         if late.is_empty() {
             return;
@@ -427,7 +427,7 @@
         waiting.callers.retain(|caller| !is_late(caller));
         let is_empty = waiting.callers.is_empty();
         self.waiting_callers -= late.len();
-        let answer = Answer::refusal(Ran::Unknown, Reason::HomeSilent, Some(RETRY_SOON_MS));
+        let answer = Answer::refusal(Ran::Unknown, Reason::HomeSilent, Some(RETRY_AFTER_MS));
         let answer = Arc::new(answer);
         for caller in late {
             actions.push(Action::Count(Counter::Failed(Reason::HomeSilent)));
@@ -454,22 +454,22 @@
                     actions.push(waiting.send(now_ms, key, peer, version));
                 }
             }
-            HomeTarget::Lost => self.home_lost(key, actions),
-            HomeTarget::Unheard => {
+            HomeTarget::Lost => self.answer_home_lost(key, actions),
+            HomeTarget::UnknownHome => {
                 let is_settled = self
-                    .whole_view_since_ms
-                    .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= SETTLE_MS);
+                    .complete_view_since_ms
+                    .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= VIEW_SETTLE_MS);
                 if is_settled {
-                    self.home_lost(key, actions);
+                    self.answer_home_lost(key, actions);
                 }
             }
         }
     }
 
-    pub(crate) fn home_lost(&mut self, key: WaitKey, actions: &mut Vec<Action>) {
+    pub(crate) fn answer_home_lost(&mut self, key: WaitKey, actions: &mut Vec<Action>) {
         let answer = Answer::refusal(Ran::Unknown, Reason::HomeLost, None);
         actions.push(Action::Count(Counter::Failed(Reason::HomeLost)));
-        self.answered(key, &Arc::new(answer), actions);
+        self.deliver_answer(key, &Arc::new(answer), actions);
     }
 }
 
--- a/crates/core/src/entry_view.rs
+++ b/crates/core/src/entry_view.rs
@@ -29,7 +29,7 @@
     }
 
     /// Tells one agent of each zone of a change that was read from the log.
-    pub(crate) fn spread_configuration(&mut self, actions: &mut Vec<Action>) {
+    pub(crate) fn push_configuration(&mut self, actions: &mut Vec<Action>) {
         for to in self.one_agent_of_each_zone() {
             let message = Message::ConfigurationState(self.configuration.snapshot());
             actions.push(Action::Send { to, message });
@@ -38,13 +38,13 @@
 
     /// Pulls the view of one agent; the zones take turns.
     pub(crate) fn pull_views(&mut self, actions: &mut Vec<Action>) {
-        self.pulls += 1;
+        self.pull_count += 1;
         let known = self.one_agent_of_each_zone();
         let first = |addr: &SocketAddr| Peer {
             node: None,
             addr: *addr,
         };
-        let peers: Vec<Peer> = match known.get(self.pulls % known.len().max(1)) {
+        let peers: Vec<Peer> = match known.get(self.pull_count % known.len().max(1)) {
             Some(peer) => vec![*peer],
             None => self.settings.contacts.iter().map(first).collect(),
         };
@@ -70,7 +70,7 @@
     pub(crate) fn pull(&self, to: Peer) -> Action {
         let since = to
             .node
-            .and_then(|node| self.pulled.get(&node).copied())
+            .and_then(|node| self.pulled_up_to.get(&node).copied())
             .unwrap_or(0);
         let configuration_version = self.configuration.current().version;
         Action::Send {
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -17,18 +17,18 @@
 /// Ratios of observed to declared time are kept in thousandths.
 const RATIO_SCALE: u64 = 1_000;
 /// Largest value that a history tells apart from larger ones.
-const MAX_VALUE: u64 = 100_000_000;
+const MAX_RECORDED_VALUE: u64 = 100_000_000;
 /// Quantile above which a run counts as a straggler.
 const STRAGGLER_QUANTILE: f64 = 0.99;
 
 /// Observed run times for each kind of task.
 #[derive(Debug, Default)]
 pub struct Estimates {
-    kinds: BTreeMap<Name, Kind>,
+    kinds: BTreeMap<Name, KindHistory>,
 }
 
 #[derive(Debug)]
-struct Kind {
+struct KindHistory {
     run_ms: History,
     ratio: History,
 }
@@ -51,7 +51,7 @@
             None => history
                 .run_ms
                 .quantile(0.5)
-                .map_or(DEFAULT_RUN_MS, saturate),
+                .map_or(DEFAULT_RUN_MS, saturate_to_u32),
         }
     }
 
@@ -63,7 +63,9 @@
             .kinds
             .get(kind)
             .and_then(|k| k.run_ms.quantile(STRAGGLER_QUANTILE));
-        observed.map_or(estimate_ms, saturate).max(estimate_ms)
+        observed
+            .map_or(estimate_ms, saturate_to_u32)
+            .max(estimate_ms)
     }
 
     /// Takes in the run time of a finished task.
@@ -71,7 +73,10 @@
         if !self.kinds.contains_key(kind) && self.kinds.len() >= MAX_KINDS {
             return;
         }
-        let history = self.kinds.entry(kind.clone()).or_insert_with(Kind::new);
+        let history = self
+            .kinds
+            .entry(kind.clone())
+            .or_insert_with(KindHistory::new);
         history.run_ms.record(u64::from(run_ms));
         if let Some(declared_ms) = declared_ms.filter(|ms| *ms > 0) {
             history
@@ -81,7 +86,7 @@
     }
 }
 
-impl Kind {
+impl KindHistory {
     fn new() -> Self {
         Self {
             run_ms: History::new(),
@@ -91,7 +96,7 @@
 
     fn corrected_ms(&self, declared_ms: u32) -> u32 {
         match self.ratio.quantile(0.5) {
-            Some(ratio) => saturate(u64::from(declared_ms) * ratio / RATIO_SCALE),
+            Some(ratio) => saturate_to_u32(u64::from(declared_ms) * ratio / RATIO_SCALE),
             None => declared_ms,
         }
     }
@@ -132,9 +137,9 @@
 }
 
 fn new_histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, MAX_VALUE, 2).expect("constant bounds are valid")
+    Histogram::new_with_bounds(1, MAX_RECORDED_VALUE, 2).expect("constant bounds are valid")
 }
 
-fn saturate(value: u64) -> u32 {
+fn saturate_to_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -9,7 +9,7 @@
 use crate::View;
 
 /// Members whose news fit one probe.
-const MAX_NEWS: usize = 8;
+const MAX_UPDATES: usize = 8;
 /// Times that each news is sent, for each doubling of the number of members.
 const SENDS_PER_DOUBLING: u32 = 3;
 
@@ -35,32 +35,32 @@
         let mut ranked: Vec<(u32, NodeId)> =
             self.sent.iter().map(|(n, sent)| (*sent, *n)).collect();
         ranked.sort_unstable();
-        ranked.truncate(MAX_NEWS);
-        let mut news: Vec<Member> = Vec::with_capacity(ranked.len() + 1);
+        ranked.truncate(MAX_UPDATES);
+        let mut updates: Vec<Member> = Vec::with_capacity(ranked.len() + 1);
         for (_, node) in ranked {
-            news.extend(view.get(now_ms, node));
+            updates.extend(view.get(now_ms, node));
             if let Some(sent) = self.sent.get_mut(&node) {
                 *sent += 1;
             }
         }
         let limit = SENDS_PER_DOUBLING * (view.len().max(2).ilog2() + 1);
         self.sent.retain(|_, sent| *sent < limit);
-        news.extend(news_of_receiver(now_ms, view, receiver, &news));
-        news
+        updates.extend(update_about_receiver(now_ms, view, receiver, &updates));
+        updates
     }
 }
 
 /// A member that is held for dead or suspect is told so, to refute it.
-fn news_of_receiver(
+fn update_about_receiver(
     now_ms: u64,
     view: &View,
     receiver: Option<NodeId>,
-    news: &[Member],
+    updates: &[Member],
 ) -> Option<Member> {
     let member = view.get(now_ms, receiver?)?;
-    let is_doubted = member.state.rank() > 0;
-    let is_included = news.iter().any(|other| other.node == member.node);
-    (is_doubted && !is_included).then_some(member)
+    let is_not_alive = member.state.rank() > 0;
+    let is_included = updates.iter().any(|other| other.node == member.node);
+    (is_not_alive && !is_included).then_some(member)
 }
 
 /// A gossip message body.
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -11,7 +11,7 @@
 /// Longest time for which a minion is ejected, in milliseconds.
 const MAX_EJECTION_MS: u64 = 30_000;
 /// At most one minion in this many is ejected at one time.
-const EJECTABLE_SHARE: usize = 3;
+const EJECTABLE_DIVISOR: usize = 3;
 
 /// Failures of each agent's minion, as one home sees them.
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,7 @@
     consecutive_failures: u32,
     ejections: u32,
     ejected_until_ms: Option<u64>,
-    trial_running: bool,
+    is_trial_running: bool,
 }
 
 impl Health {
@@ -38,14 +38,14 @@
         };
         match record.ejected_until_ms {
             None => true,
-            Some(until_ms) => now_ms >= until_ms && !record.trial_running,
+            Some(until_ms) => now_ms >= until_ms && !record.is_trial_running,
         }
     }
 
     /// Notes that a task was started.
     pub fn started(&mut self, agent: NodeId) {
         if let Some(record) = self.agents.get_mut(&agent) {
-            record.trial_running = record.ejected_until_ms.is_some();
+            record.is_trial_running = record.ejected_until_ms.is_some();
         }
     }
 
@@ -60,12 +60,12 @@
         let ejected = self.ejected();
         let record = self.agents.entry(agent).or_default();
         record.consecutive_failures += 1;
-        let trial_failed = record.trial_running;
-        record.trial_running = false;
+        let trial_failed = record.is_trial_running;
+        record.is_trial_running = false;
         if record.ejected_until_ms.is_some() && !trial_failed {
             return false;
         }
-        let may_eject = trial_failed || ejected < agents / EJECTABLE_SHARE;
+        let may_eject = trial_failed || ejected < agents / EJECTABLE_DIVISOR;
         if record.consecutive_failures < MAX_CONSECUTIVE_FAILURES || !may_eject {
             return false;
         }
--- a/crates/core/src/home.rs
+++ b/crates/core/src/home.rs
@@ -33,7 +33,7 @@
 use crate::table::Lookup;
 
 /// When to come back after a refusal that passes by itself, in milliseconds.
-const RETRY_SOON_MS: u32 = 1_000;
+const RETRY_AFTER_MS: u32 = 1_000;
 /// Factor on the expected wait at admission, for what estimates leave out. A
 /// queue that is admitted up to its very deadlines completes almost nothing.
 const WAIT_MARGIN_PERCENT: u64 = 120;
@@ -78,7 +78,7 @@
     pub(crate) services: BTreeMap<Name, Service>,
     pub(crate) deadlines: BTreeSet<Deadline>,
     /// Agents that left as planned, and when their results are given up.
-    pub(crate) departed: BTreeMap<NodeId, u64>,
+    pub(crate) results_awaited_until_ms: BTreeMap<NodeId, u64>,
 }
 
 /// When a submission is given up.
@@ -104,7 +104,7 @@
             open: BTreeMap::new(),
             services: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            departed: BTreeMap::new(),
+            results_awaited_until_ms: BTreeMap::new(),
         }
     }
 
@@ -154,7 +154,7 @@
                 let answer = Arc::new(Answer::refusal(Ran::NotRun, Reason::Cancelled, None));
                 ctx.actions
                     .push(Action::Count(Counter::Refused(Reason::Cancelled)));
-                self.remember(id, 0, Arc::clone(&answer));
+                self.record_answer(id, 0, Arc::clone(&answer));
                 send_answer(ctx, id, waiter, answer);
             }
             _ => {
@@ -193,7 +193,7 @@
         }
         let answer = Arc::new(open.answer(reason, retry_after_ms));
         ctx.actions.push(Action::Count(counter_of(&answer)));
-        self.remember(id, open.fingerprint, Arc::clone(&answer));
+        self.record_answer(id, open.fingerprint, Arc::clone(&answer));
         for waiter in open.waiters {
             send_answer(ctx, id, waiter, Arc::clone(&answer));
         }
@@ -224,7 +224,7 @@
         table.lookup(now_ms, id, fingerprint)
     }
 
-    fn remember(&mut self, id: SubmissionId, fingerprint: u64, answer: Arc<Answer>) {
+    fn record_answer(&mut self, id: SubmissionId, fingerprint: u64, answer: Arc<Answer>) {
         if let Some(table) = self.table_of(id.home) {
             table.answer(id, fingerprint, answer);
         }
@@ -246,7 +246,7 @@
             let answer = Arc::new(answer);
             ctx.actions
                 .push(Action::Count(Counter::Refused(refusal.reason)));
-            self.remember(id, arrival.fingerprint, Arc::clone(&answer));
+            self.record_answer(id, arrival.fingerprint, Arc::clone(&answer));
             send_answer(ctx, id, waiter, answer);
             return;
         }
@@ -273,7 +273,7 @@
             .entry(open.submission.service.clone())
             .or_default();
         if service.queue.is_empty() {
-            service.lending.satisfied();
+            service.lending.clear_request();
         }
         let queued = (0u16..)
             .zip(&open.submission.tasks)
@@ -297,20 +297,20 @@
             return Err(Refusal::soon(Reason::HomeLeaving));
         }
         let Some(config) = ctx.configuration.services.get(&submission.service) else {
-            return Err(Refusal::for_good(Reason::UnknownService));
+            return Err(Refusal::permanent(Reason::UnknownService));
         };
         let Some(team) = ctx.configuration.teams.get(&submission.team) else {
-            return Err(Refusal::for_good(Reason::UnknownTeam));
+            return Err(Refusal::permanent(Reason::UnknownTeam));
         };
         if submission.tasks.len() > usize::from(config.max_tasks_per_job) {
-            return Err(Refusal::for_good(Reason::TooManyTasks));
+            return Err(Refusal::permanent(Reason::TooManyTasks));
         }
         if ctx.view.agents(&submission.service).next().is_none() {
             return Err(Refusal::soon(Reason::NoCapacity));
         }
         let fits = |task: &Task| ctx.view.fits(&submission.service, &task.needs);
         if !submission.tasks.iter().all(fits) {
-            return Err(Refusal::for_good(Reason::FitsNoWorker));
+            return Err(Refusal::permanent(Reason::FitsNoWorker));
         }
         let service = self.services.entry(submission.service.clone()).or_default();
         let wait_ms = service.expected_wait_ms(&submission.team, &ctx.configuration.teams);
@@ -352,7 +352,7 @@
 }
 
 impl Refusal {
-    fn for_good(reason: Reason) -> Self {
+    fn permanent(reason: Reason) -> Self {
         Self {
             reason,
             retry_after_ms: None,
@@ -362,7 +362,7 @@
     fn soon(reason: Reason) -> Self {
         Self {
             reason,
-            retry_after_ms: Some(RETRY_SOON_MS),
+            retry_after_ms: Some(RETRY_AFTER_MS),
         }
     }
 
--- a/crates/core/src/leaving.rs
+++ b/crates/core/src/leaving.rs
@@ -51,7 +51,7 @@
 
     pub(crate) fn continue_leaving(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         match &mut self.drain {
-            Drain::Working => {}
+            Drain::NotLeaving => {}
             Drain::Leaving { since_ms } => {
                 if now_ms.saturating_sub(*since_ms) >= self.settings.leave_notice_ms {
                     self.home.intake = Intake::Refusing;
@@ -84,7 +84,7 @@
                 if self.drain.should_announce(now_ms) {
                     self.announce_left(now_ms, successor, actions);
                 }
-                if self.drain.is_over(now_ms) {
+                if self.drain.is_finished(now_ms) {
                     actions.push(Action::Stop);
                 }
             }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -26,9 +26,9 @@
 /// Agents that are asked to probe a silent member.
 const INDIRECT_PROBES: usize = 3;
 /// Members that are told at once of a planned stop.
-const TOLD_OF_LEAVING: usize = 8;
+const MAX_LEAVE_ANNOUNCEMENTS: usize = 8;
 /// Members that are told at once of a newer configuration.
-const TOLD_OF_CONFIGURATION: usize = 3;
+const MAX_CONFIGURATION_ANNOUNCEMENTS: usize = 3;
 /// Members in one answer to a pull.
 const MAX_DELTA_MEMBERS: usize = 64;
 /// Periods between probes of a member that is held for dead.
@@ -36,7 +36,7 @@
 /// Periods between pulls of another agent's whole view.
 const PULL_PERIODS: u64 = 16;
 /// A pause of this agent of that many periods makes its observations void.
-const PAUSE_PERIODS: u64 = 2;
+const MIN_SUSPENSION_PERIODS: u64 = 2;
 
 /// Times of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     started_at_ms: u64,
     view: View,
     rng: ChaCha8Rng,
-    round: Vec<NodeId>,
+    probe_order: Vec<NodeId>,
     probes: BTreeMap<u64, Probe>,
     next_probe_id: u64,
     next_period_ms: u64,
@@ -77,7 +77,7 @@
     sent_at_ms: u64,
     is_indirect: bool,
     /// Set when this probe is made for another agent.
-    asked_by: Option<Request>,
+    requested_by: Option<Request>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -88,7 +88,7 @@
 
 /// What a step of the failure detector brought.
 #[derive(Debug, Default)]
-pub(crate) struct Step {
+pub(crate) struct StepOutcome {
     pub(crate) actions: Vec<Action>,
     /// Members that are now known to be gone.
     pub(crate) gone: Vec<NodeId>,
@@ -110,7 +110,7 @@
             settings,
             started_at_ms: now_ms,
             view,
-            round: Vec::new(),
+            probe_order: Vec::new(),
             probes: BTreeMap::new(),
             next_probe_id: 0,
             next_period_ms: now_ms,
@@ -148,7 +148,7 @@
         self.set_own_state(now_ms, state);
         let mut others = self.live_others();
         others.shuffle(&mut self.rng);
-        others.truncate(TOLD_OF_LEAVING);
+        others.truncate(MAX_LEAVE_ANNOUNCEMENTS);
         others
             .into_iter()
             .filter_map(|node| self.probe(now_ms, node, None, version))
@@ -159,7 +159,7 @@
     pub(crate) fn spread(&mut self, now_ms: u64, version: u64) -> Vec<Action> {
         let mut others = self.live_others();
         others.shuffle(&mut self.rng);
-        others.truncate(TOLD_OF_CONFIGURATION);
+        others.truncate(MAX_CONFIGURATION_ANNOUNCEMENTS);
         others
             .into_iter()
             .filter_map(|node| self.probe(now_ms, node, None, version))
@@ -167,11 +167,11 @@
     }
 
     /// Does what is due. `version` is that of this agent's configuration.
-    pub(crate) fn tick(&mut self, now_ms: u64, version: u64) -> Step {
-        let mut step = Step::default();
-        self.allow_for_pause(now_ms);
-        self.judge_probes(now_ms, &mut step);
-        self.judge_suspects(now_ms, &mut step);
+    pub(crate) fn tick(&mut self, now_ms: u64, version: u64) -> StepOutcome {
+        let mut step = StepOutcome::default();
+        self.allow_for_suspension(now_ms);
+        self.expire_probes(now_ms, &mut step);
+        self.expire_suspects(now_ms, &mut step);
         if now_ms >= self.next_period_ms {
             self.next_period_ms = now_ms + self.settings.period_ms;
             self.periods += 1;
@@ -192,8 +192,8 @@
     }
 
     pub(crate) fn ping(&mut self, now_ms: u64, from: Peer, probe: u64, version: u64) -> Action {
-        let news = self.queue.take(now_ms, &self.view, from.node);
-        let gossip = gossip(news, version);
+        let updates = self.queue.take(now_ms, &self.view, from.node);
+        let gossip = gossip(updates, version);
         Action::Send {
             to: from,
             message: Message::Ack { probe, gossip },
@@ -205,14 +205,14 @@
         if self.view.state(probe.target) != Some(MemberState::Suspect) {
             self.suspects.remove(&probe.target);
         }
-        let asked_by = probe.asked_by?;
-        let news = self.view.get(now_ms, probe.target).into_iter().collect();
+        let requested_by = probe.requested_by?;
+        let updates = self.view.get(now_ms, probe.target).into_iter().collect();
         let message = Message::Ack {
-            probe: asked_by.probe,
-            gossip: gossip(news, version),
+            probe: requested_by.probe,
+            gossip: gossip(updates, version),
         };
         Some(Action::Send {
-            to: asked_by.peer,
+            to: requested_by.peer,
             message,
         })
     }
@@ -260,7 +260,12 @@
     }
 
     /// A live process at a member's address with another run replaces it.
-    pub(crate) fn replaced(&mut self, now_ms: u64, node: NodeId, addr: SocketAddr) -> Vec<NodeId> {
+    pub(crate) fn mark_replaced(
+        &mut self,
+        now_ms: u64,
+        node: NodeId,
+        addr: SocketAddr,
+    ) -> Vec<NodeId> {
         let earlier: Vec<Member> = self
             .view
             .snapshot(now_ms)
@@ -298,10 +303,10 @@
         self.publish_self(now_ms);
     }
 
-    fn allow_for_pause(&mut self, now_ms: u64) {
+    fn allow_for_suspension(&mut self, now_ms: u64) {
         let pause_ms = now_ms.saturating_sub(self.last_tick_ms);
         self.last_tick_ms = now_ms;
-        if pause_ms < self.settings.period_ms * PAUSE_PERIODS {
+        if pause_ms < self.settings.period_ms * MIN_SUSPENSION_PERIODS {
             return;
         }
         self.probes.clear();
@@ -310,7 +315,7 @@
         }
     }
 
-    fn judge_probes(&mut self, now_ms: u64, step: &mut Step) {
+    fn expire_probes(&mut self, now_ms: u64, step: &mut StepOutcome) {
         let timeout_ms = self.settings.ack_timeout_ms;
         let overdue: Vec<(u64, Probe)> = self
             .probes
@@ -319,7 +324,7 @@
             .map(|(id, probe)| (*id, *probe))
             .collect();
         for (id, probe) in overdue {
-            if probe.asked_by.is_some() {
+            if probe.requested_by.is_some() {
                 self.probes.remove(&id);
             } else if probe.is_indirect {
                 self.probes.remove(&id);
@@ -330,7 +335,7 @@
         }
     }
 
-    fn probe_indirectly(&mut self, now_ms: u64, id: u64, probe: Probe, step: &mut Step) {
+    fn probe_indirectly(&mut self, now_ms: u64, id: u64, probe: Probe, step: &mut StepOutcome) {
         let mut helpers = self.live_others();
         helpers.retain(|node| *node != probe.target);
         helpers.shuffle(&mut self.rng);
@@ -342,12 +347,12 @@
             };
             step.actions.push(Action::Send { to, message });
         }
-        let again = Probe {
+        let indirect = Probe {
             sent_at_ms: now_ms,
             is_indirect: true,
             ..probe
         };
-        self.probes.insert(id, again);
+        self.probes.insert(id, indirect);
     }
 
     fn suspect(&mut self, now_ms: u64, node: NodeId) {
@@ -369,7 +374,7 @@
         self.suspects.entry(node).or_insert(now_ms);
     }
 
-    fn judge_suspects(&mut self, now_ms: u64, step: &mut Step) {
+    fn expire_suspects(&mut self, now_ms: u64, step: &mut StepOutcome) {
         let timeout_ms = self.settings.suspicion_ms;
         let overdue: Vec<NodeId> = self
             .suspects
@@ -393,7 +398,7 @@
         }
     }
 
-    fn begin_period(&mut self, now_ms: u64, version: u64, step: &mut Step) {
+    fn begin_period(&mut self, now_ms: u64, version: u64, step: &mut StepOutcome) {
         self.view.forget_gone(now_ms, self.settings.retention_ms);
         if let Some(target) = self.next_target() {
             step.actions
@@ -411,12 +416,12 @@
                     .extend(self.probe_dead(now_ms, target, version));
             }
         }
-        self.make_contact(version, step);
+        self.pull_views(version, step);
     }
 
     /// Pulls whole views: from the contacts while no other agent is known,
     /// from a random agent now and then afterwards.
-    fn make_contact(&mut self, configuration_version: u64, step: &mut Step) {
+    fn pull_views(&mut self, configuration_version: u64, step: &mut StepOutcome) {
         let others = self.live_others();
         if others.is_empty() {
             for addr in &self.contacts {
@@ -444,11 +449,11 @@
     }
 
     fn next_target(&mut self) -> Option<NodeId> {
-        if self.round.is_empty() {
-            self.round = self.live_others();
-            self.round.shuffle(&mut self.rng);
+        if self.probe_order.is_empty() {
+            self.probe_order = self.live_others();
+            self.probe_order.shuffle(&mut self.rng);
         }
-        self.round.pop()
+        self.probe_order.pop()
     }
 
     fn live_others(&self) -> Vec<NodeId> {
@@ -463,7 +468,7 @@
         &mut self,
         now_ms: u64,
         target: NodeId,
-        asked_by: Option<Request>,
+        requested_by: Option<Request>,
         version: u64,
     ) -> Option<Action> {
         let to = self.view.peer(target)?;
@@ -473,7 +478,7 @@
             target,
             sent_at_ms: now_ms,
             is_indirect: false,
-            asked_by,
+            requested_by,
         };
         self.probes.insert(probe, pending);
         let gossip = gossip(self.queue.take(now_ms, &self.view, Some(target)), version);
--- a/crates/core/src/progress.rs
+++ b/crates/core/src/progress.rs
@@ -27,17 +27,17 @@
 impl Home {
     /// Takes in the ends of tasks from an agent.
     pub(crate) fn finished(&mut self, ctx: &mut Context<'_>, batch: Vec<Finished>) {
-        let mut touched: Vec<Name> = Vec::new();
+        let mut affected_services: Vec<Name> = Vec::new();
         for finished in batch {
             let Some(name) = self.service_of(ctx, &finished) else {
                 continue;
             };
-            self.finished_one(ctx, &name, finished);
-            if !touched.contains(&name) {
-                touched.push(name);
+            self.handle_finished(ctx, &name, finished);
+            if !affected_services.contains(&name) {
+                affected_services.push(name);
             }
         }
-        for name in touched {
+        for name in affected_services {
             self.dispatch(ctx, &name);
         }
     }
@@ -106,7 +106,12 @@
             .map(|member| member.service.clone())
     }
 
-    pub(crate) fn finished_one(&mut self, ctx: &mut Context<'_>, name: &Name, finished: Finished) {
+    pub(crate) fn handle_finished(
+        &mut self,
+        ctx: &mut Context<'_>,
+        name: &Name,
+        finished: Finished,
+    ) {
         let Finished {
             task_id,
             result,
@@ -119,18 +124,18 @@
             .and_then(|open| open.started(task_id.index, task_id.attempt))
             .copied();
         if let Some(started) = started {
-            self.note_health(ctx, name, started.credit.agent, &result);
+            self.update_health(ctx, name, started.credit.agent, &result);
         }
         let service = self.services.entry(name.clone()).or_default();
         if let Some(credit) = next_credit {
-            service.take_back(ctx.now_ms, credit);
+            service.return_credit(ctx.now_ms, credit);
         }
         if started.is_some() {
             self.end_attempt(ctx, task_id, result, run_ms);
         }
     }
 
-    pub(crate) fn note_health(
+    pub(crate) fn update_health(
         &mut self,
         ctx: &mut Context<'_>,
         name: &Name,
@@ -162,7 +167,7 @@
         run_ms: u32,
     ) {
         let id = task_id.submission;
-        self.free_slot_of(id);
+        self.release_slot_of(id);
         match result {
             TaskResult::Done(output) => {
                 self.observe(id, task_id.index, run_ms);
@@ -268,7 +273,7 @@
             .push(id, &open.submission.team, open.arrived_ms, queued);
     }
 
-    pub(crate) fn free_slot_of(&mut self, id: SubmissionId) {
+    pub(crate) fn release_slot_of(&mut self, id: SubmissionId) {
         if let Some(open) = self.open.get(&id)
             && let Some(service) = self.services.get_mut(&open.submission.service)
         {
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -11,11 +11,11 @@
 /// A submission's turn comes at its arrival, put back by a share of the time
 /// that it needs at least and of the work it still has, so that short ones
 /// pass long ones and jobs that are nearly done are finished first.
-const LONGEST_SHARE: f64 = 0.5;
+const LONGEST_TASK_FRACTION: f64 = 0.5;
 /// Share of the work that still waits by which the turn is put back.
-const WORK_SHARE: f64 = 0.05;
+const REMAINING_WORK_FRACTION: f64 = 0.05;
 /// Most that a submission can be put back behind later ones, in milliseconds.
-const MAX_DELAY_MS: u64 = 5_000;
+const MAX_TURN_DELAY_MS: u64 = 5_000;
 
 /// A waiting task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -29,7 +29,7 @@
 /// Waiting tasks of one service at one home.
 #[derive(Clone, Debug, Default)]
 pub struct TaskQueue {
-    submissions: BTreeMap<SubmissionId, Waiting>,
+    submissions: BTreeMap<SubmissionId, WaitingSubmission>,
     teams: BTreeMap<Name, TeamQueue>,
     tasks: usize,
     work_ms: u64,
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingSubmission {
     team: Name,
     arrived_ms: u64,
     longest_ms: u32,
@@ -70,7 +70,7 @@
             return;
         }
         all.sort_unstable();
-        let waiting = Waiting::new(id, team, arrived_ms, all);
+        let waiting = WaitingSubmission::new(id, team, arrived_ms, all);
         self.tasks += waiting.tasks.len();
         self.work_ms += waiting.work_ms;
         self.insert_turn(&waiting);
@@ -161,14 +161,14 @@
         Some(task)
     }
 
-    fn insert_turn(&mut self, waiting: &Waiting) {
+    fn insert_turn(&mut self, waiting: &WaitingSubmission) {
         let queue = self.teams.entry(waiting.team.clone()).or_default();
         queue.turns.insert(waiting.turn);
         queue.tasks += waiting.tasks.len();
         queue.work_ms += waiting.work_ms;
     }
 
-    fn remove_turn(&mut self, waiting: &Waiting) {
+    fn remove_turn(&mut self, waiting: &WaitingSubmission) {
         let Some(queue) = self.teams.get_mut(&waiting.team) else {
             return;
         };
@@ -181,7 +181,7 @@
     }
 }
 
-impl Waiting {
+impl WaitingSubmission {
     /// `tasks` are in ascending order of their estimates.
     fn new(id: SubmissionId, team: &Name, arrived_ms: u64, tasks: Vec<QueuedTask>) -> Self {
         let mut waiting = Self {
@@ -197,8 +197,8 @@
     }
 
     fn turn_ms(&self) -> u64 {
-        let delay_ms =
-            f64::from(self.longest_ms) * LONGEST_SHARE + self.work_ms as f64 * WORK_SHARE;
-        self.arrived_ms + (delay_ms.round() as u64).min(MAX_DELAY_MS)
+        let delay_ms = f64::from(self.longest_ms) * LONGEST_TASK_FRACTION
+            + self.work_ms as f64 * REMAINING_WORK_FRACTION;
+        self.arrived_ms + (delay_ms.round() as u64).min(MAX_TURN_DELAY_MS)
     }
 }
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -18,14 +18,14 @@
 use crate::submission::TaskState;
 
 /// Time to wait for results of an agent that left as planned, in milliseconds.
-const RESULTS_OF_LEFT_MS: u64 = 2_000;
+const LEFT_RESULT_TIMEOUT_MS: u64 = 2_000;
 /// Times that this pause is doubled at most.
 const MAX_RECONNECT_DOUBLINGS: u32 = 5;
 
 /// Pause before an agent is asked again after its connection broke first.
-const RECONNECT_MS: u64 = 100;
+const FIRST_RECONNECT_DELAY_MS: u64 = 100;
 /// Longest interval between two such questions, in milliseconds.
-const MAX_CHECK_MS: u64 = 15_000;
+const MAX_CHECK_INTERVAL_MS: u64 = 15_000;
 
 impl Home {
     /// An agent will never take work again.
@@ -36,7 +36,8 @@
         match ctx.view.state(agent) {
             // It finished what it had; the news may overtake the results.
             Some(MemberState::Left { .. }) => {
-                self.departed.insert(agent, ctx.now_ms + RESULTS_OF_LEFT_MS);
+                self.results_awaited_until_ms
+                    .insert(agent, ctx.now_ms + LEFT_RESULT_TIMEOUT_MS);
             }
             _ => self.lose_tasks_of(ctx, agent),
         }
@@ -45,13 +46,13 @@
     pub(crate) fn lose_tasks_of_departed(&mut self, ctx: &mut Context<'_>) {
         let is_due = |due_ms: &u64| *due_ms <= ctx.now_ms;
         let due: Vec<NodeId> = self
-            .departed
+            .results_awaited_until_ms
             .iter()
             .filter(|(_, due_ms)| is_due(due_ms))
             .map(|(node, _)| *node)
             .collect();
         for agent in due {
-            self.departed.remove(&agent);
+            self.results_awaited_until_ms.remove(&agent);
             self.lose_tasks_of(ctx, agent);
         }
     }
@@ -71,7 +72,7 @@
                 .map(|open| open.running_on(agent))
                 .unwrap_or_default();
             for index in lost {
-                self.lost_task(ctx, id, index);
+                self.handle_lost_task(ctx, id, index);
             }
         }
         let names: Vec<Name> = self.services.keys().cloned().collect();
@@ -80,13 +81,13 @@
         }
     }
 
-    pub(crate) fn lost_task(&mut self, ctx: &mut Context<'_>, id: SubmissionId, index: u16) {
+    pub(crate) fn handle_lost_task(&mut self, ctx: &mut Context<'_>, id: SubmissionId, index: u16) {
         if !self.open.contains_key(&id) {
             return;
         }
         ctx.actions
             .push(Action::log("task-lost", format_args!("{id}/{index}")));
-        self.free_slot_of(id);
+        self.release_slot_of(id);
         self.set_state(id, index, TaskState::Unknown);
         self.retry_or_close(ctx, id, index, Reason::AgentLost);
     }
@@ -97,7 +98,8 @@
             if let TaskState::Started(started) = &mut task.state
                 && started.agent.addr == addr
             {
-                let pause_ms = RECONNECT_MS << started.reconnects.min(MAX_RECONNECT_DOUBLINGS);
+                let pause_ms =
+                    FIRST_RECONNECT_DELAY_MS << started.reconnects.min(MAX_RECONNECT_DOUBLINGS);
                 started.check_at_ms = started.check_at_ms.min(now_ms + pause_ms);
                 started.reconnects += 1;
             }
@@ -136,7 +138,8 @@
                 let start = open.task_start(ctx.now_ms, *id, index, credit);
                 if let TaskState::Started(started) = &mut open.tasks[usize::from(index)].state {
                     started.is_resent = true;
-                    started.check_interval_ms = (started.check_interval_ms * 2).min(MAX_CHECK_MS);
+                    started.check_interval_ms =
+                        (started.check_interval_ms * 2).min(MAX_CHECK_INTERVAL_MS);
                     started.check_at_ms = ctx.now_ms + started.check_interval_ms;
                     ctx.actions
                         .push(Action::Count(Counter::Resent(Reason::AgentSilent)));
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -18,12 +18,12 @@
 use crate::credits::CREDIT_LEASE_MS;
 
 /// Uses of each slot whose results are remembered, to answer repeated starts.
-const REMEMBERED_RESULTS: usize = 8;
+const RETAINED_RESULTS: usize = 8;
 /// Time for which it is remembered which task each use was for: well beyond
 /// the lease of a credit, so that a late first start gets a true answer.
-const REMEMBERED_MS: u64 = 3 * CREDIT_LEASE_MS;
+const USE_RETENTION_MS: u64 = 3 * CREDIT_LEASE_MS;
 /// Most uses of one slot that are remembered.
-const MAX_REMEMBERED_USES: usize = 4_096;
+const MAX_RETAINED_USES: usize = 4_096;
 
 /// Slot accounting of one agent.
 ///
@@ -69,7 +69,7 @@
     Running(TaskId),
     Ended(Finished),
     /// Ended; the result is no longer held.
-    Forgotten(TaskId),
+    ResultDropped(TaskId),
 }
 
 /// A task that just ended, and the home that waits for it.
@@ -125,10 +125,10 @@
         let task_id = start.task_id;
         let credit = start.credit;
         let Some(slot) = self.slots.get_mut(usize::from(credit.slot)) else {
-            return Some(ended_without_run(task_id, TaskResult::Unknown));
+            return Some(finished_without_credit(task_id, TaskResult::Unknown));
         };
         if credit.agent != self.me || credit.sequence > slot.sequence {
-            return Some(ended_without_run(task_id, TaskResult::Unknown));
+            return Some(finished_without_credit(task_id, TaskResult::Unknown));
         }
         if credit.sequence < slot.sequence {
             actions.push(Action::Count(Counter::RepeatedStart));
@@ -137,9 +137,9 @@
         if self.leaving {
             slot.revoke(now_ms);
             let result = TaskResult::NotStarted(Reason::AgentLeaving);
-            return Some(ended_without_run(task_id, result));
+            return Some(finished_without_credit(task_id, result));
         }
-        slot.use_up(now_ms, UseKind::Running(task_id));
+        slot.record_use(now_ms, UseKind::Running(task_id));
         slot.state = SlotState::Busy {
             home,
             started_at_ms: now_ms,
@@ -282,10 +282,10 @@
 }
 
 impl Slot {
-    fn use_up(&mut self, now_ms: u64, kind: UseKind) {
+    fn record_use(&mut self, now_ms: u64, kind: UseKind) {
         while self.uses.front().is_some_and(|first| {
-            now_ms.saturating_sub(first.at_ms) > REMEMBERED_MS
-                || self.uses.len() >= MAX_REMEMBERED_USES
+            now_ms.saturating_sub(first.at_ms) > USE_RETENTION_MS
+                || self.uses.len() >= MAX_RETAINED_USES
         }) {
             self.uses.pop_front();
         }
@@ -295,21 +295,21 @@
             kind,
         });
         self.sequence += 1;
-        self.forget_result();
+        self.drop_old_result();
     }
 
     /// Drops the result of the use that is just too old.
-    fn forget_result(&mut self) {
-        let Some(index) = self.uses.len().checked_sub(REMEMBERED_RESULTS + 1) else {
+    fn drop_old_result(&mut self) {
+        let Some(index) = self.uses.len().checked_sub(RETAINED_RESULTS + 1) else {
             return;
         };
         if let UseKind::Ended(finished) = &self.uses[index].kind {
-            self.uses[index].kind = UseKind::Forgotten(finished.task_id);
+            self.uses[index].kind = UseKind::ResultDropped(finished.task_id);
         }
     }
 
     fn revoke(&mut self, now_ms: u64) {
-        self.use_up(now_ms, UseKind::Revoked);
+        self.record_use(now_ms, UseKind::Revoked);
         self.state = SlotState::Idle {
             since_ms: now_ms,
             holder: None,
@@ -323,21 +323,23 @@
             .iter()
             .find(|used| used.sequence == credit.sequence)
         else {
-            return Some(ended_without_run(task_id, TaskResult::Unknown));
+            return Some(finished_without_credit(task_id, TaskResult::Unknown));
         };
         let stale = TaskResult::NotStarted(Reason::StaleCredit);
         match &used.kind {
             UseKind::Running(running) if *running == task_id => None,
-            UseKind::Ended(finished) if finished.task_id == task_id => Some(self.repeat(finished)),
-            UseKind::Forgotten(ended) if *ended == task_id => {
-                Some(ended_without_run(task_id, TaskResult::Unknown))
+            UseKind::Ended(finished) if finished.task_id == task_id => {
+                Some(self.repeat_result(finished))
             }
-            _ => Some(ended_without_run(task_id, stale)),
+            UseKind::ResultDropped(ended) if *ended == task_id => {
+                Some(finished_without_credit(task_id, TaskResult::Unknown))
+            }
+            _ => Some(finished_without_credit(task_id, stale)),
         }
     }
 
     /// The next credit is repeated only while it is still unused.
-    fn repeat(&self, finished: &Finished) -> Finished {
+    fn repeat_result(&self, finished: &Finished) -> Finished {
         let is_unused = |next: &Credit| next.sequence == self.sequence;
         let next_credit = finished.next_credit.filter(is_unused);
         Finished {
@@ -347,7 +349,7 @@
     }
 }
 
-fn ended_without_run(task_id: TaskId, result: TaskResult) -> Finished {
+fn finished_without_credit(task_id: TaskId, result: TaskResult) -> Finished {
     Finished {
         task_id,
         result,
--- a/crates/core/src/service.rs
+++ b/crates/core/src/service.rs
@@ -118,19 +118,19 @@
         id: SubmissionId,
         needs: &Needs,
     ) -> Option<Credit> {
-        let pack_on = placing
+        let preferred_agent = placing
             .last
             .filter(|last| placing.preference == Preference::Messages && last.id == id)
             .map(|last| last.credit.agent);
         let health = &self.health;
         self.credits.take(placing.now_ms, |agent| {
             let fits = placing.view.is_usable(agent, needs) && health.allows(placing.now_ms, agent);
-            fits.then_some(u32::from(Some(agent) == pack_on))
+            fits.then_some(u32::from(Some(agent) == preferred_agent))
         })
     }
 
     /// Takes in the next credit of a slot whose task ended.
-    pub(crate) fn take_back(&mut self, now_ms: u64, credit: Credit) {
+    pub(crate) fn return_credit(&mut self, now_ms: u64, credit: Credit) {
         let failures = u64::from(self.health.consecutive_failures(credit.agent));
         let pause_ms = (failures * PAUSE_PER_FAILURE_MS).min(MAX_PAUSE_MS);
         self.credits.add(credit, now_ms, now_ms + pause_ms);
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -165,10 +165,10 @@
 
     fn ran(&self) -> Ran {
         let statuses: Vec<TaskStatus> = self.tasks.iter().map(OpenTask::status).collect();
-        let any = |wanted: &[TaskStatus]| statuses.iter().any(|status| wanted.contains(status));
-        if any(&[TaskStatus::Done, TaskStatus::Failed]) {
+        let has_any = |wanted: &[TaskStatus]| statuses.iter().any(|status| wanted.contains(status));
+        if has_any(&[TaskStatus::Done, TaskStatus::Failed]) {
             Ran::Ran
-        } else if any(&[TaskStatus::Started, TaskStatus::Unknown]) {
+        } else if has_any(&[TaskStatus::Started, TaskStatus::Unknown]) {
             Ran::Unknown
         } else {
             Ran::NotRun
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -73,7 +73,7 @@
     settings: TableSettings,
     started_at_ms: i64,
     /// Generation in which the table was made, or taken over.
-    left_in: u32,
+    created_in: u32,
     oldest: u32,
     generations: BTreeMap<u32, BTreeMap<u64, Entry>>,
     answer_bytes: usize,
@@ -87,7 +87,7 @@
             home,
             settings,
             started_at_ms: now_ms.cast_signed() - uptime_ms.cast_signed(),
-            left_in: generation_at(uptime_ms),
+            created_in: generation_at(uptime_ms),
             oldest: 0,
             generations: BTreeMap::new(),
             answer_bytes: 0,
@@ -117,8 +117,8 @@
             .keys()
             .next_back()
             .copied()
-            .unwrap_or(self.left_in);
-        let end_ms = u64::from(newest.max(self.left_in) + 1) * GENERATION_MS;
+            .unwrap_or(self.created_in);
+        let end_ms = u64::from(newest.max(self.created_in) + 1) * GENERATION_MS;
         self.uptime_ms(now_ms) > end_ms + retention_ms
     }
 
@@ -171,7 +171,7 @@
 
     /// Notes that a submission with this id is being run.
     pub fn open(&mut self, id: SubmissionId, fingerprint: u64) {
-        self.put(
+        self.insert_entry(
             id,
             Entry {
                 fingerprint,
@@ -182,7 +182,7 @@
 
     /// Notes the final answer of a submission.
     pub fn answer(&mut self, id: SubmissionId, fingerprint: u64, answer: Arc<Answer>) {
-        self.put(
+        self.insert_entry(
             id,
             Entry {
                 fingerprint,
@@ -197,7 +197,7 @@
         let state = entry
             .answer
             .map_or(EntryState::Dropped, EntryState::Answered);
-        self.put(
+        self.insert_entry(
             entry.id,
             Entry {
                 fingerprint: entry.fingerprint,
@@ -250,7 +250,7 @@
         self.answer_bytes
     }
 
-    fn put(&mut self, id: SubmissionId, entry: Entry) {
+    fn insert_entry(&mut self, id: SubmissionId, entry: Entry) {
         if id.generation < self.oldest {
             return;
         }
--- a/crates/core/src/teams.rs
+++ b/crates/core/src/teams.rs
@@ -42,14 +42,14 @@
     ) -> Vec<Name> {
         let mut ranked: Vec<(f64, Name)> = teams
             .into_iter()
-            .filter(|team| self.below_quota(team, quotas.get(team), homes))
+            .filter(|team| self.is_below_quota(team, quotas.get(team), homes))
             .map(|team| (self.load(&team, quotas.get(&team)), team))
             .collect();
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
         ranked.into_iter().map(|(_, team)| team).collect()
     }
 
-    fn below_quota(&self, team: &Name, quota: Option<&TeamConfig>, homes: u32) -> bool {
+    fn is_below_quota(&self, team: &Name, quota: Option<&TeamConfig>, homes: u32) -> bool {
         quota.is_none_or(|quota| {
             self.running(team) < quota.max_running_tasks.div_ceil(homes.max(1)).max(1)
         })
--- a/crates/core/src/upkeep.rs
+++ b/crates/core/src/upkeep.rs
@@ -15,14 +15,14 @@
 use crate::home::Home;
 
 /// Least interval between attempts to write a snapshot, in milliseconds.
-const SNAPSHOT_RETRY_MS: u64 = 10_000;
+const MIN_SNAPSHOT_INTERVAL_MS: u64 = 10_000;
 /// A snapshot is written again after this share of the log's retention.
 const SNAPSHOTS_PER_RETENTION: u64 = 4;
 
 /// Interval between reads of the log by all other agents.
-const OTHER_POLL_MS: u64 = 15_000;
+const DEFAULT_LOG_POLL_INTERVAL_MS: u64 = 15_000;
 /// Interval between reads of the log by the readers, in milliseconds.
-const READER_POLL_MS: u64 = 1_000;
+const READER_LOG_POLL_INTERVAL_MS: u64 = 1_000;
 
 /// Idle time after which an agent renews a credit.
 const CREDIT_RENEWAL_MS: u64 = 6_000;
@@ -38,15 +38,15 @@
     }
 
     pub(crate) fn read_log(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
-        if now_ms < self.next_read_ms {
+        if now_ms < self.next_log_read_ms {
             return;
         }
         let is_reader = self.view().log_readers().contains(&self.node);
-        self.next_read_ms = now_ms
+        self.next_log_read_ms = now_ms
             + if is_reader {
-                READER_POLL_MS
+                READER_LOG_POLL_INTERVAL_MS
             } else {
-                OTHER_POLL_MS
+                DEFAULT_LOG_POLL_INTERVAL_MS
             };
         actions.push(Action::ReadLog {
             from_offset: self.configuration.next_offset(),
@@ -63,14 +63,14 @@
             || self.configuration.has_gap()
             || is_recent(self.configuration.snapshot_seen_at_ms(), interval_ms)
             || is_recent(
-                self.snapshot_tried_at_ms,
-                SNAPSHOT_RETRY_MS.min(interval_ms),
+                self.snapshot_attempted_at_ms,
+                MIN_SNAPSHOT_INTERVAL_MS.min(interval_ms),
             )
             || self.view().log_readers().first() != Some(&self.node)
         {
             return;
         }
-        self.snapshot_tried_at_ms = Some(now_ms);
+        self.snapshot_attempted_at_ms = Some(now_ms);
         actions.push(Action::Append(LogRecord::Snapshot(
             self.configuration.snapshot(),
         )));
@@ -100,11 +100,11 @@
         let mut grants: BTreeMap<NodeId, Vec<SlotCredit>> = BTreeMap::new();
         for slot in free {
             let first = usize::try_from(self.node.0 % homes.len() as u64).unwrap_or(0);
-            let by_turn = homes[(usize::from(slot.index) + first) % homes.len()];
+            let assigned_home = homes[(usize::from(slot.index) + first) % homes.len()];
             let home = slot
                 .last_holder
                 .filter(|node| homes.contains(node))
-                .unwrap_or(by_turn);
+                .unwrap_or(assigned_home);
             let credit = self.runner.grant(now_ms, slot.index, home);
             grants.entry(home).or_default().extend(credit);
             if slot.last_holder.is_some_and(|node| node != home) {
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -21,16 +21,16 @@
 /// The members that a process has heard of.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    members: BTreeMap<NodeId, Known>,
+    members: BTreeMap<NodeId, KnownMember>,
     changes: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownMember {
     member: Member,
     started_at_ms: i64,
     change: u64,
-    heard_at_ms: u64,
+    updated_at_ms: u64,
 }
 
 /// Where to send what concerns a submission of some home.
@@ -41,7 +41,7 @@
     /// The home is lost; its submissions have no known outcome.
     Lost,
     /// Nothing is known of the home.
-    Unheard,
+    UnknownHome,
 }
 
 /// Members that changed after some point of a view's history.
@@ -66,15 +66,15 @@
             self.changes += 1;
             known.member = member.clone();
             known.change = self.changes;
-            known.heard_at_ms = now_ms;
+            known.updated_at_ms = now_ms;
             return true;
         }
         self.changes += 1;
-        let known = Known {
+        let known = KnownMember {
             member: member.clone(),
             started_at_ms,
             change: self.changes,
-            heard_at_ms: now_ms,
+            updated_at_ms: now_ms,
         };
         self.members.insert(member.node, known);
         true
@@ -183,7 +183,7 @@
         for _ in 0..MAX_SUCCESSORS {
             let Some(known) = self.members.get(&node) else {
                 return if node == home {
-                    HomeTarget::Unheard
+                    HomeTarget::UnknownHome
                 } else {
                     HomeTarget::Lost
                 };
@@ -210,12 +210,13 @@
     /// Forgets members that have been gone for longer than the retention.
     pub fn forget_gone(&mut self, now_ms: u64, retention_ms: u64) {
         self.members.retain(|_, known| {
-            !known.member.state.is_gone() || now_ms.saturating_sub(known.heard_at_ms) < retention_ms
+            !known.member.state.is_gone()
+                || now_ms.saturating_sub(known.updated_at_ms) < retention_ms
         });
     }
 
     pub(crate) fn delta(&self, now_ms: u64, since: u64, limit: usize) -> Delta {
-        let mut changed: Vec<&Known> = self
+        let mut changed: Vec<&KnownMember> = self
             .members
             .values()
             .filter(|known| known.change > since)
@@ -236,7 +237,7 @@
     }
 }
 
-impl Known {
+impl KnownMember {
     fn uptime_ms(&self, now_ms: u64) -> u64 {
         (now_ms.cast_signed() - self.started_at_ms)
             .max(0)
--- a/crates/core/src/waiting.rs
+++ b/crates/core/src/waiting.rs
@@ -11,9 +11,9 @@
 use crate::Peer;
 
 /// Time after which a submission without an answer is sent again, at first.
-pub(crate) const FIRST_RESEND_MS: u64 = 5_000;
+pub(crate) const FIRST_RESEND_INTERVAL_MS: u64 = 5_000;
 /// Longest such time.
-const MAX_RESEND_MS: u64 = 20_000;
+const MAX_RESEND_INTERVAL_MS: u64 = 20_000;
 
 /// What an answer is matched by: callers of one id with different contents
 /// wait for different answers.
@@ -37,7 +37,7 @@
     pub(crate) callers: Vec<Caller>,
     pub(crate) sent_to: Option<Peer>,
     pub(crate) next_send_ms: u64,
-    pub(crate) interval_ms: u64,
+    pub(crate) resend_interval_ms: u64,
     pub(crate) is_cancel: bool,
 }
 
@@ -55,7 +55,7 @@
             callers: Vec::new(),
             sent_to: None,
             next_send_ms: now_ms,
-            interval_ms: FIRST_RESEND_MS,
+            resend_interval_ms: FIRST_RESEND_INTERVAL_MS,
             is_cancel: false,
         }
     }
@@ -68,9 +68,9 @@
         configuration_version: u64,
     ) -> Action {
         self.sent_to = Some(to);
-        self.next_send_ms = now_ms + self.interval_ms;
-        self.interval_ms = (self.interval_ms * 2).min(MAX_RESEND_MS);
-        let latest = self
+        self.next_send_ms = now_ms + self.resend_interval_ms;
+        self.resend_interval_ms = (self.resend_interval_ms * 2).min(MAX_RESEND_INTERVAL_MS);
+        let latest_deadline_ms = self
             .callers
             .iter()
             .map(|caller| caller.deadline_at_ms)
@@ -87,7 +87,7 @@
                 id: key.id,
                 submission,
                 fingerprint: key.fingerprint,
-                remaining_ms: latest.saturating_sub(now_ms),
+                remaining_ms: latest_deadline_ms.saturating_sub(now_ms),
                 configuration_version,
             }
         };
