--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -1,4 +1,4 @@
-//! What a core asks the process around it to do.
+//! The actions that a core requests from the process around it.
 
 use std::net::SocketAddr;
 
@@ -11,17 +11,18 @@
 
 use crate::Reply;
 
-/// A process and where it receives.
+/// A process and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Peer {
-    /// The run of the process; `None` at first contact.
+    /// The incarnation of the process; `None` at first contact, while it is
+    /// unknown.
     pub node: Option<NodeId>,
-    /// Where it receives UDP and TCP.
+    /// Address at which the process receives UDP and TCP.
     pub addr: SocketAddr,
 }
 
 impl Peer {
-    /// A peer whose run is known.
+    /// Creates a peer whose incarnation is known.
     #[must_use]
     pub fn known(node: NodeId, addr: SocketAddr) -> Self {
         Self {
@@ -31,25 +32,25 @@
     }
 }
 
-/// A caller that waits at an entry for a reply.
+/// Identifies a caller that waits at an entry for a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// Something worth a line in the log of the process.
+/// A line for the log of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
-    /// Name of the event; each has one meaning.
+    /// Name of the event. Each name has one meaning.
     pub event: &'static str,
-    /// What it is about.
+    /// The object that the event concerns.
     pub subject: String,
 }
 
-/// Something that a metric counts.
+/// An occurrence that a metric counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Counter {
-    /// A submission was complete.
+    /// A submission completed.
     Completed,
-    /// A submission was refused, and nothing of it ran.
+    /// A submission was refused, and none of its tasks ran.
     Refused(Reason),
     /// A submission failed after its admission.
     Failed(Reason),
@@ -59,51 +60,54 @@
     Resent(Reason),
     /// A task was started on this agent's minion.
     TaskStarted,
-    /// A start was ignored because its task was already known.
+    /// A start was not performed because its credit had already been used or
+    /// revoked.
     RepeatedStart,
     /// A minion was ejected.
     MinionEjected,
-    /// Slots were taken back from a home that lost or forgot them.
+    /// A slot's credit was taken back from a process that is lost or no longer
+    /// a home of the service, and granted to a home.
     CreditsReclaimed,
 }
 
-/// One thing to do.
+/// One action for the process to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message.
+    /// Sends a message.
     Send {
         /// The receiver.
         to: Peer,
         /// The message.
         message: Message,
     },
-    /// Run a task on the minion of this agent.
+    /// Runs a task on the minion of this agent.
     Run(TaskStart),
-    /// Ask the minion to stop a task that runs.
+    /// Asks the minion to stop a running task.
     StopTask(TaskId),
-    /// Reply to a caller.
+    /// Replies to a caller.
     Reply {
         /// The caller.
         caller: CallerId,
         /// The reply.
         reply: Reply,
     },
-    /// Append a record to the configuration stream of the platform's log.
+    /// Appends a record to the configuration stream of the platform's log.
     Append(LogRecord),
-    /// Read the configuration stream from this offset as soon as possible.
+    /// Reads the configuration stream from an offset as soon as possible.
     ReadLog {
-        /// The first record wanted.
+        /// Offset of the first record to read.
         from_offset: u64,
     },
-    /// Count something.
+    /// Increments a counter.
     Count(Counter),
-    /// Log something.
+    /// Writes a line to the log.
     Log(Notice),
-    /// The process has nothing left to do and can stop.
+    /// Stops the process, which has no work left.
     Stop,
 }
 
 impl Action {
+    /// Builds the action that logs an event.
     pub(crate) fn log(event: &'static str, subject: impl std::fmt::Display) -> Self {
         Self::Log(Notice {
             event,
--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -1,5 +1,5 @@
-//! The core of an agent: its minion's slots, the submissions it is home of,
-//! and its part in membership and configuration.
+//! The core of an agent: the slots of its minion, the submissions that it is
+//! the home of, and its part in membership and configuration.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -28,22 +28,23 @@
 use crate::home::Home;
 use crate::membership::StepOutcome;
 
-/// Interval of periodic work in milliseconds.
+/// Interval in milliseconds between runs of the periodic work.
 const MAINTENANCE_INTERVAL_MS: u64 = 100;
 
 /// Settings of an agent's core.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// This agent as the others will know it.
+    /// The member that this agent announces to the others.
     pub member: Member,
-    /// Times of the failure detector.
+    /// Intervals and timeouts of the failure detector.
     pub membership: MembershipSettings,
-    /// Bounds of the table of submissions.
+    /// Limits of the table of submissions.
     pub table: TableSettings,
-    /// Time for which the platform's log keeps records, in milliseconds.
+    /// Time in milliseconds for which the platform's log retains records.
     pub log_retention_ms: u64,
-    /// Time after the start of a planned stop for which new submissions are
-    /// still taken, until all have heard of it, in milliseconds.
+    /// Time in milliseconds after the start of a planned stop during which the
+    /// agent still accepts new submissions, so that all processes can receive
+    /// the announcement.
     pub leave_notice_ms: u64,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl Agent {
-    /// The core of an agent that just started.
+    /// Creates the core of an agent that has just started.
     #[must_use]
     pub fn new(settings: AgentSettings, now_ms: u64) -> Self {
         let node = settings.member.node;
@@ -85,43 +86,43 @@
         }
     }
 
-    /// What this agent knows of the others.
+    /// Returns this agent's view of the members.
     #[must_use]
     pub fn view(&self) -> &View {
         self.membership.view()
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration that this agent applies.
     #[must_use]
     pub fn configuration(&self) -> &ConfigurationStore {
         &self.configuration
     }
 
-    /// Submissions without a final answer.
+    /// Returns the number of submissions without a final answer.
     #[must_use]
     pub fn open_submissions(&self) -> usize {
         self.home.open.len()
     }
 
-    /// Submissions whose ids are held.
+    /// Returns the number of submissions whose ids are retained.
     #[must_use]
     pub fn retained_submissions(&self) -> usize {
         self.home.retained()
     }
 
-    /// Slots on which a task runs.
+    /// Returns the number of slots on which a task runs.
     #[must_use]
     pub fn busy_slots(&self) -> usize {
         self.runner.busy()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         !matches!(self.drain, Drain::NotLeaving)
     }
 
-    /// Adds addresses for the first contact.
+    /// Adds addresses to contact while no other agent is known.
     pub fn add_contacts(&mut self, contacts: impl IntoIterator<Item = SocketAddr>) {
         self.membership.add_contacts(contacts);
     }
@@ -138,7 +139,8 @@
         })
     }
 
-    /// A connection broke; messages on it may be lost.
+    /// Handles a broken connection to `addr`, on which messages may have been
+    /// lost.
     pub fn peer_down(&mut self, now_ms: u64, addr: SocketAddr) -> Vec<Action> {
         self.home.peer_down(now_ms, addr);
         let version = self.configuration.current().version;
@@ -148,7 +150,8 @@
             .collect()
     }
 
-    /// A message never left this process.
+    /// Handles a message that was never sent, so that no process has received
+    /// it. The tasks that it should have started can start on other agents.
     pub fn undelivered(&mut self, now_ms: u64, message: Message) -> Vec<Action> {
         let Message::Start(starts) = message else {
             return Vec::new();
@@ -158,7 +161,7 @@
         })
     }
 
-    /// The minion ended a task.
+    /// Handles the end of a task that the minion reports.
     pub fn task_ended(&mut self, now_ms: u64, credit: Credit, result: TaskResult) -> Vec<Action> {
         self.run_step(now_ms, |agent, actions| {
             if let Some(ended) = agent.runner.finish(now_ms, credit, result) {
@@ -171,7 +174,8 @@
         })
     }
 
-    /// Does what is due. To be called every few milliseconds.
+    /// Performs the periodic work that is due. The caller invokes this every
+    /// few milliseconds.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
         self.run_step(now_ms, |agent, actions| {
             let version = agent.configuration.current().version;
@@ -185,7 +189,8 @@
         })
     }
 
-    /// Runs a step, then all messages that it sends to this agent itself.
+    /// Runs `step` and then handles the messages that the agent sends to
+    /// itself; returns all other actions.
     pub(crate) fn run_step(
         &mut self,
         now_ms: u64,
@@ -293,6 +298,7 @@
         }
     }
 
+    /// Handles the messages of the failure detector and of view pulls.
     pub(crate) fn membership_message(
         &mut self,
         now_ms: u64,
@@ -368,6 +374,8 @@
         self.apply_step(now_ms, step, actions);
     }
 
+    /// Applies an outcome of the failure detector: removes the members that are
+    /// gone and pulls a newer configuration.
     pub(crate) fn apply_step(&mut self, now_ms: u64, step: StepOutcome, actions: &mut Vec<Action>) {
         actions.extend(step.actions);
         for node in step.gone {
@@ -381,6 +389,7 @@
         }
     }
 
+    /// Starts tasks on the minion and reports those that end at once.
     pub(crate) fn start(
         &mut self,
         now_ms: u64,
@@ -400,6 +409,7 @@
         }
     }
 
+    /// Runs `step` on the home with a context of the agent's current state.
     pub(crate) fn with_home(
         &mut self,
         now_ms: u64,
@@ -416,6 +426,7 @@
     }
 }
 
+/// Returns `from` if its configuration version is higher.
 fn peer_if_newer(from: Peer, theirs: u64, ours: u64) -> Option<Peer> {
     (theirs > ours).then_some(from)
 }
--- a/crates/core/src/agent_configuration.rs
+++ b/crates/core/src/agent_configuration.rs
@@ -1,4 +1,4 @@
-//! How an agent follows the configuration.
+//! How an agent keeps its configuration up to date.
 
 use gannetvane_wire::Message;
 use gannetvane_wire::Snapshot;
@@ -9,11 +9,12 @@
 use crate::Peer;
 use crate::home::Arrival;
 
-/// Longest time for which a submission waits for the configuration.
+/// Maximum time in milliseconds for which a submission is held until the
+/// configuration arrives.
 const MAX_HOLD_MS: u64 = 1_000;
 
 impl Agent {
-    /// Takes in a part of the configuration stream.
+    /// Applies a page of the configuration stream.
     pub fn log_page(&mut self, now_ms: u64, page: LogPage) -> Vec<Action> {
         let at_end = page.at_end;
         let version = self.configuration.current().version;
@@ -29,6 +30,7 @@
         })
     }
 
+    /// Applies the configuration of another process if it is newer.
     pub(crate) fn adopt_configuration(
         &mut self,
         now_ms: u64,
@@ -40,6 +42,7 @@
         }
     }
 
+    /// Announces a new configuration, and processes what depended on it.
     pub(crate) fn configuration_changed(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let version = self.configuration.current().version;
         actions.push(Action::log("configuration-changed", version));
@@ -48,8 +51,9 @@
         self.grant_credits(now_ms, actions);
     }
 
-    /// A submission from an entry that knows a newer configuration waits until
-    /// this agent has it too, or for [`MAX_HOLD_MS`].
+    /// Passes a submission to the home. If the entry has a newer configuration,
+    /// the submission is held until this agent has it too, for at most
+    /// [`MAX_HOLD_MS`].
     pub(crate) fn submit_or_hold(
         &mut self,
         now_ms: u64,
@@ -80,6 +84,8 @@
         });
     }
 
+    /// Passes on the held submissions whose configuration has arrived or whose
+    /// holding time has passed.
     pub(crate) fn submit_held(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         for held in std::mem::take(&mut self.held) {
             self.submit_or_hold(now_ms, held, actions);
@@ -87,7 +93,7 @@
     }
 }
 
-/// A submission that waits for a newer configuration.
+/// A submission that is held until a newer configuration arrives.
 #[derive(Debug)]
 pub(crate) struct HeldSubmission {
     pub(crate) entry: Peer,
--- a/crates/core/src/borrowing.rs
+++ b/crates/core/src/borrowing.rs
@@ -1,4 +1,4 @@
-//! How homes of one service pass credits to each other.
+//! Requests and passes on credits between the homes of one service.
 
 use gannetvane_wire::Message;
 use gannetvane_wire::Name;
@@ -9,13 +9,13 @@
 use crate::home::Context;
 use crate::home::Home;
 
-/// Most other homes that are asked.
+/// Maximum number of other homes that receive a request.
 const MAX_ASKED_HOMES: usize = 3;
-/// Most credits asked for in one message.
+/// Maximum number of credits requested in one message.
 const MAX_ASKED_CREDITS: usize = 64;
 
 impl Home {
-    /// Takes in credits from an agent or another home.
+    /// Adds credits that an agent or another home passes to this home.
     pub(crate) fn handle_grant(
         &mut self,
         ctx: &mut Context<'_>,
@@ -34,7 +34,7 @@
         self.dispatch(ctx, name);
     }
 
-    /// Another home is short of credits.
+    /// Handles another home's request for credits.
     pub(crate) fn credits_requested(
         &mut self,
         ctx: &mut Context<'_>,
@@ -50,8 +50,9 @@
         self.dispatch(ctx, name);
     }
 
-    /// Passes spare credits to homes that are short, and all of them when this
-    /// agent is no longer a home of the service.
+    /// Passes credits to the homes that requested them. If this agent is no
+    /// longer a home of the service, it passes all its credits to the first
+    /// home.
     pub(crate) fn lend(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let me = self.table.home();
         let Some(service) = self.services.get_mut(name) else {
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Passes a slot on although tasks wait here, when another home's first
-    /// task should have had its turn much earlier.
+    /// Passes credits to other homes although tasks wait here, if the first
+    /// task of such a home is overdue for much longer.
     pub(crate) fn lend_to_more_urgent(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let Some(service) = self.services.get_mut(name) else {
             return;
@@ -96,6 +97,7 @@
         }
     }
 
+    /// Requests credits from other homes if tasks still wait here.
     pub(crate) fn ask_for_credits(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let me = self.table.home();
         let Some(service) = self.services.get_mut(name) else {
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,11 +1,11 @@
-//! A bound on retries as a share of recent successes.
+//! A limit on retries as a fraction of recent successes.
 
-/// Retries allowed for each success.
+/// Number of retries that each success adds to the budget.
 const RETRIES_PER_SUCCESS: f64 = 0.1;
-/// Most retries saved up, and the number allowed at the start.
+/// Maximum number of retries in the budget, and their number at the start.
 const MAX_SAVED_RETRIES: f64 = 20.0;
 
-/// Allows a retry only while successes pay for it.
+/// A budget of retries that successes refill.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     saved_retries: f64,
@@ -20,12 +20,12 @@
 }
 
 impl RetryBudget {
-    /// Takes in a success.
+    /// Adds the share of one success to the budget.
     pub fn succeed(&mut self) {
         self.saved_retries = (self.saved_retries + RETRIES_PER_SUCCESS).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry out of the budget; false when none is left.
+    /// Takes one retry from the budget; returns false if none is left.
     pub fn try_retry(&mut self) -> bool {
         if self.saved_retries < 1.0 {
             return false;
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -1,4 +1,4 @@
-//! What callers and operators ask of an entry, and its replies.
+//! Commands of callers and operators to an entry, and its replies.
 
 use std::sync::Arc;
 
@@ -14,76 +14,77 @@
 use crate::Plan;
 use crate::PlanError;
 
-/// What a caller or operator asks of an entry.
+/// A command of a caller or operator to an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Ids for new submissions to a service.
+    /// Returns ids for new submissions to a service.
     TakeIds {
         /// The service.
         service: Name,
         /// Number of ids.
         count: usize,
     },
-    /// Run a submission and wait for its answer.
+    /// Runs a submission and waits for its answer.
     Submit {
-        /// Its id.
+        /// Id of the submission.
         id: SubmissionId,
-        /// What to run.
+        /// The tasks to run.
         submission: Arc<Submission>,
-        /// Time that the caller waits, in milliseconds.
+        /// Time in milliseconds that the caller waits.
         deadline_ms: u64,
     },
-    /// Wait for the answer to a submission.
+    /// Waits for the answer to a submission.
     Lookup {
-        /// Its id.
+        /// Id of the submission.
         id: SubmissionId,
-        /// Time that the caller waits, in milliseconds.
+        /// Time in milliseconds that the caller waits.
         wait_ms: u64,
     },
-    /// Stop a submission.
+    /// Cancels a submission.
     Cancel {
-        /// Its id.
+        /// Id of the submission.
         id: SubmissionId,
     },
-    /// Work out what an intent would change.
+    /// Plans the change that an intent leads to.
     Plan {
-        /// Id for the change.
+        /// Id of the change.
         change_id: Name,
-        /// The intent.
+        /// Operations of the intent.
         operations: Vec<Operation>,
     },
-    /// Put a plan into force.
+    /// Confirms a planned change, so that it takes effect.
     Confirm {
         /// The planned change.
         change: Change,
     },
-    /// What became of a change.
+    /// Returns the outcome of a change.
     ChangeStatus {
-        /// Its id.
+        /// Id of the change.
         change_id: Name,
     },
-    /// The configuration in force.
+    /// Returns the configuration in force.
     Configuration,
-    /// The members known.
+    /// Returns the members in the entry's view.
     Members,
 }
 
-/// Reply to a [`Command`].
+/// The reply to a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// Ids for new submissions.
     Ids(Vec<SubmissionId>),
     /// The final answer, or the refusal of the command.
     Answer(Arc<Answer>),
-    /// A plan, or why there is none.
+    /// The plan, or the reason why the intent cannot be planned.
     Plan(Result<Plan, PlanError>),
-    /// The change is in force since this version or an earlier one.
+    /// The change has taken effect.
     ChangeAccepted {
-        /// Version of the configuration now.
+        /// Current version of the configuration, which may be later than that
+        /// of the change.
         version: u64,
     },
     /// The configuration in force.
     Configuration(Snapshot),
-    /// The members known.
+    /// The members in the entry's view.
     Members(Vec<Member>),
 }
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration as it follows from the platform's log.
+//! The configuration that results from the records of the platform's log, and
+//! the plans that change it.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,30 +14,30 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Ids of applied changes that are remembered.
+/// Number of applied changes whose ids are retained.
 const REMEMBERED_CHANGES: usize = 256;
-/// Refused changes whose outcome is remembered.
+/// Number of refused changes whose ids are retained.
 const REMEMBERED_REFUSALS: usize = 256;
-/// Most operations in one change.
+/// Maximum number of operations in one change.
 const MAX_OPERATIONS: usize = 256;
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Most tasks that any service may allow in a job.
+/// Maximum value of a service's `max_tasks_per_job`.
 const MAX_TASKS_PER_JOB: u16 = 1_024;
 
-/// A record with its place in the log.
+/// A record and its offset in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoggedRecord {
     /// Offset of the record.
     pub offset: u64,
-    /// The record; `None` when it cannot be read by this version.
+    /// The record; `None` if this version cannot read it.
     pub record: Option<LogRecord>,
 }
 
-/// Part of the configuration stream.
+/// A page of the configuration stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogPage {
-    /// The oldest offset that the log still holds.
+    /// The oldest offset that the log still retains.
     pub oldest_offset: u64,
     /// The offset after the last record of this page.
     pub next_offset: u64,
@@ -46,37 +47,39 @@
     pub records: Vec<LoggedRecord>,
 }
 
-/// What became of a change.
+/// The outcome of a change, as far as a process has read the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is part of the configuration.
+    /// The change is part of the configuration.
     Accepted,
-    /// Another change came first.
+    /// The change was refused, because another change on the same version came
+    /// first.
     Conflict,
-    /// It was not read from the log so far.
+    /// The change has not been read from the log yet.
     Unseen,
 }
 
-/// What an intent would change.
+/// The change that an intent leads to, and its effects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The change to confirm.
+    /// The change for the operator to confirm.
     pub change: Change,
-    /// One line for each effect.
+    /// One line of text for each effect.
     pub effects: Vec<String>,
 }
 
-/// An intent that cannot be planned.
+/// The reason why an intent cannot be planned.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlanError {
-    /// No operation, or too many.
+    /// The intent has no operations or too many.
     #[error("operations: {count} given, from 1 to {MAX_OPERATIONS} allowed")]
     OperationCount {
-        /// Operations given.
+        /// Number of operations given.
         count: usize,
     },
-    /// A name is empty, too long or has odd characters.
+    /// A name is empty, is too long or contains characters that are not
+    /// allowed.
     #[error(
         "name {name:?}: from 1 to {MAX_NAME_BYTES} of the characters a-z, 0-9, '-', '_' and '.' allowed"
     )]
@@ -84,7 +87,7 @@
         /// The name.
         name: String,
     },
-    /// What should be removed does not exist.
+    /// The service or team to remove does not exist.
     #[error("{kind} {name:?}: does not exist, so it cannot be removed")]
     Missing {
         /// `service` or `team`.
@@ -95,20 +98,20 @@
     /// A field is out of its range.
     #[error("{name}.{field}: {value} given, from {least} to {most} allowed")]
     Range {
-        /// Service or team.
+        /// Name of the service or team.
         name: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// The value given.
         value: u64,
-        /// Least value allowed.
+        /// Minimum value allowed.
         least: u64,
-        /// Greatest value allowed.
+        /// Maximum value allowed.
         most: u64,
     },
 }
 
-/// Follows the configuration; never goes back to an older version.
+/// The configuration of one process. It never returns to an older version.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationStore {
     current: Configuration,
@@ -120,44 +123,46 @@
     snapshot_seen_at_ms: Option<u64>,
 }
 
-/// Part of the log was forgotten before this process read it. What it held is
-/// unknown, so later changes wait for a snapshot.
+/// A part of the log that was deleted before this process read it. Its records
+/// are unknown, so later changes wait for a snapshot.
 #[derive(Clone, Debug)]
 struct Gap {
-    /// The configuration takes all records before this offset into account.
+    /// The configuration includes all records before this offset.
     covered_offset: u64,
-    /// From this offset on all changes are held.
+    /// Changes from this offset on are held back.
     held_from: u64,
     changes: BTreeMap<u64, Change>,
 }
 
 impl ConfigurationStore {
-    /// The configuration in force.
+    /// Returns the configuration that this process applies.
     #[must_use]
     pub fn current(&self) -> &Configuration {
         &self.current
     }
 
-    /// The first log offset that was not read yet.
+    /// Returns the first log offset that has not been read yet.
     #[must_use]
     pub fn next_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Whether a gap in the log keeps changes from being applied.
+    /// Returns whether a gap in the log prevents changes from being applied.
     #[must_use]
     pub fn has_gap(&self) -> bool {
         self.gap.is_some()
     }
 
-    /// When a snapshot was last read that was written after this process had
-    /// reached the end of the log; the age of earlier ones is not known.
+    /// Returns the time at which a snapshot was last read that was written
+    /// after this process had reached the end of the log. The age of earlier
+    /// snapshots is not known.
     #[must_use]
     pub fn snapshot_seen_at_ms(&self) -> Option<u64> {
         self.snapshot_seen_at_ms
     }
 
-    /// What became of a change, as far as this process has read.
+    /// Returns the outcome of a change, as far as this process has read the
+    /// log.
     #[must_use]
     pub fn outcome(&self, change_id: &Name) -> ChangeOutcome {
         if self.recent.contains(change_id) {
@@ -169,14 +174,14 @@
         }
     }
 
-    /// Whether the change that was made on `base_version` is still remembered,
-    /// or none was made on it so far.
+    /// Returns whether the id of the change that was made on `base_version` is
+    /// still retained, or no change has been made on it yet.
     #[must_use]
     pub fn remembers(&self, base_version: u64) -> bool {
         base_version + self.recent.len() as u64 >= self.current.version
     }
 
-    /// The configuration for a process that has an older one.
+    /// Returns a snapshot of the configuration for a process with an older one.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
@@ -189,7 +194,7 @@
         }
     }
 
-    /// Takes in a page of the log.
+    /// Applies a page of the log.
     pub fn read(&mut self, now_ms: u64, page: LogPage) {
         if page.oldest_offset > self.next_offset {
             self.open_gap(page.oldest_offset);
@@ -214,7 +219,8 @@
         self.reached_end |= page.at_end;
     }
 
-    /// Takes in the configuration of another process, if it is newer.
+    /// Adopts the configuration of another process if it is newer; returns
+    /// whether it was.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> bool {
         let is_newer = snapshot.configuration.version > self.current.version;
         if is_newer {
@@ -223,11 +229,12 @@
         is_newer
     }
 
-    /// Works out what an intent would change.
+    /// Plans the change that an intent leads to.
     ///
     /// # Errors
     ///
-    /// [`PlanError`] names the operation or field that is not allowed.
+    /// Returns a [`PlanError`] that names the operation or field that is not
+    /// allowed.
     pub fn plan(&self, change_id: Name, operations: Vec<Operation>) -> Result<Plan, PlanError> {
         if operations.is_empty() || operations.len() > MAX_OPERATIONS {
             return Err(PlanError::OperationCount {
@@ -253,6 +260,8 @@
         })
     }
 
+    /// Records that the log was deleted up to `oldest_offset` before it was
+    /// read.
     fn open_gap(&mut self, oldest_offset: u64) {
         let covered_offset = self.snapshot().next_offset;
         let gap = Gap {
@@ -273,7 +282,8 @@
         }
     }
 
-    /// The first change on a version wins; all later ones on it are refused.
+    /// Applies a change if it is the first one on the current version, and
+    /// refuses it otherwise.
     fn apply_or_refuse(&mut self, change: Change) {
         if self.recent.contains(&change.change_id) {
             return;
@@ -289,7 +299,8 @@
         remember(&mut self.recent, change.change_id, REMEMBERED_CHANGES);
     }
 
-    /// Takes in a snapshot that is not older, and closes the gap if it can.
+    /// Applies a snapshot that is not older than the configuration. If the
+    /// snapshot covers the gap, closes it and processes the changes held back.
     fn apply_snapshot(&mut self, snapshot: &Snapshot) {
         if snapshot.configuration.version < self.current.version {
             return;
@@ -344,6 +355,7 @@
     }
 }
 
+/// Returns the line that describes the effect of an operation.
 fn effect(operation: &Operation, configuration: &Configuration) -> String {
     match operation {
         Operation::PutService { name, service } => match configuration.services.get(name) {
--- a/crates/core/src/confirm.rs
+++ b/crates/core/src/confirm.rs
@@ -1,4 +1,5 @@
-//! Changes that operators confirmed, until their outcome is read from the log.
+//! The changes that operators have confirmed and whose outcomes have not been
+//! read from the log yet.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,14 +18,15 @@
 use crate::Counter;
 use crate::Reply;
 
-/// Time for which a confirmation waits for its outcome, in milliseconds.
+/// Timeout of a confirmation in milliseconds.
 const CONFIRMATION_TIMEOUT_MS: u64 = 5_000;
-/// When to repeat a confirmation whose outcome is not known.
+/// `retry_after_ms` of an answer while the outcome is not known.
 const RETRY_AFTER_MS: u32 = 1_000;
-/// Interval between reads of the log while an outcome is awaited.
+/// Interval in milliseconds between reads of the log while an outcome is
+/// pending.
 const LOG_POLL_INTERVAL_MS: u64 = 20;
 
-/// Confirmations without an outcome.
+/// The confirmations and status requests without an outcome.
 #[derive(Debug, Default)]
 pub(crate) struct Confirmations {
     pending: BTreeMap<Name, Pending>,
@@ -33,7 +35,7 @@
 
 #[derive(Debug)]
 struct Pending {
-    /// The change to append; `None` when only its outcome is asked for.
+    /// The change to append; `None` if only its outcome was requested.
     change: Option<Change>,
     callers: Vec<CallerId>,
     is_appended: bool,
@@ -41,6 +43,7 @@
 }
 
 impl Confirmations {
+    /// Returns the number of waiting callers.
     pub(crate) fn len(&self) -> usize {
         self.pending
             .values()
@@ -48,10 +51,11 @@
             .sum()
     }
 
-    /// Puts a change into force, unless it was seen before.
+    /// Confirms a change: appends it to the log unless the log already contains
+    /// it.
     ///
-    /// The log is read to its end first: an earlier confirmation of the same
-    /// change may have taken effect although its answer was lost.
+    /// The log is read to its end first, because an earlier confirmation of the
+    /// same change may have taken effect although its answer was lost.
     pub(crate) fn confirm(
         &mut self,
         now_ms: u64,
@@ -71,7 +75,7 @@
         );
     }
 
-    /// Tells what became of a change.
+    /// Replies to `caller` with the outcome of a change.
     pub(crate) fn status(
         &mut self,
         now_ms: u64,
@@ -83,8 +87,8 @@
         self.add(now_ms, caller, change_id, None, configuration, actions);
     }
 
-    /// Looks at all that is pending after the configuration moved on.
-    /// `at_end` tells that the log was just read to its end.
+    /// Checks all pending changes against the configuration. `at_end` means
+    /// that the log has just been read to its end.
     pub(crate) fn progress(
         &mut self,
         now_ms: u64,
@@ -106,7 +110,8 @@
         self.next_poll_ms = now_ms + LOG_POLL_INTERVAL_MS;
     }
 
-    /// The log cannot be reached: the outcome stays unknown for now.
+    /// Answers all pending callers that the log is unavailable, so the outcome
+    /// is unknown.
     pub(crate) fn log_failed(&mut self, actions: &mut Vec<Action>) {
         let ids: Vec<Name> = self.pending.keys().cloned().collect();
         for change_id in ids {
@@ -116,7 +121,8 @@
         }
     }
 
-    /// Reads on for what is pending, and gives up what waited too long.
+    /// Continues to read the log while changes are pending, and answers those
+    /// that have timed out.
     pub(crate) fn expire(
         &mut self,
         now_ms: u64,
@@ -184,7 +190,8 @@
         actions.push(Action::Count(Counter::Refused(Reason::VersionConflict)));
     }
 
-    /// The whole log was read and the change is not in it.
+    /// Handles a change that the log, read to its end, does not contain:
+    /// appends it, or answers that it conflicts or was never submitted.
     fn unseen_at_end(
         &mut self,
         change_id: &Name,
@@ -218,6 +225,7 @@
         });
     }
 
+    /// Replies to all callers of a pending change and removes it.
     fn end(&mut self, change_id: &Name, reply: &Reply, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.remove(change_id) else {
             return;
--- a/crates/core/src/credits.rs
+++ b/crates/core/src/credits.rs
@@ -1,4 +1,5 @@
-//! Slot credits that a home holds.
+//! The credits that a home holds. A credit is the right to start one task on
+//! one slot of an agent, once.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +7,11 @@
 use gannetvane_wire::NodeId;
 use gannetvane_wire::SlotCredit;
 
-/// Time for which a home may hold an idle credit, in milliseconds. The agent
-/// renews it earlier.
+/// Lease of an idle credit in milliseconds: a home may use the credit for this
+/// long. The agent renews it earlier.
 pub(crate) const CREDIT_LEASE_MS: u64 = 10_000;
 
-/// Credits of one service at one home, at most one for each slot.
+/// The idle credits of one service at one home, at most one for each slot.
 #[derive(Clone, Debug, Default)]
 pub struct CreditPool {
     idle: BTreeMap<NodeId, Vec<IdleCredit>>,
@@ -24,8 +25,9 @@
 }
 
 impl CreditPool {
-    /// Adds a credit, unless a newer one of the same slot is held.
-    /// `idle_since_ms` may lie in the past; it is usable from `usable_at_ms`.
+    /// Adds a credit, unless a newer one for the same slot is held.
+    /// `idle_since_ms`, which may lie in the past, starts the lease; the credit
+    /// is usable from `usable_at_ms`.
     pub fn add(&mut self, credit: Credit, idle_since_ms: u64, usable_at_ms: u64) {
         let of_agent = self.idle.entry(credit.agent).or_default();
         let added = IdleCredit {
@@ -43,21 +45,21 @@
         }
     }
 
-    /// Number of credits held.
+    /// Returns the number of credits held.
     #[must_use]
     pub fn len(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Whether no credit is held.
+    /// Returns whether no credit is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes a usable credit of the agent that `rank` ranks highest; agents
-    /// for which it gives `None` are passed over. Among equals the agent with
-    /// the most idle slots is taken.
+    /// Takes a usable credit of the agent that `rank` ranks highest, and among
+    /// equal ranks of the agent with the most idle slots. Agents for which
+    /// `rank` returns `None` are skipped.
     pub fn take(&mut self, now_ms: u64, rank: impl Fn(NodeId) -> Option<u32>) -> Option<Credit> {
         let usable = |idle: &IdleCredit| idle.is_usable(now_ms);
         let (_, _, agent) = self
@@ -71,7 +73,7 @@
         Some(of_agent.swap_remove(position).credit)
     }
 
-    /// Takes up to `count` usable credits to pass them on.
+    /// Takes up to `count` usable credits, to pass them on to another home.
     pub fn take_spare(&mut self, now_ms: u64, count: usize) -> Vec<SlotCredit> {
         let mut spare = Vec::new();
         for of_agent in self.idle.values_mut() {
@@ -95,7 +97,7 @@
         self.idle.remove(&agent);
     }
 
-    /// Drops credits whose lease has run out.
+    /// Drops the credits whose lease has expired.
     pub fn expire(&mut self, now_ms: u64) {
         for of_agent in self.idle.values_mut() {
             of_agent.retain(|idle| idle.is_held(now_ms));
@@ -109,8 +111,9 @@
         now_ms.saturating_sub(self.idle_since_ms) < CREDIT_LEASE_MS
     }
 
-    /// The lease counts at the time of use: a home that was paused may come
-    /// here before it has dropped what ran out.
+    /// Returns whether the credit can be used now. The lease is checked at each
+    /// use, because a home that was suspended may get here before it has
+    /// dropped expired credits.
     fn is_usable(&self, now_ms: u64) -> bool {
         self.usable_at_ms <= now_ms && self.is_held(now_ms)
     }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which waiting task a home starts next, and on which slot.
+//! Selects the task that a home starts next, and its slot.
 
 use std::collections::BTreeMap;
 
@@ -20,13 +20,14 @@
 use crate::submission::StartedTask;
 use crate::submission::TaskState;
 
-/// Factor on the time of the slowest usual run before a task is asked for.
+/// Factor on the straggler time of a task after which its start is sent again.
 const CHECK_INTERVAL_FACTOR: u64 = 2;
-/// Least time after which a started task without a result is asked for.
+/// Minimum time in milliseconds after which the start of a task without a
+/// result is sent again.
 const MIN_CHECK_INTERVAL_MS: u64 = 2_000;
 
 impl Home {
-    /// Starts waiting tasks while there are credits.
+    /// Starts waiting tasks while the home has credits for them.
     pub(crate) fn dispatch(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let Some(service) = self.services.get(name) else {
             return;
@@ -53,8 +54,8 @@
         self.ask_for_credits(ctx, name);
     }
 
-    /// The next task and its slot. What can no longer end before its deadline
-    /// is given up instead, so that it takes no slot from others.
+    /// Returns the next task and its slot. A submission that can no longer meet
+    /// its deadline is ended here, so that its tasks take no slots from others.
     pub(crate) fn place_next(
         &mut self,
         ctx: &mut Context<'_>,
@@ -81,6 +82,8 @@
         }
     }
 
+    /// Chooses the next task and takes a credit for it, without regard to its
+    /// deadline.
     pub(crate) fn choose_next(
         &mut self,
         ctx: &Context<'_>,
@@ -104,6 +107,7 @@
         service.place(&placing, |id, index| needs_of(open.get(&id), index))
     }
 
+    /// Marks a task as started; returns its agent and the start message.
     pub(crate) fn start(
         &mut self,
         ctx: &Context<'_>,
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -1,4 +1,5 @@
-//! The planned stop of an agent: finish, hand the table over, leave.
+//! The planned stop of an agent: it finishes its work, hands its tables over to
+//! a successor and announces that it has left.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +12,33 @@
 use crate::SubmissionTable;
 use crate::View;
 
-/// Submissions in one part of a table.
+/// Maximum number of submissions in one part of a table.
 const MAX_PART_ENTRIES: usize = 256;
-/// Bytes of output in one part of a table.
+/// Maximum number of bytes of task output in one part of a table, unless a
+/// single submission has more.
 const MAX_PART_BYTES: usize = 512 * 1024;
-/// Interval between sendings of a part that was not acknowledged.
+/// Interval in milliseconds between resends of a part that has not been
+/// acknowledged.
 const PART_RESEND_INTERVAL_MS: u64 = 500;
-/// Time after which the handover is given up, in milliseconds.
+/// Timeout of the handover in milliseconds.
 const HANDOVER_TIMEOUT_MS: u64 = 15_000;
-/// Time for which a stopped agent still tells who succeeds it.
+/// Time in milliseconds for which an agent that has left still announces its
+/// successor.
 const LEFT_ANNOUNCEMENT_MS: u64 = 1_500;
-/// Interval between these announcements.
+/// Interval in milliseconds between two announcements of the successor.
 const ANNOUNCE_INTERVAL_MS: u64 = 300;
 
-/// How far a planned stop has come.
+/// The stages of a planned stop.
 #[derive(Debug)]
 pub(crate) enum Drain {
     /// No stop is planned.
     NotLeaving,
-    /// Finishes what it has.
+    /// The agent finishes the work it has.
     Leaving { since_ms: u64 },
-    /// Moves its tables to the successor.
+    /// The agent hands its tables over to the successor.
     HandingOver(Handover),
-    /// Tells who answers for it.
+    /// The agent has left and announces which agent answers for its
+    /// submissions.
     Left {
         since_ms: u64,
         next_announce_ms: u64,
@@ -41,7 +46,7 @@
     },
 }
 
-/// Tables on their way to the successor.
+/// The tables being handed over to the successor, in parts.
 #[derive(Debug)]
 pub(crate) struct Handover {
     successor: Peer,
@@ -49,6 +54,7 @@
     unacknowledged: BTreeMap<PartKey, Part>,
 }
 
+/// Identifies one part of a home's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PartKey {
     pub(crate) home: NodeId,
@@ -62,7 +68,7 @@
 }
 
 impl Handover {
-    /// Prepares the tables for a successor.
+    /// Splits the tables into parts for a successor.
     pub(crate) fn new<'a>(
         now_ms: u64,
         successor: Peer,
@@ -95,15 +101,17 @@
         self.unacknowledged.remove(&key);
     }
 
+    /// Returns whether the successor has acknowledged all parts.
     pub(crate) fn is_done(&self) -> bool {
         self.unacknowledged.is_empty()
     }
 
+    /// Returns whether the handover has timed out.
     pub(crate) fn is_overdue(&self, now_ms: u64) -> bool {
         now_ms.saturating_sub(self.started_at_ms) >= HANDOVER_TIMEOUT_MS
     }
 
-    /// Parts to send now.
+    /// Returns the parts that are due to be sent.
     pub(crate) fn due(&mut self, now_ms: u64) -> Vec<Message> {
         let mut due = Vec::new();
         for part in self.unacknowledged.values_mut() {
@@ -117,7 +125,8 @@
 }
 
 impl Drain {
-    /// Whether it is time to announce the departure again.
+    /// Returns whether the next announcement of the successor is due, and
+    /// schedules the one after it.
     pub(crate) fn should_announce(&mut self, now_ms: u64) -> bool {
         match self {
             Self::Left {
@@ -130,13 +139,14 @@
         }
     }
 
-    /// Whether the process may stop.
+    /// Returns whether the process may stop.
     pub(crate) fn is_finished(&self, now_ms: u64) -> bool {
         matches!(self, Self::Left { since_ms, .. } if now_ms.saturating_sub(*since_ms) >= LEFT_ANNOUNCEMENT_MS)
     }
 }
 
-/// The agent that will answer for the submissions of `me`.
+/// Chooses the agent that will answer for the submissions of `me`: another home
+/// of the service if there is one, otherwise any live agent.
 pub(crate) fn choose_successor(view: &View, me: NodeId, service: &str) -> Option<Peer> {
     let homes = view.homes(service, usize::MAX);
     let of_service = homes.into_iter().find(|node| *node != me);
@@ -171,7 +181,8 @@
     (0u32..).zip(chunks).map(message).collect()
 }
 
-/// At least one chunk, so that an empty table is handed over as well.
+/// Splits the submissions of a table into chunks. The result has at least one
+/// chunk, so that an empty table is handed over as well.
 fn split(entries: Vec<HandoverEntry>) -> Vec<Vec<HandoverEntry>> {
     let mut chunks = vec![Vec::new()];
     let mut bytes = 0;
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -1,5 +1,5 @@
-//! The core of an entry: it finds the home of each submission and waits for
-//! the answer on behalf of its callers.
+//! The core of an entry. It sends each submission to its home, the agent that
+//! answers for it, and passes the home's answer to the waiting callers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,35 +37,39 @@
 use crate::waiting::WaitKey;
 use crate::waiting::Waiting;
 
-/// Interval between pulls of an agent's view in milliseconds.
+/// Interval in milliseconds between pulls of an agent's view.
 const VIEW_PULL_INTERVAL_MS: u64 = 500;
-/// Interval between looks at the waiting callers.
+/// Interval in milliseconds between scans of the waiting requests.
 const SCAN_INTERVAL_MS: u64 = 20;
-/// Pause before a submission is sent again after its connection broke.
+/// Delay in milliseconds before a submission is sent again after its connection
+/// broke.
 const RECONNECT_DELAY_MS: u64 = 200;
-/// Time past the caller's deadline for which a home's own answer is awaited.
+/// Time in milliseconds past a caller's deadline during which the entry still
+/// waits for the home's own answer.
 const DEADLINE_GRACE_MS: u64 = 250;
-/// Time after the first whole view for which an unheard home may still appear.
+/// Time in milliseconds after the first complete view after which a home that
+/// is not in the view counts as lost.
 const VIEW_SETTLE_MS: u64 = 3_000;
-/// When to come back after a refusal that passes by itself, in milliseconds.
+/// `retry_after_ms` of a refusal that is expected to be temporary.
 const RETRY_AFTER_MS: u32 = 1_000;
 
 /// Settings of an entry's core.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// The run of this process.
+    /// The incarnation of this process.
     pub node: NodeId,
-    /// Where it receives.
+    /// The address at which this process receives messages.
     pub addr: SocketAddr,
-    /// Addresses of agents for the first contact.
+    /// Addresses of agents to contact while no agent is known.
     pub contacts: Vec<SocketAddr>,
-    /// Most callers that wait at one time.
+    /// Maximum number of callers that wait for answers at one time.
     pub max_waiting: usize,
-    /// Time for which members that are gone are remembered, in milliseconds.
+    /// Time in milliseconds for which members that are dead or have left are
+    /// retained.
     pub retention_ms: u64,
 }
 
-/// The core of an entry.
+/// The state of an entry, changed by commands, messages and ticks.
 #[derive(Debug)]
 pub struct Entry {
     pub(crate) settings: EntrySettings,
@@ -75,6 +79,8 @@
     pub(crate) waiting: BTreeMap<WaitKey, Waiting>,
     pub(crate) waiting_callers: usize,
     pub(crate) confirmations: Confirmations,
+    /// Per agent, the change number of its view up to which this entry has
+    /// pulled.
     pub(crate) pulled_up_to: BTreeMap<NodeId, u64>,
     pub(crate) pull_count: usize,
     pub(crate) next_pull_ms: u64,
@@ -83,7 +89,7 @@
 }
 
 impl Entry {
-    /// The core of an entry that just started.
+    /// Creates the core of an entry that has just started.
     #[must_use]
     pub fn new(settings: EntrySettings, now_ms: u64) -> Self {
         Self {
@@ -102,31 +108,32 @@
         }
     }
 
-    /// What this entry knows of the agents.
+    /// Returns this entry's view of the agents.
     #[must_use]
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration that this entry applies.
     #[must_use]
     pub fn configuration(&self) -> &ConfigurationStore {
         &self.configuration
     }
 
-    /// Callers that wait.
+    /// Returns the number of waiting callers.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting_callers + self.confirmations.len()
     }
 
-    /// Whether the entry knows the agents and can serve.
+    /// Returns whether the entry has a complete view of the agents, so that it
+    /// can serve callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.complete_view_since_ms.is_some()
     }
 
-    /// Adds addresses for the first contact.
+    /// Adds addresses to contact while no agent is known.
     pub fn add_contacts(&mut self, contacts: impl IntoIterator<Item = SocketAddr>) {
         for contact in contacts {
             if !self.settings.contacts.contains(&contact) {
@@ -135,7 +142,7 @@
         }
     }
 
-    /// Handles a command of a caller or operator.
+    /// Handles a command from a caller or an operator.
     pub fn command(&mut self, now_ms: u64, caller: CallerId, command: Command) -> Vec<Action> {
         let mut actions = Vec::new();
         match command {
@@ -258,7 +265,8 @@
         actions
     }
 
-    /// A connection broke; messages on it may be lost.
+    /// Handles a broken connection to `addr`, on which messages may have been
+    /// lost.
     pub fn peer_down(&mut self, now_ms: u64, addr: SocketAddr) -> Vec<Action> {
         for waiting in self.waiting.values_mut() {
             if waiting.sent_to.is_some_and(|peer| peer.addr == addr) {
@@ -269,7 +277,7 @@
         Vec::new()
     }
 
-    /// Takes in a part of the configuration stream.
+    /// Applies a page of the configuration stream.
     pub fn log_page(&mut self, now_ms: u64, page: LogPage) -> Vec<Action> {
         let mut actions = Vec::new();
         let at_end = page.at_end;
@@ -287,14 +295,15 @@
         actions
     }
 
-    /// The platform's log could not be read.
+    /// Handles a failed read of the platform's log.
     pub fn log_failed(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.confirmations.log_failed(&mut actions);
         actions
     }
 
-    /// Does what is due. To be called every few milliseconds.
+    /// Performs the periodic work that is due. The caller invokes this every
+    /// few milliseconds.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         if now_ms >= self.next_pull_ms {
@@ -311,6 +320,7 @@
         actions
     }
 
+    /// Returns `count` new ids for submissions to a service, or a refusal.
     pub(crate) fn take_ids(&mut self, now_ms: u64, service: &Name, count: usize) -> Reply {
         let refused = |reason, retry_after_ms| {
             Reply::Answer(Arc::new(Answer::refusal(
@@ -332,7 +342,9 @@
         Reply::Ids(ids)
     }
 
-    /// A home's generation follows from its age; no message is needed.
+    /// Creates an id for a submission to one of `homes`, chosen at random. The
+    /// home's current generation follows from its uptime, so no message is
+    /// needed.
     pub(crate) fn draw_id(&mut self, now_ms: u64, homes: &[NodeId]) -> Option<SubmissionId> {
         let home = *homes.choose(&mut self.rng)?;
         let generation = generation_at(self.view.uptime_ms(now_ms, home)?);
@@ -343,6 +355,8 @@
         })
     }
 
+    /// Adds a caller to the request with this key and sends the request if it
+    /// is due.
     pub(crate) fn add_caller(
         &mut self,
         now_ms: u64,
@@ -352,7 +366,8 @@
         actions: &mut Vec<Action>,
     ) {
         if self.waiting_callers >= self.settings.max_waiting {
-            // Another entry may have run it already, so "not run" would be a guess.
+            // Another entry may have submitted the same id, so the answer
+            // cannot say that it did not run.
             let answer =
                 Answer::refusal(Ran::Unknown, Reason::EntryOverloaded, Some(RETRY_AFTER_MS));
             actions.push(Action::Count(Counter::Refused(Reason::EntryOverloaded)));
@@ -368,6 +383,8 @@
         self.send_due(now_ms, key, actions);
     }
 
+    /// Sends a cancellation of a submission to its home; the caller receives
+    /// the submission's answer.
     pub(crate) fn cancel(
         &mut self,
         now_ms: u64,
@@ -391,6 +408,7 @@
         self.send_due(now_ms, key, actions);
     }
 
+    /// Replies to all callers that wait for this answer.
     pub(crate) fn deliver_answer(
         &mut self,
         key: WaitKey,
@@ -406,7 +424,8 @@
         }
     }
 
-    /// Sends again what is due, and gives up what can no longer be answered.
+    /// Sends the requests that are due, and answers the callers whose deadline
+    /// has passed.
     pub(crate) fn scan(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let keys: Vec<WaitKey> = self.waiting.keys().copied().collect();
         for key in keys {
@@ -415,6 +434,8 @@
         }
     }
 
+    /// Replies `HomeSilent` to the callers whose deadline and grace period have
+    /// passed.
     pub(crate) fn expire_callers(&mut self, now_ms: u64, key: WaitKey, actions: &mut Vec<Action>) {
         let Some(waiting) = self.waiting.get_mut(&key) else {
             return;
@@ -438,6 +459,9 @@
         }
     }
 
+    /// Sends a request to the agent that answers for its home if a resend is
+    /// due or that agent has changed, and fails the request if the home is
+    /// lost.
     pub(crate) fn send_due(&mut self, now_ms: u64, key: WaitKey, actions: &mut Vec<Action>) {
         let target = self.view.resolve(key.id.home);
         let version = self.configuration.current().version;
@@ -466,6 +490,7 @@
         }
     }
 
+    /// Replies `HomeLost` to all callers of a request.
     pub(crate) fn answer_home_lost(&mut self, key: WaitKey, actions: &mut Vec<Action>) {
         let answer = Answer::refusal(Ran::Unknown, Reason::HomeLost, None);
         actions.push(Action::Count(Counter::Failed(Reason::HomeLost)));
--- a/crates/core/src/entry_view.rs
+++ b/crates/core/src/entry_view.rs
@@ -1,4 +1,4 @@
-//! How an entry learns of the agents and the configuration.
+//! How an entry obtains the agents' views and the configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,6 +14,7 @@
 use crate::Peer;
 
 impl Entry {
+    /// Applies the configuration of another process if it is newer.
     pub(crate) fn adopt_configuration(
         &mut self,
         now_ms: u64,
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Tells one agent of each zone of a change that was read from the log.
+    /// Sends the configuration to one agent of each availability zone, after a
+    /// change was read from the log.
     pub(crate) fn push_configuration(&mut self, actions: &mut Vec<Action>) {
         for to in self.one_agent_of_each_zone() {
             let message = Message::ConfigurationState(self.configuration.snapshot());
@@ -36,7 +38,8 @@
         }
     }
 
-    /// Pulls the view of one agent; the zones take turns.
+    /// Pulls the view of one agent, taking the availability zones in turn.
+    /// While no agent is known, it pulls from all contacts.
     pub(crate) fn pull_views(&mut self, actions: &mut Vec<Action>) {
         self.pull_count += 1;
         let known = self.one_agent_of_each_zone();
@@ -51,6 +54,7 @@
         actions.extend(peers.into_iter().map(|peer| self.pull(peer)));
     }
 
+    /// Returns one random live agent of each availability zone.
     pub(crate) fn one_agent_of_each_zone(&mut self) -> Vec<Peer> {
         let mut zones: BTreeMap<&Name, Vec<Peer>> = BTreeMap::new();
         for member in self
@@ -67,6 +71,8 @@
             .collect()
     }
 
+    /// Returns the message that pulls the changes of a view since the last pull
+    /// from that agent.
     pub(crate) fn pull(&self, to: Peer) -> Action {
         let since = to
             .node
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -1,4 +1,4 @@
-//! Run times to expect, from what callers declare and what was observed.
+//! Estimates of run times, from what callers declare and what was observed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,19 +6,23 @@
 use gannetvane_wire::Name;
 use hdrhistogram::Histogram;
 
-/// Run time assumed for a kind that was never seen and declares nothing.
+/// Run time in milliseconds assumed for a task without a declared time whose
+/// kind has too few observations.
 const DEFAULT_RUN_MS: u32 = 300;
-/// Observations after which the older half of the history is dropped.
+/// Number of observations in each of the two windows of a history. When the
+/// newer window is full, the older one is dropped.
 const WINDOW_OBSERVATIONS: u64 = 512;
-/// Observations before they are trusted over declarations.
+/// Number of observations from which observed times take precedence over
+/// declared ones.
 const MIN_OBSERVATIONS: u64 = 16;
-/// Most kinds for which a history is kept.
+/// Maximum number of kinds for which a history is retained.
 const MAX_KINDS: usize = 1_024;
-/// Ratios of observed to declared time are kept in thousandths.
+/// Scale of the recorded ratios of observed to declared time: they are integers
+/// in thousandths.
 const RATIO_SCALE: u64 = 1_000;
-/// Largest value that a history tells apart from larger ones.
+/// Maximum value that a history records; larger values count as this one.
 const MAX_RECORDED_VALUE: u64 = 100_000_000;
-/// Quantile above which a run counts as a straggler.
+/// Quantile of the run times above which a run counts as a straggler.
 const STRAGGLER_QUANTILE: f64 = 0.99;
 
 /// Observed run times for each kind of task.
@@ -27,6 +31,7 @@
     kinds: BTreeMap<Name, KindHistory>,
 }
 
+/// The history of one kind of task.
 #[derive(Debug)]
 struct KindHistory {
     run_ms: History,
@@ -40,7 +45,7 @@
 }
 
 impl Estimates {
-    /// Run time to expect of a task, in milliseconds.
+    /// Returns the estimated run time of a task in milliseconds.
     #[must_use]
     pub fn estimate_ms(&self, kind: &Name, declared_ms: Option<u32>) -> u32 {
         let Some(history) = self.kinds.get(kind) else {
@@ -55,7 +60,8 @@
         }
     }
 
-    /// Time in milliseconds after which a task is later than almost all.
+    /// Returns the run time in milliseconds that almost no task of this kind
+    /// exceeds.
     #[must_use]
     pub fn straggler_ms(&self, kind: &Name, declared_ms: Option<u32>) -> u32 {
         let estimate_ms = self.estimate_ms(kind, declared_ms);
@@ -68,7 +74,7 @@
             .max(estimate_ms)
     }
 
-    /// Takes in the run time of a finished task.
+    /// Records the run time of a finished task.
     pub fn observe(&mut self, kind: &Name, declared_ms: Option<u32>, run_ms: u32) {
         if !self.kinds.contains_key(kind) && self.kinds.len() >= MAX_KINDS {
             return;
@@ -94,6 +100,8 @@
         }
     }
 
+    /// Scales a declared run time by the median ratio of observed to declared
+    /// time.
     fn corrected_ms(&self, declared_ms: u32) -> u32 {
         match self.ratio.quantile(0.5) {
             Some(ratio) => saturate_to_u32(u64::from(declared_ms) * ratio / RATIO_SCALE),
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,4 +1,5 @@
-//! News of members on their way to other agents.
+//! The updates about members that an agent spreads by gossip, attached to the
+//! probes of its failure detector.
 
 use std::collections::BTreeMap;
 
@@ -8,24 +9,27 @@
 
 use crate::View;
 
-/// Members whose news fit one probe.
+/// Maximum number of updates in one probe.
 const MAX_UPDATES: usize = 8;
-/// Times that each news is sent, for each doubling of the number of members.
+/// Number of times that each update is sent, for each doubling of the number of
+/// members.
 const SENDS_PER_DOUBLING: u32 = 3;
 
-/// Which members' news this agent still passes on, and how often it did.
+/// The members whose updates this agent still spreads, with the number of times
+/// each was sent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GossipQueue {
     sent: BTreeMap<NodeId, u32>,
 }
 
 impl GossipQueue {
-    /// Passes on the news of a member from now on.
+    /// Starts to spread the update about a member.
     pub(crate) fn push(&mut self, node: NodeId) {
         self.sent.insert(node, 0);
     }
 
-    /// News for one message to `receiver`, the least often sent first.
+    /// Returns the updates for one message to `receiver`, those sent the fewest
+    /// times first.
     pub(crate) fn take(
         &mut self,
         now_ms: u64,
@@ -50,7 +54,8 @@
     }
 }
 
-/// A member that is held for dead or suspect is told so, to refute it.
+/// Returns the update about the receiver if its state in this view is not
+/// alive, so that the receiver can refute it.
 fn update_about_receiver(
     now_ms: u64,
     view: &View,
@@ -63,7 +68,7 @@
     (is_not_alive && !is_included).then_some(member)
 }
 
-/// A gossip message body.
+/// Builds the gossip part of a message.
 pub(crate) fn gossip(members: Vec<Member>, configuration_version: u64) -> Gossip {
     Gossip {
         members,
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,24 +1,26 @@
-//! Which minions fail what they start.
+//! Ejects minions that fail the tasks started on them.
 
 use std::collections::BTreeMap;
 
 use gannetvane_wire::NodeId;
 
-/// Failures in a row after which a minion is ejected.
+/// Number of consecutive failures after which a minion is ejected.
 const MAX_CONSECUTIVE_FAILURES: u32 = 5;
-/// Time for which a minion is first ejected, in milliseconds.
+/// Duration of a minion's first ejection in milliseconds. It doubles with each
+/// further ejection.
 const FIRST_EJECTION_MS: u64 = 1_000;
-/// Longest time for which a minion is ejected, in milliseconds.
+/// Maximum duration of an ejection in milliseconds.
 const MAX_EJECTION_MS: u64 = 30_000;
-/// At most one minion in this many is ejected at one time.
+/// At most one in this many minions is ejected at one time.
 const EJECTABLE_DIVISOR: usize = 3;
 
-/// Failures of each agent's minion, as one home sees them.
+/// The failures of each agent's minion, as one home observes them.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     agents: BTreeMap<NodeId, Record>,
 }
 
+/// The failures of one minion.
 #[derive(Clone, Debug, Default)]
 struct Record {
     consecutive_failures: u32,
@@ -28,9 +30,10 @@
 }
 
 impl Health {
-    /// Whether a task may be started on the minion of `agent` now.
+    /// Returns whether a task may be started on the minion of `agent` now.
     ///
-    /// An ejected minion gets a single trial task when its ejection ends.
+    /// When the ejection of a minion ends, a single task is started on it as a
+    /// half-open trial.
     #[must_use]
     pub fn allows(&self, now_ms: u64, agent: NodeId) -> bool {
         let Some(record) = self.agents.get(&agent) else {
@@ -42,19 +45,20 @@
         }
     }
 
-    /// Notes that a task was started.
+    /// Records that a task was started.
     pub fn started(&mut self, agent: NodeId) {
         if let Some(record) = self.agents.get_mut(&agent) {
             record.is_trial_running = record.ejected_until_ms.is_some();
         }
     }
 
-    /// Notes that a task succeeded.
+    /// Records that a task succeeded, which ends the minion's ejection and
+    /// clears its failures.
     pub fn succeeded(&mut self, agent: NodeId) {
         self.agents.remove(&agent);
     }
 
-    /// Notes that a task failed; returns whether the minion is now ejected.
+    /// Records that a task failed; returns whether this ejects the minion.
     /// `agents` is the number of live agents of the service.
     pub fn failed(&mut self, now_ms: u64, agent: NodeId, agents: usize) -> bool {
         let ejected = self.ejected();
@@ -75,7 +79,7 @@
         true
     }
 
-    /// Failures in a row of an agent's minion.
+    /// Returns the number of consecutive failures of an agent's minion.
     #[must_use]
     pub fn consecutive_failures(&self, agent: NodeId) -> u32 {
         self.agents
@@ -83,7 +87,7 @@
             .map_or(0, |record| record.consecutive_failures)
     }
 
-    /// Forgets an agent.
+    /// Removes all records of an agent.
     pub fn forget(&mut self, agent: NodeId) {
         self.agents.remove(&agent);
     }
--- a/crates/core/src/home.rs
+++ b/crates/core/src/home.rs
@@ -1,4 +1,5 @@
-//! Submissions that this agent answers for.
+//! The home of submissions: it admits them, runs their tasks and retains their
+//! answers. An agent is the home of the submissions whose ids name it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,13 +33,14 @@
 use crate::submission::Waiter;
 use crate::table::Lookup;
 
-/// When to come back after a refusal that passes by itself, in milliseconds.
+/// `retry_after_ms` of a refusal that is expected to be temporary.
 const RETRY_AFTER_MS: u32 = 1_000;
-/// Factor on the expected wait at admission, for what estimates leave out. A
-/// queue that is admitted up to its very deadlines completes almost nothing.
+/// Safety factor, in percent, on the expected wait at admission, for what the
+/// estimates leave out. A queue that is filled until the last submission would
+/// only just meet its deadline completes almost nothing.
 const WAIT_MARGIN_PERCENT: u64 = 120;
 
-/// What a home sees of its process when it decides.
+/// What a home reads from its process, and the list that collects its actions.
 pub(crate) struct Context<'a> {
     pub(crate) now_ms: u64,
     pub(crate) view: &'a View,
@@ -46,49 +48,53 @@
     pub(crate) actions: &'a mut Vec<Action>,
 }
 
-/// Whether new submissions are taken.
+/// How a home handles new submissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Intake {
-    /// All are taken.
+    /// New submissions go through admission.
     Open,
-    /// All are refused, finally.
+    /// New submissions are refused, and the refusals are recorded as their
+    /// final answers.
     Refusing,
-    /// None is answered: the table is moving to the successor, who will.
+    /// New submissions get no answer here: the table is being handed over, and
+    /// the successor will answer.
     Closed,
 }
 
-/// A submission as it arrives from an entry.
+/// A submission received from an entry, or a lookup of its answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) id: SubmissionId,
+    /// The content; `None` for a lookup.
     pub(crate) submission: Option<Arc<Submission>>,
     pub(crate) fingerprint: u64,
     pub(crate) remaining_ms: u64,
 }
 
-/// The submissions of one agent, and of those it took over.
+/// The submissions of one agent and of the agents whose tables it took over.
 #[derive(Debug)]
 pub(crate) struct Home {
     pub(crate) settings: TableSettings,
     pub(crate) intake: Intake,
     pub(crate) table: SubmissionTable,
-    /// Tables of agents that left.
+    /// Tables taken over from agents that left.
     pub(crate) adopted: BTreeMap<NodeId, SubmissionTable>,
     pub(crate) open: BTreeMap<SubmissionId, OpenSubmission>,
     pub(crate) services: BTreeMap<Name, Service>,
     pub(crate) deadlines: BTreeSet<Deadline>,
-    /// Agents that left as planned, and when their results are given up.
+    /// Agents that left as planned, with the time until which the home awaits
+    /// results from them.
     pub(crate) results_awaited_until_ms: BTreeMap<NodeId, u64>,
 }
 
-/// When a submission is given up.
+/// The time at which a submission fails if it has not ended by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Deadline {
     pub(crate) at_ms: u64,
     pub(crate) id: SubmissionId,
 }
 
-/// A refusal, before it is made an answer.
+/// The reason for a refusal and when the caller may retry.
 struct Refusal {
     reason: Reason,
     retry_after_ms: Option<u32>,
@@ -108,7 +114,7 @@
         }
     }
 
-    /// Handles a submission, or the question for its answer.
+    /// Handles a submission, or a lookup of its answer.
     pub(crate) fn submit(&mut self, ctx: &mut Context<'_>, entry: Peer, arrival: Arrival) {
         let id = arrival.id;
         let waiter = Waiter {
@@ -135,7 +141,8 @@
         }
     }
 
-    /// Stops a submission; one that never arrived will never run.
+    /// Cancels a submission. An id that is still new is recorded as cancelled,
+    /// so that a submission that arrives later under it does not run.
     pub(crate) fn cancel(&mut self, ctx: &mut Context<'_>, entry: Peer, id: SubmissionId) {
         let waiter = Waiter {
             entry,
@@ -169,7 +176,8 @@
         }
     }
 
-    /// Ends a submission with its final answer and tells all who wait.
+    /// Ends a submission, records its final answer and sends it to all waiting
+    /// entries.
     pub(crate) fn close(
         &mut self,
         ctx: &mut Context<'_>,
@@ -199,7 +207,7 @@
         }
     }
 
-    /// Ids held over all tables.
+    /// Returns the number of ids retained in all tables.
     pub(crate) fn retained(&self) -> usize {
         self.table.len()
             + self
@@ -209,6 +217,7 @@
                 .sum::<usize>()
     }
 
+    /// Returns the table that holds the submissions of `home`.
     pub(crate) fn table_of(&mut self, home: NodeId) -> Option<&mut SubmissionTable> {
         if home == self.table.home() {
             return Some(&mut self.table);
@@ -236,7 +245,8 @@
             return;
         }
         let Some(submission) = arrival.submission else {
-            // No tombstone: a question must not keep a submission from running.
+            // A lookup records nothing, because a record would keep a delayed
+            // submission from running.
             let answer = Answer::refusal(Ran::Unknown, Reason::NeverSubmitted, None);
             send_answer(ctx, id, waiter, Arc::new(answer));
             return;
@@ -267,6 +277,7 @@
         self.dispatch(ctx, &service);
     }
 
+    /// Adds all tasks of a submission to the queue of its service.
     fn enqueue_all(&mut self, id: SubmissionId, open: &OpenSubmission) {
         let service = self
             .services
@@ -287,6 +298,9 @@
             .push(id, &open.submission.team, open.arrived_ms, queued);
     }
 
+    /// Checks whether a submission may be queued: that its service, team and a
+    /// fitting worker exist, that the queue and the team's quota have space,
+    /// and that it can meet its deadline.
     fn admit(
         &mut self,
         ctx: &Context<'_>,
@@ -330,7 +344,8 @@
         Ok(())
     }
 
-    /// One message to each agent on which tasks of the submission run.
+    /// Revokes the credits of the submission's running tasks, with one message
+    /// to each agent.
     fn revoke_running(&mut self, ctx: &mut Context<'_>, id: SubmissionId) {
         let Some(open) = self.open.get(&id) else {
             return;
@@ -352,6 +367,7 @@
 }
 
 impl Refusal {
+    /// A refusal that a retry does not change.
     fn permanent(reason: Reason) -> Self {
         Self {
             reason,
@@ -359,6 +375,7 @@
         }
     }
 
+    /// A refusal that is expected to be temporary.
     fn soon(reason: Reason) -> Self {
         Self {
             reason,
@@ -366,6 +383,7 @@
         }
     }
 
+    /// A refusal until the expected wait has passed.
     fn after(reason: Reason, wait_ms: u64) -> Self {
         let wait_ms = u32::try_from(wait_ms).unwrap_or(u32::MAX);
         Self {
@@ -375,7 +393,8 @@
     }
 }
 
-/// Hash of a submission's content; never 0.
+/// Returns a hash of a submission's content. It is never 0, because 0 stands
+/// for a request without content.
 pub(crate) fn fingerprint(submission: &Submission) -> u64 {
     let mut hasher = Xxh3Default::new();
     submission.hash(&mut hasher);
--- a/crates/core/src/leaving.rs
+++ b/crates/core/src/leaving.rs
@@ -1,4 +1,4 @@
-//! How an agent carries out its planned stop.
+//! Performs the planned stop of an agent.
 
 use gannetvane_wire::HandoverEntry;
 use gannetvane_wire::MemberState;
@@ -13,7 +13,7 @@
 use crate::home::Intake;
 
 impl Agent {
-    /// Begins a planned stop.
+    /// Begins the planned stop.
     pub fn leave(&mut self, now_ms: u64) -> Vec<Action> {
         if self.is_leaving() {
             return Vec::new();
@@ -29,6 +29,7 @@
         actions
     }
 
+    /// Adds one part of a table that `home` hands over to this agent.
     pub(crate) fn adopt(
         &mut self,
         now_ms: u64,
@@ -49,6 +50,8 @@
         }
     }
 
+    /// Performs what is due in the current stage of the stop, and moves to the
+    /// next stage when it is complete.
     pub(crate) fn continue_leaving(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         match &mut self.drain {
             Drain::NotLeaving => {}
@@ -91,6 +94,8 @@
         }
     }
 
+    /// Closes the intake of submissions and starts the handover. Without a
+    /// successor, the agent leaves at once.
     pub(crate) fn begin_handover(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         self.home.intake = Intake::Closed;
         let service = &self.settings.member.service;
@@ -104,6 +109,7 @@
         self.continue_leaving(now_ms, actions);
     }
 
+    /// Marks this agent as left and announces its successor.
     pub(crate) fn left(
         &mut self,
         now_ms: u64,
@@ -118,6 +124,7 @@
         self.continue_leaving(now_ms, actions);
     }
 
+    /// Sends the state `Left` with the successor to other members.
     pub(crate) fn announce_left(
         &mut self,
         now_ms: u64,
--- a/crates/core/src/lending.rs
+++ b/crates/core/src/lending.rs
@@ -1,24 +1,26 @@
-//! Credits that homes of one service pass to each other.
+//! Requests for credits between the homes of one service.
 
 use std::collections::VecDeque;
 
 use crate::Peer;
 
-/// Pause before a home that is still short asks again, in milliseconds.
+/// Interval in milliseconds after which a home that still needs credits
+/// requests them again.
 const REQUEST_INTERVAL_MS: u64 = 20;
-/// Time for which another home is remembered as short, in milliseconds.
+/// Time in milliseconds for which a request of another home stays valid.
 const REQUEST_VALIDITY_MS: u64 = 40;
-/// A home that is short itself passes a slot on to one whose first task is
-/// overdue by so much more, in milliseconds.
+/// A home with waiting tasks of its own passes a credit on only if the other
+/// home's first task is overdue by more than this many additional milliseconds.
 const MIN_ADVANTAGE_MS: i64 = 10;
 
-/// Who is short of credits: this home, and others that asked it.
+/// The last request of this home and the pending requests of other homes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lending {
     asked_at_ms: Option<u64>,
     requesters: VecDeque<Requester>,
 }
 
+/// A home that requested credits.
 #[derive(Clone, Copy, Debug)]
 struct Requester {
     peer: Peer,
@@ -27,7 +29,7 @@
     asked_at_ms: u64,
 }
 
-/// Credits to pass on.
+/// A number of credits to pass on to a home.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Loan {
     pub(crate) to: Peer,
@@ -35,7 +37,8 @@
 }
 
 impl Lending {
-    /// Whether to ask the other homes now.
+    /// Returns whether to send a request to the other homes now; if so, records
+    /// the time.
     pub(crate) fn should_ask(&mut self, now_ms: u64) -> bool {
         let is_due = self
             .asked_at_ms
@@ -46,12 +49,13 @@
         is_due
     }
 
-    /// Notes that this home is no longer short.
+    /// Records that this home needs no credits, so that its next request is
+    /// sent without delay.
     pub(crate) fn clear_request(&mut self) {
         self.asked_at_ms = None;
     }
 
-    /// Notes that another home is short.
+    /// Records the request of another home, which replaces its earlier one.
     pub(crate) fn add_request(&mut self, now_ms: u64, peer: Peer, wanted: usize, overdue_ms: i64) {
         self.requesters.retain(|requester| requester.peer != peer);
         if wanted > 0 {
@@ -64,13 +68,16 @@
         }
     }
 
-    /// Notes that a home has credits to give, so that it is not short.
+    /// Removes the request of a home that passed on credits, because it needs
+    /// none itself.
     pub(crate) fn forget(&mut self, peer: Peer) {
         self.requesters.retain(|requester| requester.peer != peer);
     }
 
-    /// The home whose first task is overdue by far more than `own_overdue_ms`.
-    /// It is passed one slot at a time, up to what it asked for.
+    /// Returns a loan of one credit to the home whose first task is overdue the
+    /// longest, if it is overdue by more than `own_overdue_ms` plus
+    /// [`MIN_ADVANTAGE_MS`]. The loan counts against the number of credits that
+    /// the home requested.
     pub(crate) fn next_urgent_loan(&mut self, now_ms: u64, own_overdue_ms: i64) -> Option<Loan> {
         self.drop_expired_requests(now_ms);
         let min_overdue_ms = own_overdue_ms + MIN_ADVANTAGE_MS;
@@ -88,7 +95,7 @@
         Some(loan)
     }
 
-    /// The home that asked first, if its request is fresh.
+    /// Returns a loan to the home with the oldest request that is still valid.
     pub(crate) fn next_loan(&mut self, now_ms: u64) -> Option<Loan> {
         self.drop_expired_requests(now_ms);
         self.requesters.front().map(|requester| Loan {
@@ -97,7 +104,8 @@
         })
     }
 
-    /// Notes that `count` credits went to the home that asked first.
+    /// Records that `count` credits were passed to the home with the oldest
+    /// pending request. If it needs more, it moves to the end of the list.
     pub(crate) fn record_loan(&mut self, count: usize) {
         let Some(mut requester) = self.requesters.pop_front() else {
             return;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decisions of gannetvane.
+//! The decision logic of gannetvane, without input or output.
 //!
-//! Nothing here opens a socket, starts a thread or reads a clock. A process
-//! core, [`Agent`] or [`Entry`], takes an event and the present time in
+//! Nothing in this crate opens a socket, starts a thread or reads a clock. A
+//! core, [`Agent`] or [`Entry`], takes an event and the current time in
 //! milliseconds and returns a list of [`Action`]s, which the process around it
-//! carries out. Whole sessions of several cores therefore run on a clock that
-//! a test advances.
+//! performs. Tests therefore run whole sessions of several cores on a clock
+//! that they advance.
 //!
 //! ```
 //! use gannetvane_core::Estimates;
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,9 +1,11 @@
-//! Which agents live: probes, suspicion and news, in the manner of SWIM.
+//! The failure detector and the gossip of members, in the manner of SWIM.
 //!
-//! Each period an agent probes one other. A probe without an answer is tried
-//! through other agents, then the member is suspect, and dead after the
-//! suspicion timeout unless it refutes. A member that observes late itself,
-//! because it was paused, draws no conclusion from the silence meanwhile.
+//! Each period an agent probes one other agent. If the probe is not answered,
+//! other agents probe the target on its behalf. If these indirect probes are
+//! not answered either, the target is suspect, and dead after the suspicion
+//! timeout unless it refutes the suspicion. An agent that was itself suspended
+//! ignores the probes that were not answered during its suspension and extends
+//! the suspicion timeouts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,35 +25,39 @@
 use crate::gossip::GossipQueue;
 use crate::gossip::gossip;
 
-/// Agents that are asked to probe a silent member.
+/// Number of agents that are asked to probe an unresponsive member.
 const INDIRECT_PROBES: usize = 3;
-/// Members that are told at once of a planned stop.
+/// Maximum number of members that are probed at once to announce a planned
+/// stop.
 const MAX_LEAVE_ANNOUNCEMENTS: usize = 8;
-/// Members that are told at once of a newer configuration.
+/// Maximum number of members that are probed at once to announce a newer
+/// configuration.
 const MAX_CONFIGURATION_ANNOUNCEMENTS: usize = 3;
-/// Members in one answer to a pull.
+/// Maximum number of members in one answer to a pull.
 const MAX_DELTA_MEMBERS: usize = 64;
-/// Periods between probes of a member that is held for dead.
+/// Number of periods between probes of a dead member.
 const DEAD_PROBE_PERIODS: u64 = 8;
-/// Periods between pulls of another agent's whole view.
+/// Number of periods between pulls of another agent's whole view.
 const PULL_PERIODS: u64 = 16;
-/// A pause of this agent of that many periods makes its observations void.
+/// Number of periods without a tick from which this agent counts as suspended
+/// and discards its pending probes.
 const MIN_SUSPENSION_PERIODS: u64 = 2;
 
-/// Times of the failure detector.
+/// Intervals and timeouts of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Interval between probes in milliseconds.
+    /// Interval in milliseconds between probes.
     pub period_ms: u64,
-    /// Time to wait for the answer to a probe, in milliseconds.
+    /// Timeout of a probe in milliseconds.
     pub ack_timeout_ms: u64,
-    /// Time from suspicion to death in milliseconds.
+    /// Time in milliseconds from suspicion until a member is declared dead.
     pub suspicion_ms: u64,
-    /// Time for which gone members are remembered, in milliseconds.
+    /// Time in milliseconds for which members that are dead or have left are
+    /// retained.
     pub retention_ms: u64,
 }
 
-/// The failure detector and view of one agent.
+/// The failure detector and the view of one agent.
 #[derive(Debug)]
 pub struct Membership {
     me: Member,
@@ -59,15 +65,19 @@
     started_at_ms: u64,
     view: View,
     rng: ChaCha8Rng,
+    /// Members that are still to be probed in this round; the last one is next.
     probe_order: Vec<NodeId>,
     probes: BTreeMap<u64, Probe>,
     next_probe_id: u64,
     next_period_ms: u64,
     periods: u64,
     last_tick_ms: u64,
+    /// Suspect members, with the time at which their suspicion began.
     suspects: BTreeMap<NodeId, u64>,
     queue: GossipQueue,
     contacts: Vec<SocketAddr>,
+    /// Per agent, the change number of its view up to which this agent has
+    /// pulled.
     pulled: BTreeMap<NodeId, u64>,
 }
 
@@ -76,7 +86,7 @@
     target: NodeId,
     sent_at_ms: u64,
     is_indirect: bool,
-    /// Set when this probe is made for another agent.
+    /// The request that this probe answers, if it is made for another agent.
     requested_by: Option<Request>,
 }
 
@@ -86,18 +96,18 @@
     probe: u64,
 }
 
-/// What a step of the failure detector brought.
+/// The outcome of one step of the failure detector.
 #[derive(Debug, Default)]
 pub(crate) struct StepOutcome {
     pub(crate) actions: Vec<Action>,
-    /// Members that are now known to be gone.
+    /// Members that this step found dead or left.
     pub(crate) gone: Vec<NodeId>,
-    /// Another process has a newer configuration.
+    /// A process that has a newer configuration.
     pub(crate) newer_configuration_at: Option<Peer>,
 }
 
 impl Membership {
-    /// The detector of a process that just started.
+    /// Creates the failure detector of a process that has just started.
     #[must_use]
     pub fn new(me: Member, settings: MembershipSettings, now_ms: u64) -> Self {
         let mut view = View::default();
@@ -123,13 +133,13 @@
         }
     }
 
-    /// What this agent knows of the others.
+    /// Returns this agent's view of the members.
     #[must_use]
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Adds addresses for the first contact.
+    /// Adds addresses to contact while no other agent is known.
     pub fn add_contacts(&mut self, contacts: impl IntoIterator<Item = SocketAddr>) {
         for contact in contacts {
             if contact != self.me.addr && !self.contacts.contains(&contact) {
@@ -138,7 +148,8 @@
         }
     }
 
-    /// Tells the others of this agent's own new state.
+    /// Sets this agent's own state and sends it to a few random members at
+    /// once.
     pub(crate) fn announce(
         &mut self,
         now_ms: u64,
@@ -155,7 +166,8 @@
             .collect()
     }
 
-    /// Tells a few others at once that this agent has a newer configuration.
+    /// Sends the version of this agent's newer configuration to a few random
+    /// members at once.
     pub(crate) fn spread(&mut self, now_ms: u64, version: u64) -> Vec<Action> {
         let mut others = self.live_others();
         others.shuffle(&mut self.rng);
@@ -166,7 +178,8 @@
             .collect()
     }
 
-    /// Does what is due. `version` is that of this agent's configuration.
+    /// Performs the periodic work that is due. `version` is the version of this
+    /// agent's configuration.
     pub(crate) fn tick(&mut self, now_ms: u64, version: u64) -> StepOutcome {
         let mut step = StepOutcome::default();
         self.allow_for_suspension(now_ms);
@@ -180,7 +193,7 @@
         step
     }
 
-    /// Probes a member at once, because its connection broke.
+    /// Probes the member at `addr` at once, because a connection to it broke.
     pub(crate) fn probe_now(
         &mut self,
         now_ms: u64,
@@ -191,6 +204,7 @@
         self.probe(now_ms, node, None, version)
     }
 
+    /// Returns the answer to a probe.
     pub(crate) fn ping(&mut self, now_ms: u64, from: Peer, probe: u64, version: u64) -> Action {
         let updates = self.queue.take(now_ms, &self.view, from.node);
         let gossip = gossip(updates, version);
@@ -200,6 +214,8 @@
         }
     }
 
+    /// Handles the answer to a probe; if another agent requested the probe,
+    /// returns the message that passes the answer on.
     pub(crate) fn ack(&mut self, now_ms: u64, probe: u64, version: u64) -> Option<Action> {
         let probe = self.probes.remove(&probe)?;
         if self.view.state(probe.target) != Some(MemberState::Suspect) {
@@ -217,6 +233,7 @@
         })
     }
 
+    /// Probes `target` on behalf of another agent.
     pub(crate) fn ping_request(
         &mut self,
         now_ms: u64,
@@ -228,15 +245,18 @@
         self.probe(now_ms, target, Some(Request { peer: from, probe }), version)
     }
 
+    /// Returns the members that changed after `since`.
     pub(crate) fn pull(&self, now_ms: u64, since: u64) -> crate::view::Delta {
         self.view.delta(now_ms, since, MAX_DELTA_MEMBERS)
     }
 
+    /// Records up to which change the view of `from` has been pulled.
     pub(crate) fn pulled(&mut self, from: NodeId, upto: u64) {
         self.pulled.insert(from, upto);
     }
 
-    /// Takes in news; returns the members that are now known to be gone.
+    /// Merges updates into the view; returns the members that are dead or have
+    /// left according to them.
     pub(crate) fn merge(&mut self, now_ms: u64, members: &[Member]) -> Vec<NodeId> {
         let mut gone = Vec::new();
         for member in members {
@@ -259,7 +279,8 @@
         gone
     }
 
-    /// A live process at a member's address with another run replaces it.
+    /// Marks other members at the address of the live process `node` as dead,
+    /// because it has replaced them.
     pub(crate) fn mark_replaced(
         &mut self,
         now_ms: u64,
@@ -294,15 +315,19 @@
         self.queue.push(self.me.node);
     }
 
+    /// Raises this agent's own version to refute another process's claim about
+    /// its state.
     fn refute(&mut self, now_ms: u64, claim: &Member) {
         if claim.state == self.me.state || claim.state.rank() == 0 {
             return;
         }
-        // An old claim shows that the refutation of it did not arrive.
+        // An outdated claim shows that the refutation of it did not arrive.
         self.me.version = self.me.version.max(claim.version + 1);
         self.publish_self(now_ms);
     }
 
+    /// Discards pending probes and extends suspicion timeouts if this agent was
+    /// suspended.
     fn allow_for_suspension(&mut self, now_ms: u64) {
         let pause_ms = now_ms.saturating_sub(self.last_tick_ms);
         self.last_tick_ms = now_ms;
@@ -315,6 +340,8 @@
         }
     }
 
+    /// Continues each unanswered probe with indirect probes, and suspects
+    /// members that these do not reach.
     fn expire_probes(&mut self, now_ms: u64, step: &mut StepOutcome) {
         let timeout_ms = self.settings.ack_timeout_ms;
         let overdue: Vec<(u64, Probe)> = self
@@ -355,6 +382,7 @@
         self.probes.insert(id, indirect);
     }
 
+    /// Marks a member as suspect and starts its suspicion timeout.
     fn suspect(&mut self, now_ms: u64, node: NodeId) {
         let Some(member) = self.view.get(now_ms, node) else {
             return;
@@ -374,6 +402,7 @@
         self.suspects.entry(node).or_insert(now_ms);
     }
 
+    /// Declares the suspects dead whose suspicion timeout has passed.
     fn expire_suspects(&mut self, now_ms: u64, step: &mut StepOutcome) {
         let timeout_ms = self.settings.suspicion_ms;
         let overdue: Vec<NodeId> = self
@@ -419,8 +448,8 @@
         self.pull_views(version, step);
     }
 
-    /// Pulls whole views: from the contacts while no other agent is known,
-    /// from a random agent now and then afterwards.
+    /// Pulls whole views: from the contacts while no other agent is known, and
+    /// from a random agent every [`PULL_PERIODS`] periods afterwards.
     fn pull_views(&mut self, configuration_version: u64, step: &mut StepOutcome) {
         let others = self.live_others();
         if others.is_empty() {
@@ -448,6 +477,8 @@
         }
     }
 
+    /// Returns the next member to probe; each round probes all others in random
+    /// order.
     fn next_target(&mut self) -> Option<NodeId> {
         if self.probe_order.is_empty() {
             self.probe_order = self.live_others();
@@ -488,7 +519,8 @@
         })
     }
 
-    /// A probe that leads to no suspicion, so that a healed cut is noticed.
+    /// Probes a dead member without waiting for an answer, so that it never
+    /// becomes suspect. The probe lets a healed network partition be noticed.
     fn probe_dead(&mut self, now_ms: u64, target: NodeId, version: u64) -> Option<Action> {
         let action = self.probe(now_ms, target, None, version)?;
         self.probes.remove(&(self.next_probe_id - 1));
--- a/crates/core/src/progress.rs
+++ b/crates/core/src/progress.rs
@@ -1,4 +1,4 @@
-//! How a home starts tasks, takes in their results and gives up.
+//! How a home processes results, retries tasks and ends submissions.
 
 use gannetvane_wire::Finished;
 use gannetvane_wire::Name;
@@ -19,13 +19,14 @@
 use crate::submission::TaskState;
 use crate::table::GENERATION_MS;
 
-/// Attempts at a task, all but the last not started, before it is given up.
+/// Maximum number of attempts at a task, including those that were not started.
 const MAX_ATTEMPTS: u16 = 8;
-/// When to come back after work was lost, in milliseconds.
+/// `retry_after_ms` of an answer after a loss, and its minimum after a deadline
+/// that was missed.
 const RETRY_AFTER_LOSS_MS: u32 = 1_000;
 
 impl Home {
-    /// Takes in the ends of tasks from an agent.
+    /// Handles the ends of tasks that an agent reports.
     pub(crate) fn finished(&mut self, ctx: &mut Context<'_>, batch: Vec<Finished>) {
         let mut affected_services: Vec<Name> = Vec::new();
         for finished in batch {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Gives up what is past its deadline.
+    /// Fails the submissions whose deadline has passed.
     pub(crate) fn expire_deadlines(&mut self, ctx: &mut Context<'_>) {
         while let Some(first) = self.deadlines.first().copied() {
             if first.at_ms > ctx.now_ms {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Work that is due from time to time.
+    /// Performs the periodic work of a home.
     pub(crate) fn maintain(&mut self, ctx: &mut Context<'_>) {
         self.table.advance(ctx.now_ms);
         for table in self.adopted.values_mut() {
@@ -71,6 +72,8 @@
         }
     }
 
+    /// Updates the homes of a service and this home's share of its slots from
+    /// the view, and drops expired credits.
     pub(crate) fn refresh_group(&mut self, ctx: &Context<'_>, name: &Name) {
         let Some(service) = self.services.get_mut(name) else {
             return;
@@ -94,11 +97,12 @@
         service.credits.expire(ctx.now_ms);
     }
 
+    /// Returns the service of a finished task.
     pub(crate) fn service_of(&self, ctx: &Context<'_>, finished: &Finished) -> Option<Name> {
         if let Some(open) = self.open.get(&finished.task_id.submission) {
             return Some(open.submission.service.clone());
         }
-        // The submission has ended, but the slot is free again.
+        // The submission has already ended, but the slot is free again.
         let agent = finished.next_credit?.agent;
         ctx.view
             .iter()
@@ -106,6 +110,8 @@
             .map(|member| member.service.clone())
     }
 
+    /// Handles the end of one task and returns its slot's next credit to the
+    /// pool.
     pub(crate) fn handle_finished(
         &mut self,
         ctx: &mut Context<'_>,
@@ -135,6 +141,8 @@
         }
     }
 
+    /// Records the result of a task for the health of its minion and the retry
+    /// budget.
     pub(crate) fn update_health(
         &mut self,
         ctx: &mut Context<'_>,
@@ -159,6 +167,8 @@
         }
     }
 
+    /// Records the result of a task's attempt, and ends the submission or
+    /// queues the task again if the result requires it.
     pub(crate) fn end_attempt(
         &mut self,
         ctx: &mut Context<'_>,
@@ -191,8 +201,9 @@
         }
     }
 
-    /// A task that may have run is tried again only if it is repeatable and
-    /// the budget allows it.
+    /// Queues a task again that failed or may have run, if its submission is
+    /// repeatable and has attempts and retry budget left. Otherwise the
+    /// submission ends.
     pub(crate) fn retry_or_close(
         &mut self,
         ctx: &mut Context<'_>,
@@ -222,6 +233,8 @@
         }
     }
 
+    /// Ends a submission after a failed or lost task. Unless the task itself
+    /// failed, the answer says when the caller may retry.
     pub(crate) fn close_after_loss(
         &mut self,
         ctx: &mut Context<'_>,
@@ -232,6 +245,8 @@
         self.close(ctx, id, reason, retry_after_ms);
     }
 
+    /// Queues a task again that was not started, or ends the submission if no
+    /// attempt is left.
     pub(crate) fn requeue_unstarted(
         &mut self,
         ctx: &mut Context<'_>,
@@ -251,6 +266,7 @@
         }
     }
 
+    /// Queues the next attempt at a task.
     pub(crate) fn requeue(&mut self, id: SubmissionId, index: u16, may_have_run: bool) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -273,6 +289,8 @@
             .push(id, &open.submission.team, open.arrived_ms, queued);
     }
 
+    /// Subtracts one running task from the counts of the submission's service
+    /// and team.
     pub(crate) fn release_slot_of(&mut self, id: SubmissionId) {
         if let Some(open) = self.open.get(&id)
             && let Some(service) = self.services.get_mut(&open.submission.service)
@@ -282,6 +300,7 @@
         }
     }
 
+    /// Adds the run time of a task to the estimates of its service.
     pub(crate) fn observe(&mut self, id: SubmissionId, index: u16, run_ms: u32) {
         if let Some(open) = self.open.get(&id)
             && let Some(service) = self.services.get_mut(&open.submission.service)
@@ -299,6 +318,8 @@
         }
     }
 
+    /// Ends a submission that cannot meet its deadline; the answer gives the
+    /// expected wait as the time to retry.
     pub(crate) fn give_up(&mut self, ctx: &mut Context<'_>, deadline: Deadline, reason: Reason) {
         let Some(open) = self.open.get(&deadline.id) else {
             return;
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting tasks are started.
+//! The queue of waiting tasks, and the order in which they start.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,27 +6,28 @@
 use gannetvane_wire::Name;
 use gannetvane_wire::SubmissionId;
 
-/// Share of a submission's longest task by which its turn is put back.
+/// Fraction of a submission's longest run time by which its turn is delayed.
 ///
-/// A submission's turn comes at its arrival, put back by a share of the time
-/// that it needs at least and of the work it still has, so that short ones
-/// pass long ones and jobs that are nearly done are finished first.
+/// A submission's turn is its arrival time plus a fraction of its longest
+/// estimate and a fraction of the work it still has in the queue. So short
+/// submissions overtake long ones, and jobs that are nearly done finish first.
 const LONGEST_TASK_FRACTION: f64 = 0.5;
-/// Share of the work that still waits by which the turn is put back.
+/// Fraction of the submission's remaining work by which its turn is delayed.
 const REMAINING_WORK_FRACTION: f64 = 0.05;
-/// Most that a submission can be put back behind later ones, in milliseconds.
+/// Maximum delay of a turn in milliseconds, which bounds how long later
+/// submissions can overtake.
 const MAX_TURN_DELAY_MS: u64 = 5_000;
 
-/// A waiting task.
+/// A task that waits for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuedTask {
-    /// Expected run time in milliseconds.
+    /// Estimated run time in milliseconds.
     pub estimate_ms: u32,
-    /// Position in its submission.
+    /// Index of the task in its submission.
     pub index: u16,
 }
 
-/// Waiting tasks of one service at one home.
+/// The waiting tasks of one service at one home.
 #[derive(Clone, Debug, Default)]
 pub struct TaskQueue {
     submissions: BTreeMap<SubmissionId, WaitingSubmission>,
@@ -35,8 +36,8 @@
     work_ms: u64,
 }
 
-/// Waiting tasks of one team. The sums are kept, so that no decision walks
-/// over the queue.
+/// The waiting tasks of one team. It maintains their sums, so that no decision
+/// needs to scan the queue.
 #[derive(Clone, Debug, Default)]
 struct TeamQueue {
     turns: BTreeSet<Turn>,
@@ -44,12 +45,14 @@
     work_ms: u64,
 }
 
+/// The place of a submission in the order of starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
     at_ms: u64,
     id: SubmissionId,
 }
 
+/// A submission with waiting tasks.
 #[derive(Clone, Debug)]
 struct WaitingSubmission {
     team: Name,
@@ -57,7 +60,7 @@
     longest_ms: u32,
     work_ms: u64,
     turn: Turn,
-    /// In ascending order of the estimate: the longest is started first.
+    /// In ascending order of the estimates; the last, longest one starts first.
     tasks: Vec<QueuedTask>,
 }
 
@@ -77,7 +80,7 @@
         self.submissions.insert(id, waiting);
     }
 
-    /// Takes all waiting tasks of a submission out.
+    /// Removes and returns all waiting tasks of a submission.
     pub fn remove(&mut self, id: SubmissionId) -> Vec<QueuedTask> {
         let Some(waiting) = self.submissions.remove(&id) else {
             return Vec::new();
@@ -88,26 +91,27 @@
         waiting.tasks
     }
 
-    /// Number of waiting tasks.
+    /// Returns the number of waiting tasks.
     #[must_use]
     pub fn len(&self) -> usize {
         self.tasks
     }
 
-    /// Whether no task waits.
+    /// Returns whether no task waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.tasks == 0
     }
 
-    /// Sum of the expected run times of the waiting tasks, in milliseconds.
+    /// Returns the sum of the estimated run times of the waiting tasks, in
+    /// milliseconds.
     #[must_use]
     pub fn work_ms(&self) -> u64 {
         self.work_ms
     }
 
-    /// Milliseconds by which the earliest turn is overdue, negative when it
-    /// is still to come; `None` when nothing waits.
+    /// Returns the milliseconds by which the earliest turn is overdue, negative
+    /// if it has not come yet; `None` if no task waits.
     #[must_use]
     pub fn overdue_ms(&self, now_ms: u64) -> Option<i64> {
         let firsts = self.teams.values().filter_map(|queue| queue.turns.first());
@@ -115,37 +119,39 @@
         Some(now_ms.cast_signed() - first.at_ms.cast_signed())
     }
 
-    /// Number of waiting tasks of a team.
+    /// Returns the number of waiting tasks of a team.
     #[must_use]
     pub fn len_of_team(&self, team: &Name) -> usize {
         self.teams.get(team).map_or(0, |queue| queue.tasks)
     }
 
-    /// Sum of the expected run times of a team's waiting tasks.
+    /// Returns the sum of the estimated run times of a team's waiting tasks, in
+    /// milliseconds.
     #[must_use]
     pub fn work_ms_of_team(&self, team: &Name) -> u64 {
         self.teams.get(team).map_or(0, |queue| queue.work_ms)
     }
 
-    /// Teams with waiting tasks.
+    /// Returns the teams that have waiting tasks.
     #[must_use]
     pub fn teams(&self) -> Vec<Name> {
         self.teams.keys().cloned().collect()
     }
 
-    /// Submissions of a team in the order of their turns.
+    /// Returns the submissions of a team in the order of their turns.
     pub fn in_turn<'a>(&'a self, team: &Name) -> impl Iterator<Item = SubmissionId> + 'a {
         let queues = self.teams.get(team).into_iter();
         queues.flat_map(|queue| &queue.turns).map(|turn| turn.id)
     }
 
-    /// The next task of a submission: its longest one that waits.
+    /// Returns the waiting task of a submission that has the longest estimate.
     #[must_use]
     pub fn next_of(&self, id: SubmissionId) -> Option<QueuedTask> {
         self.submissions.get(&id)?.tasks.last().copied()
     }
 
-    /// Takes the next task of a submission out; its turn moves forward.
+    /// Removes and returns the next task of a submission, and moves the
+    /// submission's turn forward.
     pub fn pop_of(&mut self, id: SubmissionId) -> Option<QueuedTask> {
         let mut waiting = self.submissions.remove(&id)?;
         self.remove_turn(&waiting);
@@ -182,7 +188,8 @@
 }
 
 impl WaitingSubmission {
-    /// `tasks` are in ascending order of their estimates.
+    /// Creates the state of a waiting submission. `tasks` must be in ascending
+    /// order of their estimates.
     fn new(id: SubmissionId, team: &Name, arrived_ms: u64, tasks: Vec<QueuedTask>) -> Self {
         let mut waiting = Self {
             team: team.clone(),
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What a home does when agents die, leave or fall silent.
+//! How a home recovers when agents die, leave or do not respond.
 
 use gannetvane_wire::Credit;
 use gannetvane_wire::Finished;
@@ -17,24 +17,27 @@
 use crate::home::Home;
 use crate::submission::TaskState;
 
-/// Time to wait for results of an agent that left as planned, in milliseconds.
+/// Time in milliseconds for which results of an agent that left as planned are
+/// awaited.
 const LEFT_RESULT_TIMEOUT_MS: u64 = 2_000;
-/// Times that this pause is doubled at most.
+/// Maximum number of times that the delay after a broken connection is doubled.
 const MAX_RECONNECT_DOUBLINGS: u32 = 5;
 
-/// Pause before an agent is asked again after its connection broke first.
+/// Delay in milliseconds after the first broken connection before the start is
+/// sent again.
 const FIRST_RECONNECT_DELAY_MS: u64 = 100;
-/// Longest interval between two such questions, in milliseconds.
+/// Maximum interval in milliseconds between two resends of a start.
 const MAX_CHECK_INTERVAL_MS: u64 = 15_000;
 
 impl Home {
-    /// An agent will never take work again.
+    /// Handles an agent that is dead or has left.
     pub(crate) fn agent_gone(&mut self, ctx: &mut Context<'_>, agent: NodeId) {
         for service in self.services.values_mut() {
             service.forget_agent(agent);
         }
         match ctx.view.state(agent) {
-            // It finished what it had; the news may overtake the results.
+            // The agent finished its tasks, but this update may arrive before
+            // their results.
             Some(MemberState::Left { .. }) => {
                 self.results_awaited_until_ms
                     .insert(agent, ctx.now_ms + LEFT_RESULT_TIMEOUT_MS);
@@ -43,6 +46,8 @@
         }
     }
 
+    /// Marks tasks as lost whose agent left and whose results have been awaited
+    /// long enough.
     pub(crate) fn lose_tasks_of_departed(&mut self, ctx: &mut Context<'_>) {
         let is_due = |due_ms: &u64| *due_ms <= ctx.now_ms;
         let due: Vec<NodeId> = self
@@ -57,7 +62,8 @@
         }
     }
 
-    /// What ran on an agent that will not answer has no known end.
+    /// Marks the tasks on a lost agent as unknown, because nothing will report
+    /// their results.
     pub(crate) fn lose_tasks_of(&mut self, ctx: &mut Context<'_>, agent: NodeId) {
         let affected: Vec<SubmissionId> = self
             .open
@@ -81,6 +87,7 @@
         }
     }
 
+    /// Marks a task as unknown, and retries it or ends its submission.
     pub(crate) fn handle_lost_task(&mut self, ctx: &mut Context<'_>, id: SubmissionId, index: u16) {
         if !self.open.contains_key(&id) {
             return;
@@ -92,7 +99,8 @@
         self.retry_or_close(ctx, id, index, Reason::AgentLost);
     }
 
-    /// The connection to an address broke: messages may be lost, so ask soon.
+    /// Handles a broken connection to `addr`: messages may be lost, so the
+    /// starts sent there are sent again soon.
     pub(crate) fn peer_down(&mut self, now_ms: u64, addr: std::net::SocketAddr) {
         for task in self.open.values_mut().flat_map(|open| &mut open.tasks) {
             if let TaskState::Started(started) = &mut task.state
@@ -106,7 +114,8 @@
         }
     }
 
-    /// Starts that never left this process: their tasks can go elsewhere.
+    /// Handles starts that were never sent. Their tasks can start on other
+    /// agents.
     pub(crate) fn undelivered(&mut self, ctx: &mut Context<'_>, starts: &[TaskStart]) {
         let unstarted = starts.iter().filter(|start| self.was_sent_once(start));
         let batch = unstarted.map(|start| Finished {
@@ -119,14 +128,16 @@
         self.finished(ctx, batch);
     }
 
+    /// Returns whether this attempt is current and its start was sent only
+    /// once, so that it cannot have reached the agent.
     pub(crate) fn was_sent_once(&self, start: &TaskStart) -> bool {
         let open = self.open.get(&start.task_id.submission);
         open.and_then(|open| open.started(start.task_id.index, start.task_id.attempt))
             .is_some_and(|started| !started.is_resent)
     }
 
-    /// Sends the start again of each task that has been silent for too long;
-    /// the agent answers with what it knows of it.
+    /// Sends again the start of each task whose result is overdue. The agent
+    /// answers with what it has retained about the task.
     pub(crate) fn check_started(&mut self, ctx: &mut Context<'_>) {
         for (id, open) in &mut self.open {
             let due: Vec<(u16, Credit)> = open
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -1,4 +1,5 @@
-//! Slots of one minion, and the at-most-once start of tasks on them.
+//! The slots of one minion. A slot runs one task at a time, and each credit
+//! starts at most one task.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,18 +18,20 @@
 use crate::Peer;
 use crate::credits::CREDIT_LEASE_MS;
 
-/// Uses of each slot whose results are remembered, to answer repeated starts.
+/// Number of most recent uses of each slot whose results are retained to answer
+/// repeated starts.
 const RETAINED_RESULTS: usize = 8;
-/// Time for which it is remembered which task each use was for: well beyond
-/// the lease of a credit, so that a late first start gets a true answer.
+/// Time in milliseconds for which the runner retains which task each use was
+/// for. It is well beyond the lease of a credit, so that a delayed first start
+/// is answered correctly.
 const USE_RETENTION_MS: u64 = 3 * CREDIT_LEASE_MS;
-/// Most uses of one slot that are remembered.
+/// Maximum number of uses of one slot that are retained.
 const MAX_RETAINED_USES: usize = 4_096;
 
-/// Slot accounting of one agent.
+/// Accounts for the slots of one agent.
 ///
-/// Each slot counts its uses. A [`Credit`] names one use; a start with any
-/// other use count than the present one starts nothing.
+/// Each slot counts its uses. A [`Credit`] is the right to one use: a start
+/// whose credit has a use count other than the current one starts nothing.
 #[derive(Clone, Debug)]
 pub struct Runner {
     me: NodeId,
@@ -45,15 +48,13 @@
 
 #[derive(Clone, Debug)]
 enum SlotState {
-    /// Free; `holder` has the credit.
+    /// No task runs; `holder` has the credit.
     Idle {
         since_ms: u64,
         holder: Option<NodeId>,
     },
-    Busy {
-        home: Peer,
-        started_at_ms: u64,
-    },
+    /// A task of `home` runs.
+    Busy { home: Peer, started_at_ms: u64 },
 }
 
 #[derive(Clone, Debug)]
@@ -65,21 +66,24 @@
 
 #[derive(Clone, Debug)]
 enum UseKind {
+    /// The credit was revoked before a start arrived.
     Revoked,
+    /// The task runs.
     Running(TaskId),
+    /// The task has ended with this result.
     Ended(Finished),
-    /// Ended; the result is no longer held.
+    /// The task has ended, and its result is no longer retained.
     ResultDropped(TaskId),
 }
 
-/// A task that just ended, and the home that waits for it.
+/// The end of a task, and the home that it is reported to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Ended {
     pub(crate) home: Peer,
     pub(crate) finished: Finished,
 }
 
-/// A slot whose credit nobody holds.
+/// An idle slot whose credit no home holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FreeSlot {
     pub(crate) index: u16,
@@ -87,7 +91,7 @@
 }
 
 impl Runner {
-    /// A runner with idle slots that nobody holds credits for.
+    /// Creates a runner with idle slots whose credits no home holds.
     #[must_use]
     pub fn new(me: NodeId, slots: u16, now_ms: u64) -> Self {
         let idle = Slot {
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Number of slots on which a task runs.
+    /// Returns the number of slots on which a task runs.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.slots
@@ -114,7 +118,8 @@
             .count()
     }
 
-    /// Handles a start; an answer that is due at once is returned.
+    /// Handles a start message. It returns a result if one can be reported at
+    /// once, and `None` if the task runs.
     pub(crate) fn start(
         &mut self,
         now_ms: u64,
@@ -149,8 +154,8 @@
         None
     }
 
-    /// Makes sure that a start which has not arrived yet will start nothing;
-    /// returns the task to stop if it runs already.
+    /// Revokes a credit, so that a delayed start with it starts nothing. If the
+    /// task already runs, returns its id, so that it can be stopped.
     pub(crate) fn revoke(&mut self, now_ms: u64, credit: Credit) -> Option<TaskId> {
         let slot = self.slots.get_mut(usize::from(credit.slot))?;
         if credit.agent != self.me {
@@ -167,7 +172,7 @@
         }
     }
 
-    /// Takes in the result of a task from the minion.
+    /// Records the result of a task that the minion reports.
     pub(crate) fn finish(
         &mut self,
         now_ms: u64,
@@ -210,8 +215,8 @@
         Some(Ended { home, finished })
     }
 
-    /// Takes back idle credits that are due for renewal or whose holder
-    /// `is_lost`, and lists all slots that nobody holds a credit for.
+    /// Revokes idle credits that are due for renewal or whose holder `is_lost`,
+    /// and returns all slots whose credit no home holds.
     pub(crate) fn reclaim(
         &mut self,
         now_ms: u64,
@@ -242,7 +247,7 @@
         free
     }
 
-    /// Gives the credit of an idle slot to a home.
+    /// Grants the credit of an idle slot to a home.
     pub(crate) fn grant(&mut self, now_ms: u64, index: u16, home: NodeId) -> Option<SlotCredit> {
         let slot = self.slots.get_mut(usize::from(index))?;
         if !matches!(slot.state, SlotState::Idle { .. }) {
@@ -260,7 +265,7 @@
         Some(SlotCredit { credit, idle_ms: 0 })
     }
 
-    /// Takes no more work; all idle credits become void.
+    /// Stops accepting tasks and revokes all idle credits.
     pub(crate) fn leave(&mut self, now_ms: u64) {
         self.leaving = true;
         for slot in &mut self.slots {
@@ -270,7 +275,8 @@
         }
     }
 
-    /// Homes whose tasks run here, and where their results go.
+    /// Returns the addresses of the homes whose tasks run here, to which the
+    /// results are sent.
     #[must_use]
     pub fn homes_of_running(&self) -> Vec<SocketAddr> {
         let addr = |slot: &Slot| match slot.state {
@@ -282,6 +288,8 @@
 }
 
 impl Slot {
+    /// Records a use of the slot, which makes the current credit invalid, and
+    /// drops uses that are no longer retained.
     fn record_use(&mut self, now_ms: u64, kind: UseKind) {
         while self.uses.front().is_some_and(|first| {
             now_ms.saturating_sub(first.at_ms) > USE_RETENTION_MS
@@ -298,7 +306,7 @@
         self.drop_old_result();
     }
 
-    /// Drops the result of the use that is just too old.
+    /// Drops the result of the newest use that is beyond [`RETAINED_RESULTS`].
     fn drop_old_result(&mut self) {
         let Some(index) = self.uses.len().checked_sub(RETAINED_RESULTS + 1) else {
             return;
@@ -316,7 +324,7 @@
         };
     }
 
-    /// What to say of a start whose credit is used up already.
+    /// Returns the answer to a start whose credit has already been used.
     fn answer_repeated(&self, credit: Credit, task_id: TaskId) -> Option<Finished> {
         let Some(used) = self
             .uses
@@ -338,7 +346,8 @@
         }
     }
 
-    /// The next credit is repeated only while it is still unused.
+    /// Returns a result again. Its next credit is included only while that
+    /// credit is still unused.
     fn repeat_result(&self, finished: &Finished) -> Finished {
         let is_unused = |next: &Credit| next.sequence == self.sequence;
         let next_credit = finished.next_credit.filter(is_unused);
@@ -349,6 +358,7 @@
     }
 }
 
+/// Builds a result that carries neither a run time nor a next credit.
 fn finished_without_credit(task_id: TaskId, result: TaskResult) -> Finished {
     Finished {
         task_id,
--- a/crates/core/src/service.rs
+++ b/crates/core/src/service.rs
@@ -1,5 +1,5 @@
-//! What a home keeps for one service: the queue, the credits and who may use
-//! them.
+//! The state of one service at its home: the queue, the credits and the
+//! accounting of teams and minions.
 
 use std::collections::BTreeMap;
 
@@ -22,14 +22,16 @@
 use crate::lending::Lending;
 use crate::queue::QueuedTask;
 
-/// Submissions of one team that are tried for a free slot before giving up.
+/// Maximum number of submissions of one team that are checked for a task that
+/// fits a free slot.
 const MAX_SCANNED_SUBMISSIONS: usize = 16;
-/// Pause of a slot after its minion failed, for each failure in a row.
+/// Delay in milliseconds, for each consecutive failure of its minion, before a
+/// slot is used again.
 const PAUSE_PER_FAILURE_MS: u64 = 200;
-/// Longest such pause.
+/// Maximum delay in milliseconds before a slot is used again.
 const MAX_PAUSE_MS: u64 = 2_000;
 
-/// State of one service at one home.
+/// The state of one service at one home.
 #[derive(Debug, Default)]
 pub(crate) struct Service {
     pub(crate) queue: TaskQueue,
@@ -39,15 +41,18 @@
     pub(crate) teams: TeamShares,
     pub(crate) budget: RetryBudget,
     pub(crate) lending: Lending,
-    /// Tasks of this home that run.
+    /// Number of running tasks of this home.
     pub(crate) running: usize,
-    /// The homes of the service, as of the last tick.
+    /// The homes of the service, updated by [`Home::maintain`].
+    ///
+    /// [`Home::maintain`]: crate::home::Home::maintain
     pub(crate) group: Vec<Peer>,
-    /// This home's share of all slots of the service, as of the last tick.
+    /// This home's equal share of all slots of the service, updated together
+    /// with `group`.
     pub(crate) fair_slots: usize,
 }
 
-/// A task chosen for a slot.
+/// A task and the credit that was chosen for it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement {
     pub(crate) id: SubmissionId,
@@ -55,21 +60,23 @@
     pub(crate) credit: Credit,
 }
 
-/// What the choice of a task and a slot depends on.
+/// The inputs for the choice of a task and a slot.
 pub(crate) struct Placing<'a> {
     pub(crate) now_ms: u64,
     pub(crate) view: &'a View,
     pub(crate) teams: &'a [Name],
     pub(crate) preference: Preference,
-    /// The last choice of the same round.
+    /// The previous choice in the same round of starts.
     pub(crate) last: Option<Placement>,
 }
 
 impl Service {
-    /// Expected wait of a task of `team` that arrives now, in milliseconds.
+    /// Returns the expected wait in milliseconds of a task of `team` that
+    /// arrives now.
     ///
-    /// The team gets its share by weight among the teams that wait, of the
-    /// slots that this home has or will get as its share among the homes.
+    /// The home counts on the slots that it has or will get as its share among
+    /// the homes. The team gets a part of them by its weight among the teams
+    /// with waiting tasks.
     pub(crate) fn expected_wait_ms(&self, team: &Name, quotas: &BTreeMap<Name, TeamConfig>) -> u64 {
         if self.credits.len() > self.queue.len() {
             return 0;
@@ -83,7 +90,7 @@
         self.queue.work_ms_of_team(team) * weights / (slots * weight(team).max(1))
     }
 
-    /// Chooses the next task and a slot for it.
+    /// Chooses the next task and takes a credit for it.
     pub(crate) fn place(
         &mut self,
         placing: &Placing<'_>,
@@ -112,6 +119,9 @@
         None
     }
 
+    /// Takes a credit for a task with these needs. If the service prefers few
+    /// messages, it prefers the agent that received the previous task of the
+    /// same submission.
     fn take_credit(
         &mut self,
         placing: &Placing<'_>,
@@ -129,13 +139,15 @@
         })
     }
 
-    /// Takes in the next credit of a slot whose task ended.
+    /// Adds the next credit of a slot whose task ended. After failures of the
+    /// minion, it becomes usable only after a delay.
     pub(crate) fn return_credit(&mut self, now_ms: u64, credit: Credit) {
         let failures = u64::from(self.health.consecutive_failures(credit.agent));
         let pause_ms = (failures * PAUSE_PER_FAILURE_MS).min(MAX_PAUSE_MS);
         self.credits.add(credit, now_ms, now_ms + pause_ms);
     }
 
+    /// Drops the credits and health records of an agent.
     pub(crate) fn forget_agent(&mut self, agent: NodeId) {
         self.credits.drop_agent(agent);
         self.health.forget(agent);
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -1,4 +1,5 @@
-//! A submission that its home is working on.
+//! A submission at its home while it has no final answer. A submission is a job
+//! of one or more tasks that a caller submits under one id.
 
 use std::sync::Arc;
 
@@ -18,18 +19,19 @@
 
 use crate::Peer;
 
-/// State of one task at its home.
+/// The state of one task at its home.
 #[derive(Clone, Debug)]
 pub(crate) enum TaskState {
-    /// Waits for a credit.
+    /// The task waits in the queue for a credit.
     Queued,
-    /// Sent to an agent.
+    /// The task was sent to an agent and has not ended.
     Started(StartedTask),
-    /// Ran and gave this output.
+    /// The task ran and gave this output.
     Done(Name),
-    /// Ran and failed with this error.
+    /// The task ran and failed with this error.
     Failed(Name),
-    /// Its agent is lost, or forgot it.
+    /// It is not known whether the task ran: its agent is lost or no longer
+    /// retains the result.
     Unknown,
 }
 
@@ -38,17 +40,18 @@
 pub(crate) struct StartedTask {
     pub(crate) credit: Credit,
     pub(crate) agent: Peer,
-    /// When to ask the agent again if no result came.
+    /// Time at which the start is sent again if no result has arrived.
     pub(crate) check_at_ms: u64,
-    /// Present interval between two such checks.
+    /// Current interval between two resends of the start.
     pub(crate) check_interval_ms: u64,
     /// Whether the start was sent more than once.
     pub(crate) is_resent: bool,
-    /// Times that the connection to the agent broke meanwhile.
+    /// Number of times that the connection to the agent has broken since the
+    /// start.
     pub(crate) reconnects: u32,
 }
 
-/// One task with the number of its present attempt.
+/// One task and the number of its current attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenTask {
     pub(crate) state: TaskState,
@@ -64,7 +67,7 @@
     pub(crate) tasks: Vec<OpenTask>,
     pub(crate) arrived_ms: u64,
     pub(crate) deadline_at_ms: u64,
-    /// Hash of the content.
+    /// Hash of the submission's content.
     pub(crate) fingerprint: u64,
     /// Entries that wait for the answer.
     pub(crate) waiters: Vec<Waiter>,
@@ -74,7 +77,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Waiter {
     pub(crate) entry: Peer,
-    /// Echoed by the answer.
+    /// Fingerprint of the entry's request, which the answer repeats so that the
+    /// entry can match it.
     pub(crate) fingerprint: u64,
 }
 
@@ -107,13 +111,14 @@
         }
     }
 
+    /// Returns whether all tasks have succeeded.
     pub(crate) fn is_done(&self) -> bool {
         self.tasks
             .iter()
             .all(|task| matches!(task.state, TaskState::Done(_)))
     }
 
-    /// The started state of a task, if this is its present attempt.
+    /// Returns the state of a started task if `attempt` is its current attempt.
     pub(crate) fn started(&self, index: u16, attempt: u16) -> Option<&StartedTask> {
         let task = self.tasks.get(usize::from(index))?;
         match &task.state {
@@ -122,7 +127,8 @@
         }
     }
 
-    /// Indexes of the tasks that were sent to `agent` and have not ended.
+    /// Returns the indexes of the tasks that were sent to `agent` and have not
+    /// ended.
     pub(crate) fn running_on(&self, agent: NodeId) -> Vec<u16> {
         self.running()
             .filter(|(_, s)| s.credit.agent == agent)
@@ -130,7 +136,8 @@
             .collect()
     }
 
-    /// The tasks that were sent to an agent and have not ended.
+    /// Returns the tasks that were sent to any agent and have not ended, with
+    /// their indexes.
     pub(crate) fn running(&self) -> impl Iterator<Item = (u16, &StartedTask)> {
         (0u16..)
             .zip(&self.tasks)
@@ -140,7 +147,7 @@
             })
     }
 
-    /// The final answer, given the tasks' states.
+    /// Builds the final answer from the states of the tasks.
     pub(crate) fn answer(&self, reason: Reason, retry_after_ms: Option<u32>) -> Answer {
         if self.is_done() {
             return Answer {
@@ -152,7 +159,8 @@
             };
         }
         let ran = self.ran();
-        // Outputs of a part of a job are no answer: only what ran is told.
+        // The outputs of an incomplete job are not returned; the answer only
+        // says which tasks ran.
         let tasks = self.reports().into_iter().map(without_output).collect();
         Answer {
             outcome: Outcome::Failed,
@@ -163,6 +171,7 @@
         }
     }
 
+    /// Summarizes whether any task ran.
     fn ran(&self) -> Ran {
         let statuses: Vec<TaskStatus> = self.tasks.iter().map(OpenTask::status).collect();
         let has_any = |wanted: &[TaskStatus]| statuses.iter().any(|status| wanted.contains(status));
@@ -213,7 +222,7 @@
 }
 
 impl OpenSubmission {
-    /// The message that starts a task of this submission.
+    /// Builds the start message for one task.
     pub(crate) fn task_start(
         &self,
         now_ms: u64,
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -1,4 +1,4 @@
-//! Submissions that an agent answers for, in generations.
+//! Retains the ids and answers of submissions, grouped in generations.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,45 +8,46 @@
 use gannetvane_wire::NodeId;
 use gannetvane_wire::SubmissionId;
 
-/// Length of one generation in milliseconds. All processes must agree on it.
+/// Length of one generation in milliseconds. All processes must use the same
+/// value.
 pub const GENERATION_MS: u64 = 60_000;
 
-/// Bounds of a table.
+/// Limits of a [`SubmissionTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSettings {
-    /// Generations that are kept, the present one included.
+    /// Number of generations that are retained, including the current one.
     pub kept_generations: u32,
-    /// Most bytes of task output that are kept. Beyond it the oldest answers
-    /// are dropped, while their ids stay known.
+    /// Maximum number of bytes of task output that are retained. Beyond it the
+    /// oldest answers are dropped, while their ids are retained.
     pub max_answer_bytes: usize,
 }
 
 impl TableSettings {
-    /// Time for which an id is surely known, in milliseconds.
+    /// Returns the minimum time in milliseconds for which an id is retained.
     #[must_use]
     pub fn retention_ms(&self) -> u64 {
         GENERATION_MS * u64::from(self.kept_generations.saturating_sub(1))
     }
 }
 
-/// What a table knows of an id.
+/// The result of looking up an id in a [`SubmissionTable`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup {
     /// The id belongs to another home.
     Foreign,
-    /// The generation of the id is no longer held.
+    /// The generation of the id is no longer retained.
     Expired,
-    /// The generation of the id lies in the future.
+    /// The generation of the id has not begun yet.
     Future,
     /// No submission with this id has arrived.
     New,
-    /// The id is held for a submission of other content.
+    /// The id is in use by a submission with different content.
     Reused,
     /// The submission has no final answer yet.
     Open,
-    /// The final answer.
+    /// The submission has ended with this answer.
     Answered(Arc<Answer>),
-    /// The submission has ended; its answer is no longer held.
+    /// The submission has ended, and its answer is no longer retained.
     Dropped,
 }
 
@@ -63,16 +64,18 @@
     Dropped,
 }
 
-/// The ids that one home has seen, dropped a whole generation at a time.
+/// The ids that one home has received, grouped in generations and dropped one
+/// whole generation at a time.
 ///
-/// A generation is a number that the home advances on its own clock, so no
-/// two clocks are compared. An id of a dropped generation is never accepted.
+/// A generation is a number that the home advances on its own clock, so the
+/// clocks of two processes are never compared. An id of a dropped generation is
+/// never accepted.
 #[derive(Clone, Debug)]
 pub struct SubmissionTable {
     home: NodeId,
     settings: TableSettings,
     started_at_ms: i64,
-    /// Generation in which the table was made, or taken over.
+    /// Generation in which the table was created or taken over.
     created_in: u32,
     oldest: u32,
     generations: BTreeMap<u32, BTreeMap<u64, Entry>>,
@@ -80,7 +83,7 @@
 }
 
 impl SubmissionTable {
-    /// An empty table of a home that has been up for `uptime_ms`.
+    /// Creates an empty table of a home that has been up for `uptime_ms`.
     #[must_use]
     pub fn new(home: NodeId, settings: TableSettings, now_ms: u64, uptime_ms: u64) -> Self {
         Self {
@@ -94,13 +97,13 @@
         }
     }
 
-    /// The home whose submissions these are.
+    /// Returns the home that the ids of this table name.
     #[must_use]
     pub fn home(&self) -> NodeId {
         self.home
     }
 
-    /// Milliseconds since the home started.
+    /// Returns the milliseconds since the home started.
     #[must_use]
     pub fn uptime_ms(&self, now_ms: u64) -> u64 {
         (now_ms.cast_signed() - self.started_at_ms)
@@ -108,8 +111,9 @@
             .cast_unsigned()
     }
 
-    /// Whether `retention_ms` have passed since the last generation that an id
-    /// can name, for the table of a home that left.
+    /// Returns whether the newest generation of this table ended more than
+    /// `retention_ms` ago. It applies to the table of a home that left, which
+    /// receives no new ids.
     #[must_use]
     pub fn is_past(&self, now_ms: u64, retention_ms: u64) -> bool {
         let newest = self
@@ -122,13 +126,14 @@
         self.uptime_ms(now_ms) > end_ms + retention_ms
     }
 
-    /// The oldest generation that is held.
+    /// Returns the oldest generation that is retained.
     #[must_use]
     pub fn oldest_generation(&self) -> u32 {
         self.oldest
     }
 
-    /// Refuses all generations before `oldest` from now on.
+    /// Drops all generations before `oldest`; their ids are not accepted any
+    /// more.
     pub fn raise_oldest(&mut self, oldest: u32) {
         self.oldest = self.oldest.max(oldest);
         let kept = self.generations.split_off(&self.oldest);
@@ -147,8 +152,8 @@
         }
     }
 
-    /// What is known of an id whose submission has this `fingerprint`; 0 fits
-    /// any. Call [`Self::advance`] first.
+    /// Looks up an id whose submission has this `fingerprint`, the hash of its
+    /// content; 0 matches any content. Call [`Self::advance`] first.
     #[must_use]
     pub fn lookup(&self, now_ms: u64, id: SubmissionId, fingerprint: u64) -> Lookup {
         if id.home != self.home {
@@ -157,7 +162,8 @@
         if id.generation < self.oldest {
             return Lookup::Expired;
         }
-        // An entry reckons generations on its own clock, so it may be one ahead.
+        // An entry computes generations on its own clock, so it may be one
+        // ahead.
         let newest = generation_at(self.uptime_ms(now_ms)) + 1;
         if id.generation > newest {
             return Lookup::Future;
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Notes that a submission with this id is being run.
+    /// Records that the submission with this id is being run.
     pub fn open(&mut self, id: SubmissionId, fingerprint: u64) {
         self.insert_entry(
             id,
@@ -180,7 +186,7 @@
         );
     }
 
-    /// Notes the final answer of a submission.
+    /// Records the final answer of a submission.
     pub fn answer(&mut self, id: SubmissionId, fingerprint: u64, answer: Arc<Answer>) {
         self.insert_entry(
             id,
@@ -192,7 +198,7 @@
         self.drop_oldest_answers();
     }
 
-    /// Takes in a submission of a table that another agent hands over.
+    /// Adds a submission from a table that another agent hands over.
     pub fn adopt(&mut self, entry: HandoverEntry) {
         let state = entry
             .answer
@@ -207,7 +213,7 @@
         self.drop_oldest_answers();
     }
 
-    /// All ended submissions, to hand the table over.
+    /// Returns all retained submissions, to hand the table over.
     #[must_use]
     pub fn export(&self) -> Vec<HandoverEntry> {
         let mut exported = Vec::with_capacity(self.len());
@@ -232,19 +238,19 @@
         exported
     }
 
-    /// Number of ids held.
+    /// Returns the number of ids retained.
     #[must_use]
     pub fn len(&self) -> usize {
         self.generations.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether no id is held.
+    /// Returns whether no id is retained.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes of task output held.
+    /// Returns the number of bytes of task output retained.
     #[must_use]
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
@@ -261,11 +267,12 @@
         }
     }
 
+    /// Drops the oldest answers if the limit on retained output is exceeded.
     fn drop_oldest_answers(&mut self) {
         if self.answer_bytes <= self.settings.max_answer_bytes {
             return;
         }
-        // A quarter is freed at once, so that the walk is rare.
+        // Frees a quarter of the space at once, so that this scan is rare.
         let target_bytes = self.settings.max_answer_bytes / 4 * 3;
         for entry in self.generations.values_mut().flat_map(BTreeMap::values_mut) {
             if self.answer_bytes <= target_bytes {
@@ -299,7 +306,7 @@
     }
 }
 
-/// The generation of a home that has been up for `uptime_ms`.
+/// Returns the current generation of a home that has been up for `uptime_ms`.
 #[must_use]
 pub(crate) fn generation_at(uptime_ms: u64) -> u32 {
     u32::try_from(uptime_ms / GENERATION_MS).unwrap_or(u32::MAX - 1)
--- a/crates/core/src/teams.rs
+++ b/crates/core/src/teams.rs
@@ -1,23 +1,23 @@
-//! Fair share of the slots between teams.
+//! Divides the slots fairly between teams.
 
 use std::collections::BTreeMap;
 
 use gannetvane_wire::Name;
 use gannetvane_wire::TeamConfig;
 
-/// Running tasks of each team at one home.
+/// Counts the running tasks of each team at one home.
 #[derive(Clone, Debug, Default)]
 pub struct TeamShares {
     running: BTreeMap<Name, u32>,
 }
 
 impl TeamShares {
-    /// Notes that a task of the team was started.
+    /// Records that a task of the team was started.
     pub fn started(&mut self, team: &Name) {
         *self.running.entry(team.clone()).or_default() += 1;
     }
 
-    /// Notes that a task of the team ended.
+    /// Records that a task of the team ended.
     pub fn ended(&mut self, team: &Name) {
         if let Some(running) = self.running.get_mut(team) {
             *running = running.saturating_sub(1);
@@ -25,14 +25,16 @@
         self.running.retain(|_, running| *running > 0);
     }
 
-    /// Tasks of the team that run.
+    /// Returns the number of running tasks of the team.
     #[must_use]
     pub fn running(&self, team: &Name) -> u32 {
         self.running.get(team).copied().unwrap_or(0)
     }
 
-    /// Sorts teams so that the one furthest below its share comes first, and
-    /// leaves out those at their quota. `homes` share a quota equally.
+    /// Sorts teams by their running tasks in relation to their weights, lowest
+    /// first, and leaves out teams at their quota. A quota is the maximum
+    /// number of running tasks of a team; it is divided equally among `homes`
+    /// homes.
     #[must_use]
     pub fn order(
         &self,
--- a/crates/core/src/upkeep.rs
+++ b/crates/core/src/upkeep.rs
@@ -1,5 +1,5 @@
-//! What an agent does from time to time: read the log, write snapshots and
-//! hand out the credits of its free slots.
+//! The periodic work of an agent: it reads the log, writes snapshots and grants
+//! the credits of its free slots.
 
 use std::collections::BTreeMap;
 
@@ -14,20 +14,22 @@
 use crate::Counter;
 use crate::home::Home;
 
-/// Least interval between attempts to write a snapshot, in milliseconds.
+/// Minimum interval in milliseconds between attempts to write a snapshot.
 const MIN_SNAPSHOT_INTERVAL_MS: u64 = 10_000;
-/// A snapshot is written again after this share of the log's retention.
+/// Number of snapshots written within the log's retention.
 const SNAPSHOTS_PER_RETENTION: u64 = 4;
 
-/// Interval between reads of the log by all other agents.
+/// Interval in milliseconds between reads of the log by agents that are not log
+/// readers.
 const DEFAULT_LOG_POLL_INTERVAL_MS: u64 = 15_000;
-/// Interval between reads of the log by the readers, in milliseconds.
+/// Interval in milliseconds between reads of the log by the log readers.
 const READER_LOG_POLL_INTERVAL_MS: u64 = 1_000;
 
-/// Idle time after which an agent renews a credit.
+/// Idle time in milliseconds after which an agent renews a credit.
 const CREDIT_RENEWAL_MS: u64 = 6_000;
 
 impl Agent {
+    /// Performs all periodic work.
     pub(crate) fn maintain(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         self.submit_held(now_ms, actions);
         self.read_log(now_ms, actions);
@@ -37,6 +39,7 @@
         self.continue_leaving(now_ms, actions);
     }
 
+    /// Requests a read of the log if one is due.
     pub(crate) fn read_log(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         if now_ms < self.next_log_read_ms {
             return;
@@ -53,7 +56,8 @@
         });
     }
 
-    /// Writes the configuration again before the log forgets it.
+    /// Writes a snapshot of the configuration before the log deletes the last
+    /// one.
     pub(crate) fn write_snapshot(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let interval_ms = self.settings.log_retention_ms / SNAPSHOTS_PER_RETENTION;
         let is_recent = |at_ms: Option<u64>, within_ms: u64| {
@@ -76,7 +80,8 @@
         )));
     }
 
-    /// Gives the credits of free slots to the homes of the service.
+    /// Grants the credits of free slots to the homes of the service. A slot's
+    /// last holder is preferred while it is still a home.
     pub(crate) fn grant_credits(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let service = &self.settings.member.service;
         let Some(config) = self.configuration.current().services.get(service) else {
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,4 +1,4 @@
-//! What one process knows of the others.
+//! The view that one process has of the members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,39 +12,41 @@
 
 use crate::Peer;
 
-/// Longest chain of successors that is followed.
+/// Maximum number of successors that are followed from a home.
 const MAX_SUCCESSORS: usize = 64;
 
-/// Name that ranks the agents for reading the log.
+/// Hash key that ranks the agents for reading the log.
 const LOG_READERS: &str = "log-readers";
 
-/// The members that a process has heard of.
+/// The members that a process has received, with their states.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     members: BTreeMap<NodeId, KnownMember>,
     changes: u64,
 }
 
+/// A member and when its state was received.
 #[derive(Clone, Debug)]
 struct KnownMember {
     member: Member,
     started_at_ms: i64,
+    /// Number of the member's latest change in this view.
     change: u64,
     updated_at_ms: u64,
 }
 
-/// Where to send what concerns a submission of some home.
+/// The process that answers for the submissions of a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HomeTarget {
-    /// This process answers.
+    /// This process answers for them.
     Answers(Peer),
-    /// The home is lost; its submissions have no known outcome.
+    /// The home is lost, and the outcome of its submissions is unknown.
     Lost,
-    /// Nothing is known of the home.
+    /// The view has no record of the home.
     UnknownHome,
 }
 
-/// Members that changed after some point of a view's history.
+/// The members that changed after a given change of a view.
 #[derive(Clone, Debug)]
 pub(crate) struct Delta {
     pub(crate) upto: u64,
@@ -53,12 +55,13 @@
 }
 
 impl View {
-    /// Takes in what another process says of a member; returns whether this
-    /// was news.
+    /// Merges another process's record of a member; returns whether it was
+    /// newer than the one known.
     pub fn merge(&mut self, now_ms: u64, member: &Member) -> bool {
         let started_at_ms = now_ms.cast_signed() - member.uptime_ms.cast_signed();
         if let Some(known) = self.members.get_mut(&member.node) {
-            // Delays only make a member look younger than it is.
+            // Transmission delays only make the member's uptime look shorter,
+            // so the earliest start time is the most accurate.
             known.started_at_ms = known.started_at_ms.min(started_at_ms);
             if !member.supersedes(&known.member) {
                 return false;
@@ -80,19 +83,19 @@
         true
     }
 
-    /// The member as it is known, with its uptime as of now.
+    /// Returns the member's record with its current uptime.
     #[must_use]
     pub fn get(&self, now_ms: u64, node: NodeId) -> Option<Member> {
         self.members.get(&node).map(|known| known.as_of(now_ms))
     }
 
-    /// State of a member, if it is known.
+    /// Returns the state of a member, if it is known.
     #[must_use]
     pub fn state(&self, node: NodeId) -> Option<MemberState> {
         self.members.get(&node).map(|known| known.member.state)
     }
 
-    /// Where a member receives, if it is known.
+    /// Returns a member with its address, if it is known.
     #[must_use]
     pub fn peer(&self, node: NodeId) -> Option<Peer> {
         self.members
@@ -100,7 +103,7 @@
             .map(|known| Peer::known(node, known.member.addr))
     }
 
-    /// The member that receives at an address and is not gone.
+    /// Returns the member at an address, unless it is dead or has left.
     #[must_use]
     pub fn at(&self, addr: SocketAddr) -> Option<NodeId> {
         self.iter()
@@ -108,12 +111,12 @@
             .map(|m| m.node)
     }
 
-    /// All members, in the order of their nodes.
+    /// Returns all members in the order of their nodes.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|known| &known.member)
     }
 
-    /// All members with their uptime as of now.
+    /// Returns all members with their current uptimes.
     #[must_use]
     pub fn snapshot(&self, now_ms: u64) -> Vec<Member> {
         self.members
@@ -122,32 +125,33 @@
             .collect()
     }
 
-    /// Number of members known.
+    /// Returns the number of known members.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no member is known.
+    /// Returns whether no member is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Live agents of a service.
+    /// Returns the live agents of a service.
     pub fn agents<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
         self.iter()
             .filter(move |member| member.state == MemberState::Alive && &*member.service == service)
     }
 
-    /// Whether some live worker of the service could hold a task with `needs`.
+    /// Returns whether any live worker of the service has the capacity for a
+    /// task with `needs`.
     #[must_use]
     pub fn fits(&self, service: &str, needs: &Needs) -> bool {
         self.agents(service)
             .any(|member| member.capacity.covers(needs))
     }
 
-    /// Whether a task with `needs` may be started on an agent.
+    /// Returns whether a task with `needs` may be started on an agent.
     #[must_use]
     pub fn is_usable(&self, agent: NodeId, needs: &Needs) -> bool {
         self.members.get(&agent).is_some_and(|known| {
@@ -155,11 +159,11 @@
         })
     }
 
-    /// Homes for new submissions of a service: the agents of highest
-    /// rendezvous hash, at most one in each availability zone.
+    /// Returns the homes for new submissions of a service: the agents with the
+    /// highest rendezvous hashes, at most one in each availability zone.
     ///
-    /// Processes with different views may differ; the id of a submission
-    /// names its home, so this costs balance only.
+    /// Processes with different views may choose different homes. The id of a
+    /// submission names its home, so this only affects the balance of load.
     #[must_use]
     pub fn homes(&self, service: &str, count: usize) -> Vec<NodeId> {
         let mut ranked = best_of_zones(service, self.agents(service));
@@ -167,7 +171,8 @@
         ranked
     }
 
-    /// The agent of each zone that reads the platform's log often, for all.
+    /// Returns the agent of each availability zone that reads the platform's
+    /// log frequently on behalf of all others.
     #[must_use]
     pub fn log_readers(&self) -> Vec<NodeId> {
         best_of_zones(
@@ -176,7 +181,8 @@
         )
     }
 
-    /// Who answers for the submissions of `home`.
+    /// Returns the process that answers for the submissions of `home`,
+    /// following the successors of agents that left.
     #[must_use]
     pub fn resolve(&self, home: NodeId) -> HomeTarget {
         let mut node = home;
@@ -201,13 +207,14 @@
         HomeTarget::Lost
     }
 
-    /// Milliseconds since a member started.
+    /// Returns the milliseconds since a member started.
     #[must_use]
     pub fn uptime_ms(&self, now_ms: u64, node: NodeId) -> Option<u64> {
         self.members.get(&node).map(|known| known.uptime_ms(now_ms))
     }
 
-    /// Forgets members that have been gone for longer than the retention.
+    /// Removes members that have been dead or left for longer than the
+    /// retention.
     pub fn forget_gone(&mut self, now_ms: u64, retention_ms: u64) {
         self.members.retain(|_, known| {
             !known.member.state.is_gone()
@@ -215,6 +222,8 @@
         });
     }
 
+    /// Returns up to `limit` members that changed after change number `since`,
+    /// in the order of their changes.
     pub(crate) fn delta(&self, now_ms: u64, since: u64, limit: usize) -> Delta {
         let mut changed: Vec<&KnownMember> = self
             .members
@@ -252,7 +261,8 @@
     }
 }
 
-/// The member of highest rendezvous hash in each zone, best first.
+/// Returns the member with the highest rendezvous hash in each availability
+/// zone, highest first.
 fn best_of_zones<'a>(key: &str, members: impl Iterator<Item = &'a Member>) -> Vec<NodeId> {
     let mut best_of_zone: BTreeMap<&Name, (u64, NodeId)> = BTreeMap::new();
     for member in members {
--- a/crates/core/src/waiting.rs
+++ b/crates/core/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Callers that wait at an entry for the answer to one submission.
+//! The callers at an entry that wait for the answer to one submission.
 
 use std::sync::Arc;
 
@@ -10,27 +10,28 @@
 use crate::CallerId;
 use crate::Peer;
 
-/// Time after which a submission without an answer is sent again, at first.
+/// Interval in milliseconds before a submission without an answer is first sent
+/// again. It doubles with each resend.
 pub(crate) const FIRST_RESEND_INTERVAL_MS: u64 = 5_000;
-/// Longest such time.
+/// Maximum interval in milliseconds between two resends.
 const MAX_RESEND_INTERVAL_MS: u64 = 20_000;
 
-/// What an answer is matched by: callers of one id with different contents
-/// wait for different answers.
+/// Key by which an answer is matched to its callers. Callers that use one id
+/// with different contents wait for different answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaitKey {
     pub(crate) id: SubmissionId,
     pub(crate) fingerprint: u64,
 }
 
-/// What the callers of one submission wait for.
+/// The request that an entry sends on behalf of its callers.
 #[derive(Clone, Debug)]
 pub(crate) enum Request {
     Submit(Arc<Submission>),
     Lookup,
 }
 
-/// One submission, its callers and when it is sent again.
+/// One request, its callers and its next resend.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
     pub(crate) request: Request,
@@ -41,7 +42,7 @@
     pub(crate) is_cancel: bool,
 }
 
-/// A caller and how long it waits.
+/// A caller and its deadline.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Caller {
     pub(crate) id: CallerId,
@@ -60,6 +61,8 @@
         }
     }
 
+    /// Returns the message that sends the request to `to`, and schedules the
+    /// next resend.
     pub(crate) fn send(
         &mut self,
         now_ms: u64,
