--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -261,7 +261,7 @@
                 overdue_ms,
             } => {
                 self.with_home(now_ms, actions, |home, ctx| {
-                    home.credits_requested(ctx, &service, from, wanted, overdue_ms);
+                    home.handle_credit_request(ctx, &service, from, wanted, overdue_ms);
                 });
             }
             Message::CreditGrant { service, credits } => {
@@ -352,7 +352,7 @@
             } => {
                 step.gone = self.membership.merge(now_ms, &members);
                 if let Some(node) = from.node {
-                    self.membership.pulled(node, upto);
+                    self.membership.record_pull(node, upto);
                 }
                 if more {
                     let message = Message::ViewPull {
--- a/crates/core/src/agent_configuration.rs
+++ b/crates/core/src/agent_configuration.rs
@@ -46,7 +46,7 @@
     pub(crate) fn configuration_changed(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let version = self.configuration.current().version;
         actions.push(Action::log("configuration-changed", version));
-        actions.extend(self.membership.spread(now_ms, version));
+        actions.extend(self.membership.announce_configuration(now_ms, version));
         self.submit_held(now_ms, actions);
         self.grant_credits(now_ms, actions);
     }
--- a/crates/core/src/borrowing.rs
+++ b/crates/core/src/borrowing.rs
@@ -10,9 +10,9 @@
 use crate::home::Home;
 
 /// Maximum number of other homes that receive a request.
-const MAX_ASKED_HOMES: usize = 3;
+const MAX_REQUESTED_HOMES: usize = 3;
 /// Maximum number of credits requested in one message.
-const MAX_ASKED_CREDITS: usize = 64;
+const MAX_REQUESTED_CREDITS: usize = 64;
 
 impl Home {
     /// Adds credits that an agent or another home passes to this home.
@@ -24,7 +24,7 @@
         credits: &[SlotCredit],
     ) {
         let service = self.services.entry(name.clone()).or_default();
-        service.lending.forget(from);
+        service.lending.remove_request(from);
         for granted in credits {
             let idle_since_ms = ctx.now_ms.saturating_sub(granted.idle_ms);
             service
@@ -35,7 +35,7 @@
     }
 
     /// Handles another home's request for credits.
-    pub(crate) fn credits_requested(
+    pub(crate) fn handle_credit_request(
         &mut self,
         ctx: &mut Context<'_>,
         name: &Name,
@@ -113,10 +113,11 @@
         if !service.lending.should_ask(ctx.now_ms) {
             return;
         }
-        let wanted = u32::try_from(service.queue.len().min(MAX_ASKED_CREDITS)).unwrap_or(u32::MAX);
+        let wanted =
+            u32::try_from(service.queue.len().min(MAX_REQUESTED_CREDITS)).unwrap_or(u32::MAX);
         let overdue_ms = service.queue.overdue_ms(ctx.now_ms).unwrap_or(0);
         let others = service.group.iter().filter(|peer| peer.node != Some(me));
-        for peer in others.take(MAX_ASKED_HOMES) {
+        for peer in others.take(MAX_REQUESTED_HOMES) {
             let message = Message::CreditRequest {
                 service: name.clone(),
                 wanted,
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -15,9 +15,9 @@
 use thiserror::Error;
 
 /// Number of applied changes whose ids are retained.
-const REMEMBERED_CHANGES: usize = 256;
+const RETAINED_CHANGES: usize = 256;
 /// Number of refused changes whose ids are retained.
-const REMEMBERED_REFUSALS: usize = 256;
+const RETAINED_REFUSALS: usize = 256;
 /// Maximum number of operations in one change.
 const MAX_OPERATIONS: usize = 256;
 /// Maximum length of a name in bytes.
@@ -289,14 +289,14 @@
             return;
         }
         if change.base_version != self.current.version {
-            remember(&mut self.refused, change.change_id, REMEMBERED_REFUSALS);
+            push_bounded(&mut self.refused, change.change_id, RETAINED_REFUSALS);
             return;
         }
         for operation in &change.operations {
             apply(operation, &mut self.current);
         }
         self.current.version += 1;
-        remember(&mut self.recent, change.change_id, REMEMBERED_CHANGES);
+        push_bounded(&mut self.recent, change.change_id, RETAINED_CHANGES);
     }
 
     /// Applies a snapshot that is not older than the configuration. If the
@@ -328,7 +328,7 @@
     }
 }
 
-fn remember(names: &mut VecDeque<Name>, name: Name, limit: usize) {
+fn push_bounded(names: &mut VecDeque<Name>, name: Name, limit: usize) {
     if names.contains(&name) {
         return;
     }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::home::Deadline;
 use crate::home::Home;
 use crate::service::Placement;
-use crate::service::Placing;
+use crate::service::PlacementInputs;
 use crate::submission::OpenSubmission;
 use crate::submission::StartedTask;
 use crate::submission::TaskState;
@@ -78,7 +78,7 @@
                 at_ms,
                 id: placement.id,
             };
-            self.give_up(ctx, deadline, Reason::DeadlineUnreachable);
+            self.close_for_deadline(ctx, deadline, Reason::DeadlineUnreachable);
         }
     }
 
@@ -97,7 +97,7 @@
             .teams
             .order(service.queue.teams(), &ctx.configuration.teams, homes);
         let config = ctx.configuration.services.get(name);
-        let placing = Placing {
+        let placing = PlacementInputs {
             now_ms: ctx.now_ms,
             view: ctx.view,
             teams: &teams,
@@ -130,7 +130,7 @@
             check_at_ms,
             check_interval_ms,
             is_resent: false,
-            reconnects: 0,
+            broken_connections: 0,
         };
         service.running += 1;
         service.teams.started(&open.submission.team);
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -17,12 +17,12 @@
 /// The failures of each agent's minion, as one home observes them.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    agents: BTreeMap<NodeId, Record>,
+    agents: BTreeMap<NodeId, HealthRecord>,
 }
 
 /// The failures of one minion.
 #[derive(Clone, Debug, Default)]
-struct Record {
+struct HealthRecord {
     consecutive_failures: u32,
     ejections: u32,
     ejected_until_ms: Option<u64>,
--- a/crates/core/src/lending.rs
+++ b/crates/core/src/lending.rs
@@ -70,7 +70,7 @@
 
     /// Removes the request of a home that passed on credits, because it needs
     /// none itself.
-    pub(crate) fn forget(&mut self, peer: Peer) {
+    pub(crate) fn remove_request(&mut self, peer: Peer) {
         self.requesters.retain(|requester| requester.peer != peer);
     }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -78,7 +78,7 @@
     contacts: Vec<SocketAddr>,
     /// Per agent, the change number of its view up to which this agent has
     /// pulled.
-    pulled: BTreeMap<NodeId, u64>,
+    pulled_up_to: BTreeMap<NodeId, u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -129,7 +129,7 @@
             suspects: BTreeMap::new(),
             queue,
             contacts: Vec::new(),
-            pulled: BTreeMap::new(),
+            pulled_up_to: BTreeMap::new(),
         }
     }
 
@@ -168,7 +168,7 @@
 
     /// Sends the version of this agent's newer configuration to a few random
     /// members at once.
-    pub(crate) fn spread(&mut self, now_ms: u64, version: u64) -> Vec<Action> {
+    pub(crate) fn announce_configuration(&mut self, now_ms: u64, version: u64) -> Vec<Action> {
         let mut others = self.live_others();
         others.shuffle(&mut self.rng);
         others.truncate(MAX_CONFIGURATION_ANNOUNCEMENTS);
@@ -251,8 +251,8 @@
     }
 
     /// Records up to which change the view of `from` has been pulled.
-    pub(crate) fn pulled(&mut self, from: NodeId, upto: u64) {
-        self.pulled.insert(from, upto);
+    pub(crate) fn record_pull(&mut self, from: NodeId, upto: u64) {
+        self.pulled_up_to.insert(from, upto);
     }
 
     /// Merges updates into the view; returns the members that are dead or have
@@ -468,7 +468,7 @@
             && let Some(node) = others.choose(&mut self.rng).copied()
             && let Some(to) = self.view.peer(node)
         {
-            let since = self.pulled.get(&node).copied().unwrap_or(0);
+            let since = self.pulled_up_to.get(&node).copied().unwrap_or(0);
             let message = Message::ViewPull {
                 since,
                 configuration_version,
--- a/crates/core/src/progress.rs
+++ b/crates/core/src/progress.rs
@@ -50,7 +50,7 @@
                 break;
             }
             self.deadlines.remove(&first);
-            self.give_up(ctx, first, Reason::DeadlinePassed);
+            self.close_for_deadline(ctx, first, Reason::DeadlinePassed);
         }
     }
 
@@ -63,7 +63,7 @@
         let retention_ms = self.settings.retention_ms() + 2 * GENERATION_MS;
         self.adopted
             .retain(|_, table| !table.is_past(ctx.now_ms, retention_ms));
-        self.lose_tasks_of_departed(ctx);
+        self.mark_tasks_of_left_agents_lost(ctx);
         self.check_started(ctx);
         let names: Vec<Name> = ctx.configuration.services.keys().cloned().collect();
         for name in names {
@@ -320,7 +320,12 @@
 
     /// Ends a submission that cannot meet its deadline; the answer gives the
     /// expected wait as the time to retry.
-    pub(crate) fn give_up(&mut self, ctx: &mut Context<'_>, deadline: Deadline, reason: Reason) {
+    pub(crate) fn close_for_deadline(
+        &mut self,
+        ctx: &mut Context<'_>,
+        deadline: Deadline,
+        reason: Reason,
+    ) {
         let Some(open) = self.open.get(&deadline.id) else {
             return;
         };
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -42,13 +42,13 @@
                 self.results_awaited_until_ms
                     .insert(agent, ctx.now_ms + LEFT_RESULT_TIMEOUT_MS);
             }
-            _ => self.lose_tasks_of(ctx, agent),
+            _ => self.mark_tasks_lost(ctx, agent),
         }
     }
 
     /// Marks tasks as lost whose agent left and whose results have been awaited
     /// long enough.
-    pub(crate) fn lose_tasks_of_departed(&mut self, ctx: &mut Context<'_>) {
+    pub(crate) fn mark_tasks_of_left_agents_lost(&mut self, ctx: &mut Context<'_>) {
         let is_due = |due_ms: &u64| *due_ms <= ctx.now_ms;
         let due: Vec<NodeId> = self
             .results_awaited_until_ms
@@ -58,13 +58,13 @@
             .collect();
         for agent in due {
             self.results_awaited_until_ms.remove(&agent);
-            self.lose_tasks_of(ctx, agent);
+            self.mark_tasks_lost(ctx, agent);
         }
     }
 
     /// Marks the tasks on a lost agent as unknown, because nothing will report
     /// their results.
-    pub(crate) fn lose_tasks_of(&mut self, ctx: &mut Context<'_>, agent: NodeId) {
+    pub(crate) fn mark_tasks_lost(&mut self, ctx: &mut Context<'_>, agent: NodeId) {
         let affected: Vec<SubmissionId> = self
             .open
             .iter()
@@ -106,10 +106,10 @@
             if let TaskState::Started(started) = &mut task.state
                 && started.agent.addr == addr
             {
-                let pause_ms =
-                    FIRST_RECONNECT_DELAY_MS << started.reconnects.min(MAX_RECONNECT_DOUBLINGS);
+                let pause_ms = FIRST_RECONNECT_DELAY_MS
+                    << started.broken_connections.min(MAX_RECONNECT_DOUBLINGS);
                 started.check_at_ms = started.check_at_ms.min(now_ms + pause_ms);
-                started.reconnects += 1;
+                started.broken_connections += 1;
             }
         }
     }
--- a/crates/core/src/service.rs
+++ b/crates/core/src/service.rs
@@ -27,9 +27,9 @@
 const MAX_SCANNED_SUBMISSIONS: usize = 16;
 /// Delay in milliseconds, for each consecutive failure of its minion, before a
 /// slot is used again.
-const PAUSE_PER_FAILURE_MS: u64 = 200;
+const DELAY_PER_FAILURE_MS: u64 = 200;
 /// Maximum delay in milliseconds before a slot is used again.
-const MAX_PAUSE_MS: u64 = 2_000;
+const MAX_FAILURE_DELAY_MS: u64 = 2_000;
 
 /// The state of one service at one home.
 #[derive(Debug, Default)]
@@ -61,7 +61,7 @@
 }
 
 /// The inputs for the choice of a task and a slot.
-pub(crate) struct Placing<'a> {
+pub(crate) struct PlacementInputs<'a> {
     pub(crate) now_ms: u64,
     pub(crate) view: &'a View,
     pub(crate) teams: &'a [Name],
@@ -93,7 +93,7 @@
     /// Chooses the next task and takes a credit for it.
     pub(crate) fn place(
         &mut self,
-        placing: &Placing<'_>,
+        placing: &PlacementInputs<'_>,
         needs: impl Fn(SubmissionId, u16) -> Needs,
     ) -> Option<Placement> {
         if self.credits.is_empty() {
@@ -124,7 +124,7 @@
     /// same submission.
     fn take_credit(
         &mut self,
-        placing: &Placing<'_>,
+        placing: &PlacementInputs<'_>,
         id: SubmissionId,
         needs: &Needs,
     ) -> Option<Credit> {
@@ -143,7 +143,7 @@
     /// minion, it becomes usable only after a delay.
     pub(crate) fn return_credit(&mut self, now_ms: u64, credit: Credit) {
         let failures = u64::from(self.health.consecutive_failures(credit.agent));
-        let pause_ms = (failures * PAUSE_PER_FAILURE_MS).min(MAX_PAUSE_MS);
+        let pause_ms = (failures * DELAY_PER_FAILURE_MS).min(MAX_FAILURE_DELAY_MS);
         self.credits.add(credit, now_ms, now_ms + pause_ms);
     }
 
--- a/crates/core/src/submission.rs
+++ b/crates/core/src/submission.rs
@@ -48,7 +48,7 @@
     pub(crate) is_resent: bool,
     /// Number of times that the connection to the agent has broken since the
     /// start.
-    pub(crate) reconnects: u32,
+    pub(crate) broken_connections: u32,
 }
 
 /// One task and the number of its current attempt.
