--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -1,5 +1,5 @@
-//! The core of an agent: its minion's slots, the submissions it is home of,
-//! and its part in membership and configuration.
+//! The core of an agent: the slots of its minion, the submissions that it is
+//! the home of, and its part in membership and configuration.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -20,30 +20,31 @@
 use crate::Runner;
 use crate::TableSettings;
 use crate::View;
-use crate::agent_configuration::Held;
+use crate::agent_configuration::HeldSubmission;
 use crate::drain::Drain;
 use crate::drain::PartKey;
 use crate::home::Arrival;
 use crate::home::Context;
 use crate::home::Home;
-use crate::membership::Step;
+use crate::membership::StepOutcome;
 
-/// Interval of periodic work in milliseconds.
-const MAINTAIN_MS: u64 = 100;
+/// Interval in milliseconds between runs of the periodic work.
+const MAINTENANCE_INTERVAL_MS: u64 = 100;
 
 /// Settings of an agent's core.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// This agent as the others will know it.
+    /// The member that this agent announces to the others.
     pub member: Member,
-    /// Times of the failure detector.
+    /// Intervals and timeouts of the failure detector.
     pub membership: MembershipSettings,
-    /// Bounds of the table of submissions.
+    /// Limits of the table of submissions.
     pub table: TableSettings,
-    /// Time for which the platform's log keeps records, in milliseconds.
+    /// Time in milliseconds for which the platform's log retains records.
     pub log_retention_ms: u64,
-    /// Time after the start of a planned stop for which new submissions are
-    /// still taken, until all have heard of it, in milliseconds.
+    /// Time in milliseconds after the start of a planned stop during which the
+    /// agent still accepts new submissions, so that all processes can receive
+    /// the announcement.
     pub leave_notice_ms: u64,
 }
 
@@ -56,16 +57,16 @@
     pub(crate) membership: Membership,
     pub(crate) configuration: ConfigurationStore,
     pub(crate) home: Home,
-    pub(crate) held: Vec<Held>,
+    pub(crate) held: Vec<HeldSubmission>,
     pub(crate) runner: Runner,
     pub(crate) drain: Drain,
     pub(crate) next_maintain_ms: u64,
-    pub(crate) next_read_ms: u64,
-    pub(crate) snapshot_tried_at_ms: Option<u64>,
+    pub(crate) next_log_read_ms: u64,
+    pub(crate) snapshot_attempted_at_ms: Option<u64>,
 }
 
 impl Agent {
-    /// The core of an agent that just started.
+    /// Creates the core of an agent that has just started.
     #[must_use]
     pub fn new(settings: AgentSettings, now_ms: u64) -> Self {
         let node = settings.member.node;
@@ -77,51 +78,51 @@
             home: Home::new(node, settings.table, now_ms),
             held: Vec::new(),
             runner: Runner::new(node, settings.member.slots, now_ms),
-            drain: Drain::Working,
+            drain: Drain::NotLeaving,
             next_maintain_ms: now_ms,
-            next_read_ms: now_ms,
-            snapshot_tried_at_ms: None,
+            next_log_read_ms: now_ms,
+            snapshot_attempted_at_ms: None,
             settings,
         }
     }
 
-    /// What this agent knows of the others.
+    /// Returns this agent's view of the members.
     #[must_use]
     pub fn view(&self) -> &View {
         self.membership.view()
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration that this agent applies.
     #[must_use]
     pub fn configuration(&self) -> &ConfigurationStore {
         &self.configuration
     }
 
-    /// Submissions without a final answer.
+    /// Returns the number of submissions without a final answer.
     #[must_use]
     pub fn open_submissions(&self) -> usize {
         self.home.open.len()
     }
 
-    /// Submissions whose ids are held.
+    /// Returns the number of submissions whose ids are retained.
     #[must_use]
     pub fn retained_submissions(&self) -> usize {
         self.home.retained()
     }
 
-    /// Slots on which a task runs.
+    /// Returns the number of slots on which a task runs.
     #[must_use]
     pub fn busy_slots(&self) -> usize {
         self.runner.busy()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        !matches!(self.drain, Drain::Working)
+        !matches!(self.drain, Drain::NotLeaving)
     }
 
-    /// Adds addresses for the first contact.
+    /// Adds addresses to contact while no other agent is known.
     pub fn add_contacts(&mut self, contacts: impl IntoIterator<Item = SocketAddr>) {
         self.membership.add_contacts(contacts);
     }
@@ -133,12 +134,13 @@
             return Vec::new();
         }
         let from = Peer::known(envelope.from, envelope.from_addr);
-        self.settled(now_ms, |agent, actions| {
-            agent.one_message(now_ms, from, envelope.message, actions);
+        self.run_step(now_ms, |agent, actions| {
+            agent.handle_message(now_ms, from, envelope.message, actions);
         })
     }
 
-    /// A connection broke; messages on it may be lost.
+    /// Handles a broken connection to `addr`, on which messages may have been
+    /// lost.
     pub fn peer_down(&mut self, now_ms: u64, addr: SocketAddr) -> Vec<Action> {
         self.home.peer_down(now_ms, addr);
         let version = self.configuration.current().version;
@@ -148,19 +150,20 @@
             .collect()
     }
 
-    /// A message never left this process.
+    /// Handles a message that was never sent, so that no process has received
+    /// it. The tasks that it should have started can start on other agents.
     pub fn undelivered(&mut self, now_ms: u64, message: Message) -> Vec<Action> {
         let Message::Start(starts) = message else {
             return Vec::new();
         };
-        self.settled(now_ms, |agent, actions| {
+        self.run_step(now_ms, |agent, actions| {
             agent.with_home(now_ms, actions, |home, ctx| home.undelivered(ctx, &starts));
         })
     }
 
-    /// The minion ended a task.
+    /// Handles the end of a task that the minion reports.
     pub fn task_ended(&mut self, now_ms: u64, credit: Credit, result: TaskResult) -> Vec<Action> {
-        self.settled(now_ms, |agent, actions| {
+        self.run_step(now_ms, |agent, actions| {
             if let Some(ended) = agent.runner.finish(now_ms, credit, result) {
                 let message = Message::Finished(vec![ended.finished]);
                 actions.push(Action::Send {
@@ -171,22 +174,24 @@
         })
     }
 
-    /// Does what is due. To be called every few milliseconds.
+    /// Performs the periodic work that is due. The caller invokes this every
+    /// few milliseconds.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
-        self.settled(now_ms, |agent, actions| {
+        self.run_step(now_ms, |agent, actions| {
             let version = agent.configuration.current().version;
             let step = agent.membership.tick(now_ms, version);
-            agent.take_step(now_ms, step, actions);
+            agent.apply_step(now_ms, step, actions);
             agent.with_home(now_ms, actions, Home::expire_deadlines);
             if now_ms >= agent.next_maintain_ms {
-                agent.next_maintain_ms = now_ms + MAINTAIN_MS;
+                agent.next_maintain_ms = now_ms + MAINTENANCE_INTERVAL_MS;
                 agent.maintain(now_ms, actions);
             }
         })
     }
 
-    /// Runs a step, then all messages that it sends to this agent itself.
-    pub(crate) fn settled(
+    /// Runs `step` and then handles the messages that the agent sends to
+    /// itself; returns all other actions.
+    pub(crate) fn run_step(
         &mut self,
         now_ms: u64,
         step: impl FnOnce(&mut Self, &mut Vec<Action>),
@@ -199,7 +204,7 @@
             match action {
                 Action::Send { to, message } if to == self.me => {
                     let mut further = Vec::new();
-                    self.one_message(now_ms, self.me, message, &mut further);
+                    self.handle_message(now_ms, self.me, message, &mut further);
                     pending.extend(further);
                 }
                 other => actions.push(other),
@@ -208,7 +213,7 @@
         actions
     }
 
-    pub(crate) fn one_message(
+    pub(crate) fn handle_message(
         &mut self,
         now_ms: u64,
         from: Peer,
@@ -229,7 +234,7 @@
                     fingerprint,
                     remaining_ms,
                 };
-                let held = Held {
+                let held = HeldSubmission {
                     entry: from,
                     arrival,
                     since_ms: now_ms,
@@ -256,12 +261,12 @@
                 overdue_ms,
             } => {
                 self.with_home(now_ms, actions, |home, ctx| {
-                    home.credits_requested(ctx, &service, from, wanted, overdue_ms);
+                    home.handle_credit_request(ctx, &service, from, wanted, overdue_ms);
                 });
             }
             Message::CreditGrant { service, credits } => {
                 self.with_home(now_ms, actions, |home, ctx| {
-                    home.granted(ctx, from, &service, &credits);
+                    home.handle_grant(ctx, from, &service, &credits);
                 });
             }
             Message::Handover {
@@ -293,6 +298,7 @@
         }
     }
 
+    /// Handles the messages of the failure detector and of view pulls.
     pub(crate) fn membership_message(
         &mut self,
         now_ms: u64,
@@ -301,17 +307,19 @@
         actions: &mut Vec<Action>,
     ) {
         let version = self.configuration.current().version;
-        let mut step = Step::default();
+        let mut step = StepOutcome::default();
         match message {
             Message::Ping { probe, gossip } => {
                 step.gone = self.membership.merge(now_ms, &gossip.members);
-                step.newer_configuration_at = newer(from, gossip.configuration_version, version);
+                step.newer_configuration_at =
+                    peer_if_newer(from, gossip.configuration_version, version);
                 step.actions
                     .push(self.membership.ping(now_ms, from, probe, version));
             }
             Message::Ack { probe, gossip } => {
                 step.gone = self.membership.merge(now_ms, &gossip.members);
-                step.newer_configuration_at = newer(from, gossip.configuration_version, version);
+                step.newer_configuration_at =
+                    peer_if_newer(from, gossip.configuration_version, version);
                 step.actions
                     .extend(self.membership.ack(now_ms, probe, version));
             }
@@ -325,7 +333,7 @@
                 since,
                 configuration_version,
             } => {
-                step.newer_configuration_at = newer(from, configuration_version, version);
+                step.newer_configuration_at = peer_if_newer(from, configuration_version, version);
                 let delta = self.membership.pull(now_ms, since);
                 let is_newer = version > configuration_version;
                 let message = Message::ViewDelta {
@@ -344,7 +352,7 @@
             } => {
                 step.gone = self.membership.merge(now_ms, &members);
                 if let Some(node) = from.node {
-                    self.membership.pulled(node, upto);
+                    self.membership.record_pull(node, upto);
                 }
                 if more {
                     let message = Message::ViewPull {
@@ -361,12 +369,14 @@
         }
         if let Some(node) = from.node {
             step.gone
-                .extend(self.membership.replaced(now_ms, node, from.addr));
+                .extend(self.membership.mark_replaced(now_ms, node, from.addr));
         }
-        self.take_step(now_ms, step, actions);
+        self.apply_step(now_ms, step, actions);
     }
 
-    pub(crate) fn take_step(&mut self, now_ms: u64, step: Step, actions: &mut Vec<Action>) {
+    /// Applies an outcome of the failure detector: removes the members that are
+    /// gone and pulls a newer configuration.
+    pub(crate) fn apply_step(&mut self, now_ms: u64, step: StepOutcome, actions: &mut Vec<Action>) {
         actions.extend(step.actions);
         for node in step.gone {
             self.with_home(now_ms, actions, |home, ctx| home.agent_gone(ctx, node));
@@ -379,6 +389,7 @@
         }
     }
 
+    /// Starts tasks on the minion and reports those that end at once.
     pub(crate) fn start(
         &mut self,
         now_ms: u64,
@@ -398,6 +409,7 @@
         }
     }
 
+    /// Runs `step` on the home with a context of the agent's current state.
     pub(crate) fn with_home(
         &mut self,
         now_ms: u64,
@@ -414,6 +426,7 @@
     }
 }
 
-fn newer(from: Peer, theirs: u64, ours: u64) -> Option<Peer> {
+/// Returns `from` if its configuration version is higher.
+fn peer_if_newer(from: Peer, theirs: u64, ours: u64) -> Option<Peer> {
     (theirs > ours).then_some(from)
 }
--- a/crates/core/src/borrowing.rs
+++ b/crates/core/src/borrowing.rs
@@ -1,4 +1,4 @@
-//! How homes of one service pass credits to each other.
+//! Requests and passes on credits between the homes of one service.
 
 use gannetvane_wire::Message;
 use gannetvane_wire::Name;
@@ -9,14 +9,14 @@
 use crate::home::Context;
 use crate::home::Home;
 
-/// Most other homes that are asked.
-const MAX_ASKED_HOMES: usize = 3;
-/// Most credits asked for in one message.
-const MAX_ASKED_CREDITS: usize = 64;
+/// Maximum number of other homes that receive a request.
+const MAX_REQUESTED_HOMES: usize = 3;
+/// Maximum number of credits requested in one message.
+const MAX_REQUESTED_CREDITS: usize = 64;
 
 impl Home {
-    /// Takes in credits from an agent or another home.
-    pub(crate) fn granted(
+    /// Adds credits that an agent or another home passes to this home.
+    pub(crate) fn handle_grant(
         &mut self,
         ctx: &mut Context<'_>,
         from: Peer,
@@ -24,7 +24,7 @@
         credits: &[SlotCredit],
     ) {
         let service = self.services.entry(name.clone()).or_default();
-        service.lending.forget(from);
+        service.lending.remove_request(from);
         for granted in credits {
             let idle_since_ms = ctx.now_ms.saturating_sub(granted.idle_ms);
             service
@@ -34,8 +34,8 @@
         self.dispatch(ctx, name);
     }
 
-    /// Another home is short of credits.
-    pub(crate) fn credits_requested(
+    /// Handles another home's request for credits.
+    pub(crate) fn handle_credit_request(
         &mut self,
         ctx: &mut Context<'_>,
         name: &Name,
@@ -46,38 +46,39 @@
         let service = self.services.entry(name.clone()).or_default();
         service
             .lending
-            .remember(ctx.now_ms, asker, wanted as usize, overdue_ms);
+            .add_request(ctx.now_ms, asker, wanted as usize, overdue_ms);
         self.dispatch(ctx, name);
     }
 
-    /// Passes spare credits to homes that are short, and all of them when this
-    /// agent is no longer a home of the service.
+    /// Passes credits to the homes that requested them. If this agent is no
+    /// longer a home of the service, it passes all its credits to the first
+    /// home.
     pub(crate) fn lend(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let me = self.table.home();
         let Some(service) = self.services.get_mut(name) else {
             return;
         };
-        service.lending.satisfied();
+        service.lending.clear_request();
         while let Some(loan) = service.lending.next_loan(ctx.now_ms) {
             let spare = service.credits.take_spare(ctx.now_ms, loan.wanted);
             if spare.is_empty() {
                 return;
             }
-            service.lending.lent(spare.len());
-            ctx.actions.push(grant(loan.to, name, spare));
+            service.lending.record_loan(spare.len());
+            ctx.actions.push(grant_message(loan.to, name, spare));
         }
         let is_home = service.group.iter().any(|peer| peer.node == Some(me));
-        let Some(heir) = service.group.first().copied().filter(|_| !is_home) else {
+        let Some(receiver) = service.group.first().copied().filter(|_| !is_home) else {
             return;
         };
         let spare = service.credits.take_spare(ctx.now_ms, usize::MAX);
         if !spare.is_empty() {
-            ctx.actions.push(grant(heir, name, spare));
+            ctx.actions.push(grant_message(receiver, name, spare));
         }
     }
 
-    /// Passes a slot on although tasks wait here, when another home's first
-    /// task should have had its turn much earlier.
+    /// Passes credits to other homes although tasks wait here, if the first
+    /// task of such a home is overdue for much longer.
     pub(crate) fn lend_to_more_urgent(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let Some(service) = self.services.get_mut(name) else {
             return;
@@ -91,18 +92,19 @@
             };
             let spare = service.credits.take_spare(ctx.now_ms, loan.wanted);
             if !spare.is_empty() {
-                ctx.actions.push(grant(loan.to, name, spare));
+                ctx.actions.push(grant_message(loan.to, name, spare));
             }
         }
     }
 
+    /// Requests credits from other homes if tasks still wait here.
     pub(crate) fn ask_for_credits(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let me = self.table.home();
         let Some(service) = self.services.get_mut(name) else {
             return;
         };
         if service.queue.is_empty() {
-            service.lending.satisfied();
+            service.lending.clear_request();
             return;
         }
         if service.group.iter().all(|peer| peer.node == Some(me)) {
@@ -111,10 +113,11 @@
         if !service.lending.should_ask(ctx.now_ms) {
             return;
         }
-        let wanted = u32::try_from(service.queue.len().min(MAX_ASKED_CREDITS)).unwrap_or(u32::MAX);
+        let wanted =
+            u32::try_from(service.queue.len().min(MAX_REQUESTED_CREDITS)).unwrap_or(u32::MAX);
         let overdue_ms = service.queue.overdue_ms(ctx.now_ms).unwrap_or(0);
         let others = service.group.iter().filter(|peer| peer.node != Some(me));
-        for peer in others.take(MAX_ASKED_HOMES) {
+        for peer in others.take(MAX_REQUESTED_HOMES) {
             let message = Message::CreditRequest {
                 service: name.clone(),
                 wanted,
@@ -125,7 +128,7 @@
     }
 }
 
-fn grant(to: Peer, name: &Name, credits: Vec<SlotCredit>) -> Action {
+fn grant_message(to: Peer, name: &Name, credits: Vec<SlotCredit>) -> Action {
     Action::Send {
         to,
         message: Message::CreditGrant {
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which waiting task a home starts next, and on which slot.
+//! Selects the task that a home starts next, and its slot.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +15,19 @@
 use crate::home::Deadline;
 use crate::home::Home;
 use crate::service::Placement;
-use crate::service::Placing;
+use crate::service::PlacementInputs;
 use crate::submission::OpenSubmission;
 use crate::submission::StartedTask;
 use crate::submission::TaskState;
 
-/// Factor on the time of the slowest usual run before a task is asked for.
-const CHECK_FACTOR: u64 = 2;
-/// Least time after which a started task without a result is asked for.
-const MIN_CHECK_MS: u64 = 2_000;
+/// Factor on the straggler time of a task after which its start is sent again.
+const CHECK_INTERVAL_FACTOR: u64 = 2;
+/// Minimum time in milliseconds after which the start of a task without a
+/// result is sent again.
+const MIN_CHECK_INTERVAL_MS: u64 = 2_000;
 
 impl Home {
-    /// Starts waiting tasks while there are credits.
+    /// Starts waiting tasks while the home has credits for them.
     pub(crate) fn dispatch(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let Some(service) = self.services.get(name) else {
             return;
@@ -53,8 +54,8 @@
         self.ask_for_credits(ctx, name);
     }
 
-    /// The next task and its slot. What can no longer end before its deadline
-    /// is given up instead, so that it takes no slot from others.
+    /// Returns the next task and its slot. A submission that can no longer meet
+    /// its deadline is ended here, so that its tasks take no slots from others.
     pub(crate) fn place_next(
         &mut self,
         ctx: &mut Context<'_>,
@@ -77,10 +78,12 @@
                 at_ms,
                 id: placement.id,
             };
-            self.give_up(ctx, deadline, Reason::DeadlineUnreachable);
+            self.close_for_deadline(ctx, deadline, Reason::DeadlineUnreachable);
         }
     }
 
+    /// Chooses the next task and takes a credit for it, without regard to its
+    /// deadline.
     pub(crate) fn choose_next(
         &mut self,
         ctx: &Context<'_>,
@@ -94,7 +97,7 @@
             .teams
             .order(service.queue.teams(), &ctx.configuration.teams, homes);
         let config = ctx.configuration.services.get(name);
-        let placing = Placing {
+        let placing = PlacementInputs {
             now_ms: ctx.now_ms,
             view: ctx.view,
             teams: &teams,
@@ -104,6 +107,7 @@
         service.place(&placing, |id, index| needs_of(open.get(&id), index))
     }
 
+    /// Marks a task as started; returns its agent and the start message.
     pub(crate) fn start(
         &mut self,
         ctx: &Context<'_>,
@@ -114,10 +118,11 @@
         let agent = ctx.view.peer(credit.agent)?;
         let service = self.services.get_mut(&open.submission.service)?;
         let wire_task = open.submission.tasks.get(usize::from(task.index))?;
-        let usual_ms = service
+        let straggler_ms = service
             .estimates
             .straggler_ms(&wire_task.kind, wire_task.declared_ms);
-        let check_interval_ms = (u64::from(usual_ms) * CHECK_FACTOR).max(MIN_CHECK_MS);
+        let check_interval_ms =
+            (u64::from(straggler_ms) * CHECK_INTERVAL_FACTOR).max(MIN_CHECK_INTERVAL_MS);
         let check_at_ms = ctx.now_ms + check_interval_ms;
         let started = StartedTask {
             credit,
@@ -125,7 +130,7 @@
             check_at_ms,
             check_interval_ms,
             is_resent: false,
-            reconnects: 0,
+            broken_connections: 0,
         };
         service.running += 1;
         service.teams.started(&open.submission.team);
--- a/crates/core/src/entry_view.rs
+++ b/crates/core/src/entry_view.rs
@@ -1,4 +1,4 @@
-//! How an entry learns of the agents and the configuration.
+//! How an entry obtains the agents' views and the configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,6 +14,7 @@
 use crate::Peer;
 
 impl Entry {
+    /// Applies the configuration of another process if it is newer.
     pub(crate) fn adopt_configuration(
         &mut self,
         now_ms: u64,
@@ -28,29 +29,32 @@
         }
     }
 
-    /// Tells one agent of each zone of a change that was read from the log.
-    pub(crate) fn spread_configuration(&mut self, actions: &mut Vec<Action>) {
+    /// Sends the configuration to one agent of each availability zone, after a
+    /// change was read from the log.
+    pub(crate) fn push_configuration(&mut self, actions: &mut Vec<Action>) {
         for to in self.one_agent_of_each_zone() {
             let message = Message::ConfigurationState(self.configuration.snapshot());
             actions.push(Action::Send { to, message });
         }
     }
 
-    /// Pulls the view of one agent; the zones take turns.
+    /// Pulls the view of one agent, taking the availability zones in turn.
+    /// While no agent is known, it pulls from all contacts.
     pub(crate) fn pull_views(&mut self, actions: &mut Vec<Action>) {
-        self.pulls += 1;
+        self.pull_count += 1;
         let known = self.one_agent_of_each_zone();
         let first = |addr: &SocketAddr| Peer {
             node: None,
             addr: *addr,
         };
-        let peers: Vec<Peer> = match known.get(self.pulls % known.len().max(1)) {
+        let peers: Vec<Peer> = match known.get(self.pull_count % known.len().max(1)) {
             Some(peer) => vec![*peer],
             None => self.settings.contacts.iter().map(first).collect(),
         };
         actions.extend(peers.into_iter().map(|peer| self.pull(peer)));
     }
 
+    /// Returns one random live agent of each availability zone.
     pub(crate) fn one_agent_of_each_zone(&mut self) -> Vec<Peer> {
         let mut zones: BTreeMap<&Name, Vec<Peer>> = BTreeMap::new();
         for member in self
@@ -67,10 +71,12 @@
             .collect()
     }
 
+    /// Returns the message that pulls the changes of a view since the last pull
+    /// from that agent.
     pub(crate) fn pull(&self, to: Peer) -> Action {
         let since = to
             .node
-            .and_then(|node| self.pulled.get(&node).copied())
+            .and_then(|node| self.pulled_up_to.get(&node).copied())
             .unwrap_or(0);
         let configuration_version = self.configuration.current().version;
         Action::Send {
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -1,4 +1,4 @@
-//! Run times to expect, from what callers declare and what was observed.
+//! Estimates of run times, from what callers declare and what was observed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,29 +6,34 @@
 use gannetvane_wire::Name;
 use hdrhistogram::Histogram;
 
-/// Run time assumed for a kind that was never seen and declares nothing.
+/// Run time in milliseconds assumed for a task without a declared time whose
+/// kind has too few observations.
 const DEFAULT_RUN_MS: u32 = 300;
-/// Observations after which the older half of the history is dropped.
+/// Number of observations in each of the two windows of a history. When the
+/// newer window is full, the older one is dropped.
 const WINDOW_OBSERVATIONS: u64 = 512;
-/// Observations before they are trusted over declarations.
+/// Number of observations from which observed times take precedence over
+/// declared ones.
 const MIN_OBSERVATIONS: u64 = 16;
-/// Most kinds for which a history is kept.
+/// Maximum number of kinds for which a history is retained.
 const MAX_KINDS: usize = 1_024;
-/// Ratios of observed to declared time are kept in thousandths.
+/// Scale of the recorded ratios of observed to declared time: they are integers
+/// in thousandths.
 const RATIO_SCALE: u64 = 1_000;
-/// Largest value that a history tells apart from larger ones.
-const MAX_VALUE: u64 = 100_000_000;
-/// Quantile above which a run counts as a straggler.
+/// Maximum value that a history records; larger values count as this one.
+const MAX_RECORDED_VALUE: u64 = 100_000_000;
+/// Quantile of the run times above which a run counts as a straggler.
 const STRAGGLER_QUANTILE: f64 = 0.99;
 
 /// Observed run times for each kind of task.
 #[derive(Debug, Default)]
 pub struct Estimates {
-    kinds: BTreeMap<Name, Kind>,
+    kinds: BTreeMap<Name, KindHistory>,
 }
 
+/// The history of one kind of task.
 #[derive(Debug)]
-struct Kind {
+struct KindHistory {
     run_ms: History,
     ratio: History,
 }
@@ -40,7 +45,7 @@
 }
 
 impl Estimates {
-    /// Run time to expect of a task, in milliseconds.
+    /// Returns the estimated run time of a task in milliseconds.
     #[must_use]
     pub fn estimate_ms(&self, kind: &Name, declared_ms: Option<u32>) -> u32 {
         let Some(history) = self.kinds.get(kind) else {
@@ -51,11 +56,12 @@
             None => history
                 .run_ms
                 .quantile(0.5)
-                .map_or(DEFAULT_RUN_MS, saturate),
+                .map_or(DEFAULT_RUN_MS, saturate_to_u32),
         }
     }
 
-    /// Time in milliseconds after which a task is later than almost all.
+    /// Returns the run time in milliseconds that almost no task of this kind
+    /// exceeds.
     #[must_use]
     pub fn straggler_ms(&self, kind: &Name, declared_ms: Option<u32>) -> u32 {
         let estimate_ms = self.estimate_ms(kind, declared_ms);
@@ -63,15 +69,20 @@
             .kinds
             .get(kind)
             .and_then(|k| k.run_ms.quantile(STRAGGLER_QUANTILE));
-        observed.map_or(estimate_ms, saturate).max(estimate_ms)
+        observed
+            .map_or(estimate_ms, saturate_to_u32)
+            .max(estimate_ms)
     }
 
-    /// Takes in the run time of a finished task.
+    /// Records the run time of a finished task.
     pub fn observe(&mut self, kind: &Name, declared_ms: Option<u32>, run_ms: u32) {
         if !self.kinds.contains_key(kind) && self.kinds.len() >= MAX_KINDS {
             return;
         }
-        let history = self.kinds.entry(kind.clone()).or_insert_with(Kind::new);
+        let history = self
+            .kinds
+            .entry(kind.clone())
+            .or_insert_with(KindHistory::new);
         history.run_ms.record(u64::from(run_ms));
         if let Some(declared_ms) = declared_ms.filter(|ms| *ms > 0) {
             history
@@ -81,7 +92,7 @@
     }
 }
 
-impl Kind {
+impl KindHistory {
     fn new() -> Self {
         Self {
             run_ms: History::new(),
@@ -89,9 +100,11 @@
         }
     }
 
+    /// Scales a declared run time by the median ratio of observed to declared
+    /// time.
     fn corrected_ms(&self, declared_ms: u32) -> u32 {
         match self.ratio.quantile(0.5) {
-            Some(ratio) => saturate(u64::from(declared_ms) * ratio / RATIO_SCALE),
+            Some(ratio) => saturate_to_u32(u64::from(declared_ms) * ratio / RATIO_SCALE),
             None => declared_ms,
         }
     }
@@ -132,9 +145,9 @@
 }
 
 fn new_histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, MAX_VALUE, 2).expect("constant bounds are valid")
+    Histogram::new_with_bounds(1, MAX_RECORDED_VALUE, 2).expect("constant bounds are valid")
 }
 
-fn saturate(value: u64) -> u32 {
+fn saturate_to_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What a home does when agents die, leave or fall silent.
+//! How a home recovers when agents die, leave or do not respond.
 
 use gannetvane_wire::Credit;
 use gannetvane_wire::Finished;
@@ -17,47 +17,54 @@
 use crate::home::Home;
 use crate::submission::TaskState;
 
-/// Time to wait for results of an agent that left as planned, in milliseconds.
-const RESULTS_OF_LEFT_MS: u64 = 2_000;
-/// Times that this pause is doubled at most.
+/// Time in milliseconds for which results of an agent that left as planned are
+/// awaited.
+const LEFT_RESULT_TIMEOUT_MS: u64 = 2_000;
+/// Maximum number of times that the delay after a broken connection is doubled.
 const MAX_RECONNECT_DOUBLINGS: u32 = 5;
 
-/// Pause before an agent is asked again after its connection broke first.
-const RECONNECT_MS: u64 = 100;
-/// Longest interval between two such questions, in milliseconds.
-const MAX_CHECK_MS: u64 = 15_000;
+/// Delay in milliseconds after the first broken connection before the start is
+/// sent again.
+const FIRST_RECONNECT_DELAY_MS: u64 = 100;
+/// Maximum interval in milliseconds between two resends of a start.
+const MAX_CHECK_INTERVAL_MS: u64 = 15_000;
 
 impl Home {
-    /// An agent will never take work again.
+    /// Handles an agent that is dead or has left.
     pub(crate) fn agent_gone(&mut self, ctx: &mut Context<'_>, agent: NodeId) {
         for service in self.services.values_mut() {
             service.forget_agent(agent);
         }
         match ctx.view.state(agent) {
-            // It finished what it had; the news may overtake the results.
+            // The agent finished its tasks, but this update may arrive before
+            // their results.
             Some(MemberState::Left { .. }) => {
-                self.departed.insert(agent, ctx.now_ms + RESULTS_OF_LEFT_MS);
+                self.results_awaited_until_ms
+                    .insert(agent, ctx.now_ms + LEFT_RESULT_TIMEOUT_MS);
             }
-            _ => self.lose_tasks_of(ctx, agent),
+            _ => self.mark_tasks_lost(ctx, agent),
         }
     }
 
-    pub(crate) fn lose_tasks_of_departed(&mut self, ctx: &mut Context<'_>) {
+    /// Marks tasks as lost whose agent left and whose results have been awaited
+    /// long enough.
+    pub(crate) fn mark_tasks_of_left_agents_lost(&mut self, ctx: &mut Context<'_>) {
         let is_due = |due_ms: &u64| *due_ms <= ctx.now_ms;
         let due: Vec<NodeId> = self
-            .departed
+            .results_awaited_until_ms
             .iter()
             .filter(|(_, due_ms)| is_due(due_ms))
             .map(|(node, _)| *node)
             .collect();
         for agent in due {
-            self.departed.remove(&agent);
-            self.lose_tasks_of(ctx, agent);
+            self.results_awaited_until_ms.remove(&agent);
+            self.mark_tasks_lost(ctx, agent);
         }
     }
 
-    /// What ran on an agent that will not answer has no known end.
-    pub(crate) fn lose_tasks_of(&mut self, ctx: &mut Context<'_>, agent: NodeId) {
+    /// Marks the tasks on a lost agent as unknown, because nothing will report
+    /// their results.
+    pub(crate) fn mark_tasks_lost(&mut self, ctx: &mut Context<'_>, agent: NodeId) {
         let affected: Vec<SubmissionId> = self
             .open
             .iter()
@@ -71,7 +78,7 @@
                 .map(|open| open.running_on(agent))
                 .unwrap_or_default();
             for index in lost {
-                self.lost_task(ctx, id, index);
+                self.handle_lost_task(ctx, id, index);
             }
         }
         let names: Vec<Name> = self.services.keys().cloned().collect();
@@ -80,31 +87,35 @@
         }
     }
 
-    pub(crate) fn lost_task(&mut self, ctx: &mut Context<'_>, id: SubmissionId, index: u16) {
+    /// Marks a task as unknown, and retries it or ends its submission.
+    pub(crate) fn handle_lost_task(&mut self, ctx: &mut Context<'_>, id: SubmissionId, index: u16) {
         if !self.open.contains_key(&id) {
             return;
         }
         ctx.actions
             .push(Action::log("task-lost", format_args!("{id}/{index}")));
-        self.free_slot_of(id);
+        self.release_slot_of(id);
         self.set_state(id, index, TaskState::Unknown);
         self.retry_or_close(ctx, id, index, Reason::AgentLost);
     }
 
-    /// The connection to an address broke: messages may be lost, so ask soon.
+    /// Handles a broken connection to `addr`: messages may be lost, so the
+    /// starts sent there are sent again soon.
     pub(crate) fn peer_down(&mut self, now_ms: u64, addr: std::net::SocketAddr) {
         for task in self.open.values_mut().flat_map(|open| &mut open.tasks) {
             if let TaskState::Started(started) = &mut task.state
                 && started.agent.addr == addr
             {
-                let pause_ms = RECONNECT_MS << started.reconnects.min(MAX_RECONNECT_DOUBLINGS);
+                let pause_ms = FIRST_RECONNECT_DELAY_MS
+                    << started.broken_connections.min(MAX_RECONNECT_DOUBLINGS);
                 started.check_at_ms = started.check_at_ms.min(now_ms + pause_ms);
-                started.reconnects += 1;
+                started.broken_connections += 1;
             }
         }
     }
 
-    /// Starts that never left this process: their tasks can go elsewhere.
+    /// Handles starts that were never sent. Their tasks can start on other
+    /// agents.
     pub(crate) fn undelivered(&mut self, ctx: &mut Context<'_>, starts: &[TaskStart]) {
         let unstarted = starts.iter().filter(|start| self.was_sent_once(start));
         let batch = unstarted.map(|start| Finished {
@@ -117,14 +128,16 @@
         self.finished(ctx, batch);
     }
 
+    /// Returns whether this attempt is current and its start was sent only
+    /// once, so that it cannot have reached the agent.
     pub(crate) fn was_sent_once(&self, start: &TaskStart) -> bool {
         let open = self.open.get(&start.task_id.submission);
         open.and_then(|open| open.started(start.task_id.index, start.task_id.attempt))
             .is_some_and(|started| !started.is_resent)
     }
 
-    /// Sends the start again of each task that has been silent for too long;
-    /// the agent answers with what it knows of it.
+    /// Sends again the start of each task whose result is overdue. The agent
+    /// answers with what it has retained about the task.
     pub(crate) fn check_started(&mut self, ctx: &mut Context<'_>) {
         for (id, open) in &mut self.open {
             let due: Vec<(u16, Credit)> = open
@@ -136,7 +149,8 @@
                 let start = open.task_start(ctx.now_ms, *id, index, credit);
                 if let TaskState::Started(started) = &mut open.tasks[usize::from(index)].state {
                     started.is_resent = true;
-                    started.check_interval_ms = (started.check_interval_ms * 2).min(MAX_CHECK_MS);
+                    started.check_interval_ms =
+                        (started.check_interval_ms * 2).min(MAX_CHECK_INTERVAL_MS);
                     started.check_at_ms = ctx.now_ms + started.check_interval_ms;
                     ctx.actions
                         .push(Action::Count(Counter::Resent(Reason::AgentSilent)));
--- a/crates/core/src/waiting.rs
+++ b/crates/core/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Callers that wait at an entry for the answer to one submission.
+//! The callers at an entry that wait for the answer to one submission.
 
 use std::sync::Arc;
 
@@ -10,38 +10,39 @@
 use crate::CallerId;
 use crate::Peer;
 
-/// Time after which a submission without an answer is sent again, at first.
-pub(crate) const FIRST_RESEND_MS: u64 = 5_000;
-/// Longest such time.
-const MAX_RESEND_MS: u64 = 20_000;
+/// Interval in milliseconds before a submission without an answer is first sent
+/// again. It doubles with each resend.
+pub(crate) const FIRST_RESEND_INTERVAL_MS: u64 = 5_000;
+/// Maximum interval in milliseconds between two resends.
+const MAX_RESEND_INTERVAL_MS: u64 = 20_000;
 
-/// What an answer is matched by: callers of one id with different contents
-/// wait for different answers.
+/// Key by which an answer is matched to its callers. Callers that use one id
+/// with different contents wait for different answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaitKey {
     pub(crate) id: SubmissionId,
     pub(crate) fingerprint: u64,
 }
 
-/// What the callers of one submission wait for.
+/// The request that an entry sends on behalf of its callers.
 #[derive(Clone, Debug)]
 pub(crate) enum Request {
     Submit(Arc<Submission>),
     Lookup,
 }
 
-/// One submission, its callers and when it is sent again.
+/// One request, its callers and its next resend.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
     pub(crate) request: Request,
     pub(crate) callers: Vec<Caller>,
     pub(crate) sent_to: Option<Peer>,
     pub(crate) next_send_ms: u64,
-    pub(crate) interval_ms: u64,
+    pub(crate) resend_interval_ms: u64,
     pub(crate) is_cancel: bool,
 }
 
-/// A caller and how long it waits.
+/// A caller and its deadline.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Caller {
     pub(crate) id: CallerId,
@@ -55,11 +56,13 @@
             callers: Vec::new(),
             sent_to: None,
             next_send_ms: now_ms,
-            interval_ms: FIRST_RESEND_MS,
+            resend_interval_ms: FIRST_RESEND_INTERVAL_MS,
             is_cancel: false,
         }
     }
 
+    /// Returns the message that sends the request to `to`, and schedules the
+    /// next resend.
     pub(crate) fn send(
         &mut self,
         now_ms: u64,
@@ -68,9 +71,9 @@
         configuration_version: u64,
     ) -> Action {
         self.sent_to = Some(to);
-        self.next_send_ms = now_ms + self.interval_ms;
-        self.interval_ms = (self.interval_ms * 2).min(MAX_RESEND_MS);
-        let latest = self
+        self.next_send_ms = now_ms + self.resend_interval_ms;
+        self.resend_interval_ms = (self.resend_interval_ms * 2).min(MAX_RESEND_INTERVAL_MS);
+        let latest_deadline_ms = self
             .callers
             .iter()
             .map(|caller| caller.deadline_at_ms)
@@ -87,7 +90,7 @@
                 id: key.id,
                 submission,
                 fingerprint: key.fingerprint,
-                remaining_ms: latest.saturating_sub(now_ms),
+                remaining_ms: latest_deadline_ms.saturating_sub(now_ms),
                 configuration_version,
             }
         };
