--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -65,8 +65,8 @@
     RepeatedStart,
     /// A minion was ejected.
     MinionEjected,
-    /// A slot's credit was taken back from a process that is lost or no longer
-    /// a home of the service, and granted to a home.
+    /// A slot's credit was taken back from an agent that is lost or no longer a
+    /// home of the service, and granted to another agent that is a home.
     CreditsReclaimed,
 }
 
--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -374,8 +374,9 @@
         self.apply_step(now_ms, step, actions);
     }
 
-    /// Applies an outcome of the failure detector: removes the members that are
-    /// gone and pulls a newer configuration.
+    /// Applies an outcome of the failure detector: performs its actions, lets
+    /// the home handle the members that are dead or have left, and pulls a
+    /// newer configuration.
     pub(crate) fn apply_step(&mut self, now_ms: u64, step: StepOutcome, actions: &mut Vec<Action>) {
         actions.extend(step.actions);
         for node in step.gone {
@@ -389,7 +390,9 @@
         }
     }
 
-    /// Starts tasks on the minion and reports those that end at once.
+    /// Starts tasks on the minion. Reports to the sender, without waiting for
+    /// the minion, the starts that are not performed, with the result if one is
+    /// retained.
     pub(crate) fn start(
         &mut self,
         now_ms: u64,
--- a/crates/core/src/agent_configuration.rs
+++ b/crates/core/src/agent_configuration.rs
@@ -42,7 +42,9 @@
         }
     }
 
-    /// Announces a new configuration, and processes what depended on it.
+    /// Announces a new configuration to other agents, passes on the submissions
+    /// that were held for it, and grants credits to the homes that follow from
+    /// it.
     pub(crate) fn configuration_changed(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let version = self.configuration.current().version;
         actions.push(Action::log("configuration-changed", version));
--- a/crates/core/src/borrowing.rs
+++ b/crates/core/src/borrowing.rs
@@ -50,8 +50,8 @@
         self.dispatch(ctx, name);
     }
 
-    /// Passes credits to the homes that requested them. If this agent is no
-    /// longer a home of the service, it passes all its credits to the first
+    /// Passes usable credits to the homes that requested them. If this agent is
+    /// no longer a home of the service, it passes all that remain to the first
     /// home.
     pub(crate) fn lend(&mut self, ctx: &mut Context<'_>, name: &Name) {
         let me = self.table.home();
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -283,7 +283,7 @@
     }
 
     /// Applies a change if it is the first one on the current version, and
-    /// refuses it otherwise.
+    /// refuses it otherwise. A change that has been applied already is ignored.
     fn apply_or_refuse(&mut self, change: Change) {
         if self.recent.contains(&change.change_id) {
             return;
--- a/crates/core/src/confirm.rs
+++ b/crates/core/src/confirm.rs
@@ -191,7 +191,9 @@
     }
 
     /// Handles a change that the log, read to its end, does not contain:
-    /// appends it, or answers that it conflicts or was never submitted.
+    /// appends it, or answers that it conflicts or was never submitted. While
+    /// the change is already appended or the configuration has a gap, it does
+    /// nothing.
     fn unseen_at_end(
         &mut self,
         change_id: &Name,
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -20,7 +20,9 @@
 use crate::submission::StartedTask;
 use crate::submission::TaskState;
 
-/// Factor on the straggler time of a task after which its start is sent again.
+/// Factor on a task's straggler time, the run time that almost no task of its
+/// kind exceeds. The start of a task without a result is sent again after this
+/// multiple of that time.
 const CHECK_INTERVAL_FACTOR: u64 = 2;
 /// Minimum time in milliseconds after which the start of a task without a
 /// result is sent again.
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -20,7 +20,8 @@
 /// Interval in milliseconds between resends of a part that has not been
 /// acknowledged.
 const PART_RESEND_INTERVAL_MS: u64 = 500;
-/// Timeout of the handover in milliseconds.
+/// Timeout of the handover in milliseconds. When it passes, the agent leaves
+/// without a successor.
 const HANDOVER_TIMEOUT_MS: u64 = 15_000;
 /// Time in milliseconds for which an agent that has left still announces its
 /// successor.
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -47,8 +47,8 @@
 /// Time in milliseconds past a caller's deadline during which the entry still
 /// waits for the home's own answer.
 const DEADLINE_GRACE_MS: u64 = 250;
-/// Time in milliseconds after the first complete view after which a home that
-/// is not in the view counts as lost.
+/// Time in milliseconds after the first complete view during which a home that
+/// is not in the view may still appear. Afterwards it counts as lost.
 const VIEW_SETTLE_MS: u64 = 3_000;
 /// `retry_after_ms` of a refusal that is expected to be temporary.
 const RETRY_AFTER_MS: u32 = 1_000;
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -12,8 +12,9 @@
 /// Number of observations in each of the two windows of a history. When the
 /// newer window is full, the older one is dropped.
 const WINDOW_OBSERVATIONS: u64 = 512;
-/// Number of observations from which observed times take precedence over
-/// declared ones.
+/// Minimum number of observations for a history to be used. With fewer, a
+/// declared time is used without correction, and a task without a declared time
+/// is assumed to take [`DEFAULT_RUN_MS`].
 const MIN_OBSERVATIONS: u64 = 16;
 /// Maximum number of kinds for which a history is retained.
 const MAX_KINDS: usize = 1_024;
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -37,7 +37,7 @@
 const MAX_DELTA_MEMBERS: usize = 64;
 /// Number of periods between probes of a dead member.
 const DEAD_PROBE_PERIODS: u64 = 8;
-/// Number of periods between pulls of another agent's whole view.
+/// Number of periods between pulls of another agent's view.
 const PULL_PERIODS: u64 = 16;
 /// Number of periods without a tick from which this agent counts as suspended
 /// and discards its pending probes.
@@ -321,7 +321,8 @@
         if claim.state == self.me.state || claim.state.rank() == 0 {
             return;
         }
-        // An outdated claim shows that the refutation of it did not arrive.
+        // An outdated claim shows that the refutation of it did not arrive, so
+        // the state is published again in that case too.
         self.me.version = self.me.version.max(claim.version + 1);
         self.publish_self(now_ms);
     }
@@ -341,7 +342,8 @@
     }
 
     /// Continues each unanswered probe with indirect probes, and suspects
-    /// members that these do not reach.
+    /// members that these do not reach. Unanswered probes that other agents
+    /// requested are dropped.
     fn expire_probes(&mut self, now_ms: u64, step: &mut StepOutcome) {
         let timeout_ms = self.settings.ack_timeout_ms;
         let overdue: Vec<(u64, Probe)> = self
@@ -382,7 +384,8 @@
         self.probes.insert(id, indirect);
     }
 
-    /// Marks a member as suspect and starts its suspicion timeout.
+    /// Marks a live member as suspect and starts its suspicion timeout. A
+    /// member that is leaving keeps that state, and only its timeout starts.
     fn suspect(&mut self, now_ms: u64, node: NodeId) {
         let Some(member) = self.view.get(now_ms, node) else {
             return;
@@ -448,8 +451,9 @@
         self.pull_views(version, step);
     }
 
-    /// Pulls whole views: from the contacts while no other agent is known, and
-    /// from a random agent every [`PULL_PERIODS`] periods afterwards.
+    /// Pulls views: from the contacts while no other agent is known, and from a
+    /// random agent every [`PULL_PERIODS`] periods afterwards. A pull returns
+    /// all changes since the last one from the same agent.
     fn pull_views(&mut self, configuration_version: u64, step: &mut StepOutcome) {
         let others = self.live_others();
         if others.is_empty() {
@@ -477,8 +481,8 @@
         }
     }
 
-    /// Returns the next member to probe; each round probes all others in random
-    /// order.
+    /// Returns the next member to probe. Each round probes all other members
+    /// that are neither dead nor have left, in random order.
     fn next_target(&mut self) -> Option<NodeId> {
         if self.probe_order.is_empty() {
             self.probe_order = self.live_others();
--- a/crates/core/src/progress.rs
+++ b/crates/core/src/progress.rs
@@ -20,9 +20,10 @@
 use crate::table::GENERATION_MS;
 
 /// Maximum number of attempts at a task, including those that were not started.
+/// If the last one does not succeed either, the submission ends.
 const MAX_ATTEMPTS: u16 = 8;
-/// `retry_after_ms` of an answer after a loss, and its minimum after a deadline
-/// that was missed.
+/// `retry_after_ms` of an answer after a task was lost or could not be started,
+/// and its minimum for a deadline that has passed or cannot be met.
 const RETRY_AFTER_LOSS_MS: u32 = 1_000;
 
 impl Home {
@@ -233,8 +234,9 @@
         }
     }
 
-    /// Ends a submission after a failed or lost task. Unless the task itself
-    /// failed, the answer says when the caller may retry.
+    /// Ends a submission after one of its tasks failed, was lost or could not
+    /// be started. Unless the task itself failed, the answer says when the
+    /// caller may retry.
     pub(crate) fn close_after_loss(
         &mut self,
         ctx: &mut Context<'_>,
@@ -318,8 +320,9 @@
         }
     }
 
-    /// Ends a submission that cannot meet its deadline; the answer gives the
-    /// expected wait as the time to retry.
+    /// Ends a submission whose deadline has passed or cannot be met. The answer
+    /// gives the expected wait, at least [`RETRY_AFTER_LOSS_MS`], as the time
+    /// after which to retry.
     pub(crate) fn close_for_deadline(
         &mut self,
         ctx: &mut Context<'_>,
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -6,11 +6,13 @@
 use gannetvane_wire::Name;
 use gannetvane_wire::SubmissionId;
 
-/// Fraction of a submission's longest run time by which its turn is delayed.
+/// Fraction of the estimate of a submission's longest task by which its turn is
+/// delayed.
 ///
 /// A submission's turn is its arrival time plus a fraction of its longest
-/// estimate and a fraction of the work it still has in the queue. So short
-/// submissions overtake long ones, and jobs that are nearly done finish first.
+/// estimate, which is the least time that it needs, and a fraction of the work
+/// it still has in the queue. So short submissions overtake long ones, and jobs
+/// that are nearly done finish first.
 const LONGEST_TASK_FRACTION: f64 = 0.5;
 /// Fraction of the submission's remaining work by which its turn is delayed.
 const REMAINING_WORK_FRACTION: f64 = 0.05;
--- a/crates/core/src/runner.rs
+++ b/crates/core/src/runner.rs
@@ -1,5 +1,5 @@
-//! The slots of one minion. A slot runs one task at a time, and each credit
-//! starts at most one task.
+//! The slots of one minion, and the at-most-once start of tasks on them. A slot
+//! runs one task at a time, and each credit starts at most one task.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -31,7 +31,8 @@
 /// Accounts for the slots of one agent.
 ///
 /// Each slot counts its uses. A [`Credit`] is the right to one use: a start
-/// whose credit has a use count other than the current one starts nothing.
+/// whose credit has a `sequence` other than the slot's current count starts
+/// nothing.
 #[derive(Clone, Debug)]
 pub struct Runner {
     me: NodeId,
@@ -66,7 +67,7 @@
 
 #[derive(Clone, Debug)]
 enum UseKind {
-    /// The credit was revoked before a start arrived.
+    /// The credit was revoked before a start used it.
     Revoked,
     /// The task runs.
     Running(TaskId),
@@ -324,7 +325,8 @@
         };
     }
 
-    /// Returns the answer to a start whose credit has already been used.
+    /// Returns the answer to a start whose credit has already been used or
+    /// revoked; `None` if its task still runs.
     fn answer_repeated(&self, credit: Credit, task_id: TaskId) -> Option<Finished> {
         let Some(used) = self
             .uses
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -111,9 +111,11 @@
             .cast_unsigned()
     }
 
-    /// Returns whether the newest generation of this table ended more than
-    /// `retention_ms` ago. It applies to the table of a home that left, which
-    /// receives no new ids.
+    /// Returns whether more than `retention_ms` have passed since the end of
+    /// the newest generation that an id of this table can name. That is the
+    /// generation in which the table was taken over, or a later one of a
+    /// retained id. This is for the table of a home that left, which creates no
+    /// further ids.
     #[must_use]
     pub fn is_past(&self, now_ms: u64, retention_ms: u64) -> bool {
         let newest = self
@@ -213,7 +215,9 @@
         self.drop_oldest_answers();
     }
 
-    /// Returns all retained submissions, to hand the table over.
+    /// Returns all retained submissions, to hand the table over. All of them
+    /// must have ended: an open submission is exported without an answer, so
+    /// that the successor records it as ended with a dropped answer.
     #[must_use]
     pub fn export(&self) -> Vec<HandoverEntry> {
         let mut exported = Vec::with_capacity(self.len());
--- a/crates/core/src/upkeep.rs
+++ b/crates/core/src/upkeep.rs
@@ -81,7 +81,8 @@
     }
 
     /// Grants the credits of free slots to the homes of the service. A slot's
-    /// last holder is preferred while it is still a home.
+    /// last holder is preferred while it is still a home; the other slots are
+    /// spread over the homes.
     pub(crate) fn grant_credits(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let service = &self.settings.member.service;
         let Some(config) = self.configuration.current().services.get(service) else {
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -18,7 +18,7 @@
 /// Hash key that ranks the agents for reading the log.
 const LOG_READERS: &str = "log-readers";
 
-/// The members that a process has received, with their states.
+/// The members that a process knows, with their states.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     members: BTreeMap<NodeId, KnownMember>,
@@ -55,8 +55,8 @@
 }
 
 impl View {
-    /// Merges another process's record of a member; returns whether it was
-    /// newer than the one known.
+    /// Merges another process's record of a member; returns whether the member
+    /// was unknown or the record newer than the known one.
     pub fn merge(&mut self, now_ms: u64, member: &Member) -> bool {
         let started_at_ms = now_ms.cast_signed() - member.uptime_ms.cast_signed();
         if let Some(known) = self.members.get_mut(&member.node) {
