--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -43,14 +43,14 @@
 
 const PAGE_BYTES: usize = 4_096;
 const SERVICE: &str = "bretti-desk";
-const ME: NodeId = NodeId(1);
+const HOME_NODE: NodeId = NodeId(1);
 const ENTRY: NodeId = NodeId(2);
 /// Submissions whose cost is averaged.
-const MEASURED: u64 = 4_000;
+const MEASURED_TASKS: u64 = 4_000;
 
 fn main() {
     for size in [25_000, 50_000, 100_000, 200_000] {
-        print(
+        print_row(
             "retained-single-bytes",
             size,
             retained_bytes(size, 1) / size as f64,
@@ -58,7 +58,7 @@
         );
     }
     for size in [5_000, 10_000, 20_000, 40_000] {
-        print(
+        print_row(
             "retained-job-of-20-bytes",
             size,
             retained_bytes(size, 20) / size as f64,
@@ -66,40 +66,40 @@
         );
     }
     for size in [100, 200, 400, 850, 1_700] {
-        print("member-bytes", size, member_bytes(size), "B");
-        print("homes-lookup", size, homes_lookup_us(size), "us");
-        print("whole-view-message", size, whole_view_bytes(size), "B");
+        print_row("member-bytes", size, bytes_per_member(size), "B");
+        print_row("homes-lookup", size, homes_lookup_us(size), "us");
+        print_row("whole-view-message", size, whole_view_bytes(size), "B");
     }
     for size in [1, 10, 40, 84, 168] {
-        print("snapshot-of-teams", size, snapshot_bytes(size), "B");
+        print_row("snapshot-of-teams", size, snapshot_bytes(size), "B");
     }
     for size in [0, 250, 500, 1_000, 2_000, 4_000] {
-        print(
+        print_row(
             "home-cpu-for-a-task-by-queue",
             size,
-            submission_us(size, 1, 1),
+            time_per_submission_us(size, 1, 1),
             "us",
         );
     }
     for size in [1, 10, 40, 84, 168] {
-        print(
+        print_row(
             "home-cpu-for-a-task-by-teams",
             size,
-            submission_us(500, size, 1),
+            time_per_submission_us(500, size, 1),
             "us",
         );
     }
     for size in [1, 5, 20, 65, 260] {
-        print(
+        print_row(
             "home-cpu-for-a-task-by-job",
             size,
-            submission_us(0, 1, size) / size as f64,
+            time_per_submission_us(0, 1, size) / size as f64,
             "us",
         );
     }
 }
 
-fn print(what: &str, size: usize, value: f64, unit: &str) {
+fn print_row(what: &str, size: usize, value: f64, unit: &str) {
     println!("{what},{size},{value:.2},{unit}");
 }
 
@@ -118,11 +118,11 @@
         kept_generations: 11,
         max_answer_bytes: usize::MAX,
     };
-    let before = resident_bytes();
-    let mut table = SubmissionTable::new(ME, settings, 0, 0);
+    let before_bytes = resident_bytes();
+    let mut table = SubmissionTable::new(HOME_NODE, settings, 0, 0);
     for nonce in 0..count as u64 {
         let id = SubmissionId {
-            home: ME,
+            home: HOME_NODE,
             generation: 0,
             nonce: nonce.wrapping_mul(0x9E37_79B9_7F4A_7C15),
         };
@@ -140,10 +140,10 @@
         table.open(id, 7);
         table.answer(id, 7, Arc::new(answer));
     }
-    let held = resident_bytes() - before;
+    let held_bytes = resident_bytes() - before_bytes;
     // Kept, or the next measurement would reuse its memory.
     std::mem::forget(table);
-    held
+    held_bytes
 }
 
 fn member(number: u64) -> Member {
@@ -161,7 +161,7 @@
     }
 }
 
-fn view_of(count: usize) -> View {
+fn view_with(count: usize) -> View {
     let mut view = View::default();
     for number in 0..count as u64 {
         view.merge(1_000_000, &member(number));
@@ -169,23 +169,23 @@
     view
 }
 
-fn member_bytes(count: usize) -> f64 {
-    let copies = 20;
-    let before = resident_bytes();
-    let views: Vec<View> = (0..copies).map(|_| view_of(count)).collect();
-    let held = resident_bytes() - before;
+fn bytes_per_member(count: usize) -> f64 {
+    let view_count = 20;
+    let before_bytes = resident_bytes();
+    let views: Vec<View> = (0..view_count).map(|_| view_with(count)).collect();
+    let held_bytes = resident_bytes() - before_bytes;
     std::mem::forget(views);
-    held / (copies * count) as f64
+    held_bytes / (view_count * count) as f64
 }
 
 fn homes_lookup_us(count: usize) -> f64 {
-    let view = view_of(count);
-    let rounds = 200;
-    let began = Instant::now();
-    for _ in 0..rounds {
+    let view = view_with(count);
+    let lookups = 200;
+    let started_at = Instant::now();
+    for _ in 0..lookups {
         black_box(view.homes(SERVICE, 3));
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(rounds)
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(lookups)
 }
 
 fn whole_view_bytes(count: usize) -> f64 {
@@ -199,12 +199,12 @@
 }
 
 fn snapshot_bytes(teams: usize) -> f64 {
-    let store = configured(teams);
+    let store = configured_store(teams);
     encoded_bytes(Message::ConfigurationState(store.snapshot()))
 }
 
 fn encoded_bytes(message: Message) -> f64 {
-    encode(&envelope(ME, message)).map_or(f64::NAN, |bytes| bytes.len() as f64)
+    encode(&envelope(HOME_NODE, message)).map_or(f64::NAN, |bytes| bytes.len() as f64)
 }
 
 fn envelope(to: NodeId, message: Message) -> Envelope {
@@ -217,11 +217,11 @@
     }
 }
 
-fn team(index: usize) -> Name {
+fn team_name(index: usize) -> Name {
     Name::from(format!("team-{index}"))
 }
 
-fn change(teams: usize) -> LogRecord {
+fn configuration_change(teams: usize) -> LogRecord {
     let service = ServiceConfig {
         preference: gannetvane_wire::Preference::ResponseTime,
         max_tasks_per_job: 260,
@@ -238,7 +238,7 @@
         service,
     }];
     operations.extend((0..teams).map(|index| Operation::PutTeam {
-        name: team(index),
+        name: team_name(index),
         team: quota.clone(),
     }));
     LogRecord::Change(Change {
@@ -248,10 +248,10 @@
     })
 }
 
-fn first_page(teams: usize) -> LogPage {
+fn configuration_page(teams: usize) -> LogPage {
     let records = vec![LoggedRecord {
         offset: 0,
-        record: Some(change(teams)),
+        record: Some(configuration_change(teams)),
     }];
     LogPage {
         oldest_offset: 0,
@@ -261,28 +261,28 @@
     }
 }
 
-fn configured(teams: usize) -> ConfigurationStore {
+fn configured_store(teams: usize) -> ConfigurationStore {
     let mut store = ConfigurationStore::default();
-    store.read(0, first_page(teams));
+    store.read(0, configuration_page(teams));
     store
 }
 
 /// Processor time of a home for one submission of `tasks` tasks, with `queued`
 /// tasks of `teams` teams waiting, in microseconds.
-fn submission_us(queued: usize, teams: usize, tasks: usize) -> f64 {
+fn time_per_submission_us(queued: usize, teams: usize, tasks: usize) -> f64 {
     let mut home = Home::new(teams);
     for index in 0..queued {
         home.submit(index % teams, 1, 600_000);
     }
-    let began = Instant::now();
-    for index in 0..MEASURED / tasks as u64 {
+    let started_at = Instant::now();
+    for index in 0..MEASURED_TASKS / tasks as u64 {
         home.submit(index as usize % teams, tasks, 600_000);
         // As many end as arrive, so that the queue keeps its length.
         for _ in 0..tasks {
-            home.end_one();
+            home.end_oldest_run();
         }
     }
-    began.elapsed().as_secs_f64() * 1e6 / (MEASURED / tasks as u64) as f64
+    started_at.elapsed().as_secs_f64() * 1e6 / (MEASURED_TASKS / tasks as u64) as f64
 }
 
 /// An agent that is home of all and runs all on its own slots.
@@ -298,7 +298,7 @@
         let now_ms = 1_000_000;
         let settings = AgentSettings {
             member: Member {
-                node: ME,
+                node: HOME_NODE,
                 uptime_ms: 0,
                 ..member(1)
             },
@@ -321,12 +321,12 @@
             now_ms,
             nonce: 0,
         };
-        let actions = home.agent.log_page(now_ms, first_page(teams));
-        home.carry_out(actions);
+        let actions = home.agent.log_page(now_ms, configuration_page(teams));
+        home.perform(actions);
         for _ in 0..30 {
             home.now_ms += 10;
             let actions = home.agent.tick(home.now_ms);
-            home.carry_out(actions);
+            home.perform(actions);
         }
         home
     }
@@ -334,7 +334,7 @@
     fn submit(&mut self, team_index: usize, tasks: usize, remaining_ms: u64) {
         self.nonce += 1;
         let id = SubmissionId {
-            home: ME,
+            home: HOME_NODE,
             generation: 0,
             nonce: self.nonce,
         };
@@ -346,7 +346,7 @@
         };
         let submission = Submission {
             service: Name::from(SERVICE),
-            team: team(team_index),
+            team: team_name(team_index),
             repeatable: false,
             tasks: vec![task; tasks],
         };
@@ -357,19 +357,21 @@
             remaining_ms,
             configuration_version: 1,
         };
-        let actions = self.agent.message(self.now_ms, envelope(ME, message));
-        self.carry_out(actions);
+        let actions = self
+            .agent
+            .message(self.now_ms, envelope(HOME_NODE, message));
+        self.perform(actions);
     }
 
-    fn end_one(&mut self) {
+    fn end_oldest_run(&mut self) {
         if let Some(credit) = self.running.pop_front() {
             let result = TaskResult::Done(Name::from("done"));
             let actions = self.agent.task_ended(self.now_ms, credit, result);
-            self.carry_out(actions);
+            self.perform(actions);
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             if let Action::Run(start) = action {
                 self.running.push_back(start.credit);
--- a/crates/core/tests/at_most_once.rs
+++ b/crates/core/tests/at_most_once.rs
@@ -19,9 +19,9 @@
 use proptest::proptest;
 use proptest::test_runner::RngAlgorithm;
 use proptest::test_runner::RngSeed;
-use session::Fate;
 use session::KEPT_GENERATIONS;
 use session::Session;
+use session::Transmission;
 use session::job;
 use session::request;
 use yare::parameterized;
@@ -32,49 +32,49 @@
 #[test]
 fn resubmission_while_running_waits_for_the_same_run() {
     let mut session = Session::new(2, 3);
-    let booking = request(300, false);
+    let submission = request(300, false);
     let id = session.take_id(ENTRY);
-    let first = session.submit(ENTRY, id, &booking);
+    let first = session.submit(ENTRY, id, &submission);
     session.run_for(100);
-    let second = session.submit(OTHER_ENTRY, id, &booking);
+    let second = session.submit(OTHER_ENTRY, id, &submission);
     let answer = session.await_answer(first);
     assert_eq!(session.await_answer(second), answer);
     assert_eq!(answer.outcome, Outcome::Complete);
-    session.check(id, &booking, &answer);
+    session.check_answer(id, &submission, &answer);
 }
 
 #[test]
 fn resubmission_after_the_answer_gets_the_same_answer() {
     let mut session = Session::new(2, 3);
-    let work = job(&[50, 100, 80]);
+    let submission = job(&[50, 100, 80]);
     let id = session.take_id(ENTRY);
-    let first = session.submit(ENTRY, id, &work);
+    let first = session.submit(ENTRY, id, &submission);
     let answer = session.await_answer(first);
-    let second = session.submit(OTHER_ENTRY, id, &work);
+    let second = session.submit(OTHER_ENTRY, id, &submission);
     assert_eq!(session.await_answer(second), answer);
     assert_eq!(session.starts_of(id), 3);
 }
 
 #[test]
-fn id_with_other_content_is_refused_and_answers_do_not_cross() {
+fn reused_id_with_other_content_is_refused_and_the_first_submission_completes() {
     let mut session = Session::new(1, 3);
     let id = session.take_id(ENTRY);
-    let work = job(&[200]);
-    let first = session.submit(ENTRY, id, &work);
+    let submission = job(&[200]);
+    let first = session.submit(ENTRY, id, &submission);
     let second = session.submit(ENTRY, id, &job(&[200, 200]));
     assert_eq!(session.await_answer(second).reason, Reason::IdReused);
     let answer = session.await_answer(first);
     assert_eq!(answer.outcome, Outcome::Complete);
-    session.check(id, &work, &answer);
+    session.check_answer(id, &submission, &answer);
 }
 
 #[test]
-fn killed_home_is_unknown_at_once_and_new_ids_avoid_it() {
+fn submission_is_answered_unknown_soon_after_its_home_is_killed() {
     let mut session = Session::new(1, 6);
     let home = session.homes(ENTRY)[0];
-    let booking = request(2_000, false);
-    let id = session.take_id_of(ENTRY, home);
-    let caller = session.submit(ENTRY, id, &booking);
+    let submission = request(2_000, false);
+    let id = session.take_id_with_home(ENTRY, home);
+    let caller = session.submit(ENTRY, id, &submission);
     session.run_for(100);
     session.kill(home);
     let killed_at_ms = session.now_ms;
@@ -86,105 +86,105 @@
     let waited_ms = session.now_ms - killed_at_ms;
     assert!(waited_ms < 4_000, "told after {waited_ms} ms");
     assert!(!session.homes(ENTRY).contains(&home));
-    let again = session.submit(ENTRY, id, &booking);
-    assert_eq!(session.await_answer(again).ran, Ran::Unknown);
-    session.check_starts(id, &booking);
+    let resubmission = session.submit(ENTRY, id, &submission);
+    assert_eq!(session.await_answer(resubmission).ran, Ran::Unknown);
+    session.check_starts(id, &submission);
 }
 
 #[test]
-fn restarted_home_does_not_run_ids_of_its_earlier_run() {
+fn restarted_home_does_not_run_ids_of_its_earlier_incarnation() {
     let mut session = Session::new(2, 6);
     let home = session.homes(ENTRY)[0];
-    let booking = request(50, false);
-    let id = session.take_id_of(ENTRY, home);
-    let first = session.submit(ENTRY, id, &booking);
+    let submission = request(50, false);
+    let id = session.take_id_with_home(ENTRY, home);
+    let first = session.submit(ENTRY, id, &submission);
     session.await_answer(first);
     session.kill(home);
     session.restart_agent(home);
     session.run_for(100);
-    let again = session.submit(OTHER_ENTRY, id, &booking);
-    assert_eq!(session.await_answer(again).ran, Ran::Unknown);
+    let resubmission = session.submit(OTHER_ENTRY, id, &submission);
+    assert_eq!(session.await_answer(resubmission).ran, Ran::Unknown);
     assert_eq!(session.starts_of(id), 1);
 }
 
 #[test]
-fn frozen_home_answers_from_its_table_after_it_resumes() {
+fn suspended_home_answers_from_its_table_after_it_resumes() {
     let mut session = Session::new(2, 6);
     let home = session.homes(ENTRY)[0];
-    let booking = request(300, false);
-    let id = session.take_id_of(ENTRY, home);
-    let first = session.submit(ENTRY, id, &booking);
+    let submission = request(300, false);
+    let id = session.take_id_with_home(ENTRY, home);
+    let first = session.submit(ENTRY, id, &submission);
     session.run_for(50);
-    session.freeze(home);
+    session.suspend(home);
     session.run_for(30_000);
     assert_eq!(session.await_answer(first).ran, Ran::Unknown);
     session.resume(home);
-    let is_back = session.run_until(15_000, |s| {
+    let is_seen_as_alive = session.run_until(15_000, |s| {
         s.state_of(ENTRY, home) == Some(MemberState::Alive)
     });
-    assert!(is_back, "a resumed home is not seen again");
-    let again = session.submit(OTHER_ENTRY, id, &booking);
-    let answer = session.await_answer(again);
-    session.check(id, &booking, &answer);
+    assert!(is_seen_as_alive, "a resumed home is not seen again");
+    let resubmission = session.submit(OTHER_ENTRY, id, &submission);
+    let answer = session.await_answer(resubmission);
+    session.check_answer(id, &submission, &answer);
     assert_eq!(session.starts_of(id), 1);
 }
 
 #[test]
-fn home_that_leaves_hands_its_table_over() {
+fn leaving_home_hands_its_table_over() {
     let mut session = Session::new(2, 6);
     let home = session.homes(ENTRY)[0];
-    let booking = request(100, false);
-    let answered = session.take_id_of(ENTRY, home);
-    let running = session.take_id_of(ENTRY, home);
-    let unused = session.take_id_of(ENTRY, home);
-    let first = session.submit(ENTRY, answered, &booking);
-    let before = session.await_answer(first);
+    let submission = request(100, false);
+    let answered = session.take_id_with_home(ENTRY, home);
+    let running = session.take_id_with_home(ENTRY, home);
+    let unused = session.take_id_with_home(ENTRY, home);
+    let first = session.submit(ENTRY, answered, &submission);
+    let first_answer = session.await_answer(first);
     let second = session.submit(ENTRY, running, &request(3_000, false));
     session.run_for(50);
     session.leave(home);
     assert_eq!(session.await_answer(second).outcome, Outcome::Complete);
     let has_left = session.run_until(20_000, |s| !s.agents().contains(&home));
     assert!(has_left, "the home did not stop");
-    let again = session.submit(OTHER_ENTRY, answered, &booking);
-    assert_eq!(session.await_answer(again), before);
+    let resubmission = session.submit(OTHER_ENTRY, answered, &submission);
+    assert_eq!(session.await_answer(resubmission), first_answer);
     assert_eq!(session.starts_of(answered), 1);
-    let late = session.submit(OTHER_ENTRY, unused, &booking);
-    let answer = session.await_answer(late);
+    let caller = session.submit(OTHER_ENTRY, unused, &submission);
+    let answer = session.await_answer(caller);
     assert_eq!(answer.outcome, Outcome::Complete);
-    session.check(unused, &booking, &answer);
+    session.check_answer(unused, &submission, &answer);
 }
 
 #[test]
-fn table_moves_on_when_the_successor_leaves_too() {
+fn table_is_handed_over_again_when_the_successor_leaves() {
     let mut session = Session::new(1, 6);
-    let booking = request(100, false);
+    let submission = request(100, false);
     let home = session.homes(ENTRY)[0];
-    let id = session.take_id_of(ENTRY, home);
-    let first = session.submit(ENTRY, id, &booking);
-    let before = session.await_answer(first);
-    let mut holder = home;
+    let id = session.take_id_with_home(ENTRY, home);
+    let first = session.submit(ENTRY, id, &submission);
+    let first_answer = session.await_answer(first);
+    let mut table_owner = home;
     for _ in 0..3 {
-        session.leave(holder);
-        session.run_until(20_000, |s| !s.agents().contains(&holder));
-        holder = match session.state_of(ENTRY, holder) {
+        session.leave(table_owner);
+        session.run_until(20_000, |s| !s.agents().contains(&table_owner));
+        table_owner = match session.state_of(ENTRY, table_owner) {
             Some(MemberState::Left {
                 successor: Some(node),
             }) => node,
-            other => panic!("{holder} did not hand over: {other:?}"),
+            other => panic!("{table_owner} did not hand over: {other:?}"),
         };
     }
-    let again = session.submit(ENTRY, id, &booking);
-    assert_eq!(session.await_answer(again), before);
+    let resubmission = session.submit(ENTRY, id, &submission);
+    assert_eq!(session.await_answer(resubmission), first_answer);
     assert_eq!(session.starts_of(id), 1);
 }
 
 #[test]
-fn killed_agent_fails_the_job_and_says_what_ran() {
+fn job_fails_when_an_agent_is_killed_and_its_answer_reports_unknown_tasks() {
     let mut session = Session::new(1, 6);
     let home = session.homes(ENTRY)[0];
-    let work = job(&[3_000, 3_000, 3_000, 3_000, 3_000, 3_000]);
-    let id = session.take_id_of(ENTRY, home);
-    let caller = session.submit(ENTRY, id, &work);
+    let submission = job(&[3_000, 3_000, 3_000, 3_000, 3_000, 3_000]);
+    let id = session.take_id_with_home(ENTRY, home);
+    let caller = session.submit(ENTRY, id, &submission);
     session.run_for(500);
     let agents = session.agents();
     let victim = agents
@@ -202,18 +202,18 @@
             .iter()
             .any(|task| task.status == TaskStatus::Unknown)
     );
-    session.check(id, &work, &answer);
+    session.check_answer(id, &submission, &answer);
 }
 
 #[test]
-fn repeatable_request_moves_on_when_its_agent_is_killed() {
+fn repeatable_request_is_retried_when_its_agent_is_killed() {
     let mut session = Session::new(1, 6);
     let home = session.homes(ENTRY)[0];
-    let lookup = request(1_000, true);
+    let submission = request(1_000, true);
     let mut calls = Vec::new();
     for _ in 0..8 {
-        let id = session.take_id_of(ENTRY, home);
-        calls.push(session.submit(ENTRY, id, &lookup));
+        let id = session.take_id_with_home(ENTRY, home);
+        calls.push(session.submit(ENTRY, id, &submission));
     }
     session.run_for(100);
     let victim = session
@@ -224,11 +224,11 @@
     for caller in calls {
         assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
     }
-    assert!(session.counted("Retried(AgentLost)") > 0);
+    assert!(session.counter("Retried(AgentLost)") > 0);
 }
 
 #[test]
-fn start_that_never_left_goes_to_another_agent() {
+fn undelivered_start_goes_to_another_agent() {
     let mut session = Session::new(1, 6);
     let home = session.homes(ENTRY)[0];
     let victim = session
@@ -238,21 +238,21 @@
     let victim = victim.expect("more agents than homes");
     session.kill(victim);
     // Nobody has noticed yet; a job for all slots of the home's credits.
-    let work = job(&[100; 12]);
-    let id = session.take_id_of(ENTRY, home);
-    let caller = session.submit(ENTRY, id, &work);
+    let submission = job(&[100; 12]);
+    let id = session.take_id_with_home(ENTRY, home);
+    let caller = session.submit(ENTRY, id, &submission);
     let answer = session.await_answer(caller);
     assert_eq!(answer.outcome, Outcome::Complete, "{answer:?}");
-    session.check(id, &work, &answer);
+    session.check_answer(id, &submission, &answer);
 }
 
 #[test]
-fn lost_agent_restarts_and_ignores_starts_for_its_earlier_run() {
+fn restarted_agent_ignores_starts_for_its_earlier_incarnation() {
     let mut session = Session::new(1, 4);
     let home = session.homes(ENTRY)[0];
-    let work = job(&[2_000; 10]);
-    let id = session.take_id_of(ENTRY, home);
-    let caller = session.submit(ENTRY, id, &work);
+    let submission = job(&[2_000; 10]);
+    let id = session.take_id_with_home(ENTRY, home);
+    let caller = session.submit(ENTRY, id, &submission);
     session.run_for(100);
     let victim = session
         .agents()
@@ -263,21 +263,21 @@
     session.restart_agent(victim);
     let answer = session.await_answer(caller);
     assert_eq!(answer.outcome, Outcome::Failed);
-    session.check(id, &work, &answer);
+    session.check_answer(id, &submission, &answer);
     session.run_for(20_000);
-    session.check_starts(id, &work);
+    session.check_starts(id, &submission);
 }
 
 #[test]
-fn expired_id_is_unknown_and_never_run() {
+fn expired_id_is_answered_unknown_and_not_run_again() {
     let mut session = Session::new(1, 3);
-    let booking = request(50, false);
+    let submission = request(50, false);
     let id = session.take_id(ENTRY);
-    let first = session.submit(ENTRY, id, &booking);
+    let first = session.submit(ENTRY, id, &submission);
     session.await_answer(first);
     session.run_for(u64::from(KEPT_GENERATIONS) * GENERATION_MS + 1_000);
-    let again = session.submit(ENTRY, id, &booking);
-    let answer = session.await_answer(again);
+    let resubmission = session.submit(ENTRY, id, &submission);
+    let answer = session.await_answer(resubmission);
     assert_eq!(
         (answer.ran, answer.reason),
         (Ran::Unknown, Reason::IdExpired)
@@ -291,10 +291,10 @@
 )]
 fn id_of_a_future_generation_is_refused(ahead: u32) {
     let mut session = Session::new(1, 3);
-    let drawn = session.take_id(ENTRY);
+    let current_id = session.take_id(ENTRY);
     let id = SubmissionId {
-        generation: drawn.generation + ahead,
-        ..drawn
+        generation: current_id.generation + ahead,
+        ..current_id
     };
     let caller = session.submit(ENTRY, id, &request(50, false));
     let answer = session.await_answer(caller);
@@ -305,24 +305,27 @@
 }
 
 #[test]
-fn id_reckoned_one_generation_ahead_is_run_once() {
+fn id_of_the_next_generation_is_run_once() {
     let mut session = Session::new(1, 3);
-    let booking = request(50, false);
-    let drawn = session.take_id(ENTRY);
+    let submission = request(50, false);
+    let current_id = session.take_id(ENTRY);
     let id = SubmissionId {
-        generation: drawn.generation + 1,
-        ..drawn
+        generation: current_id.generation + 1,
+        ..current_id
     };
-    let first = session.submit(ENTRY, id, &booking);
+    let first = session.submit(ENTRY, id, &submission);
     assert_eq!(session.await_answer(first).outcome, Outcome::Complete);
     session.run_for(GENERATION_MS);
-    let again = session.submit(ENTRY, id, &booking);
-    assert_eq!(session.await_answer(again).outcome, Outcome::Complete);
+    let resubmission = session.submit(ENTRY, id, &submission);
+    assert_eq!(
+        session.await_answer(resubmission).outcome,
+        Outcome::Complete
+    );
     assert_eq!(session.starts_of(id), 1);
 }
 
 #[test]
-fn question_for_an_id_does_not_keep_it_from_running() {
+fn lookup_of_an_id_does_not_prevent_its_submission() {
     let mut session = Session::new(1, 3);
     let id = session.take_id(ENTRY);
     let asked = session.command(ENTRY, Command::Lookup { id, wait_ms: 1_000 });
@@ -336,9 +339,9 @@
 }
 
 #[test]
-fn cancelled_id_that_arrives_late_never_runs() {
+fn submission_after_its_cancellation_does_not_run() {
     let mut session = Session::new(2, 3);
-    let booking = request(50, false);
+    let submission = request(50, false);
     let id = session.take_id(ENTRY);
     let cancelled = session.command(OTHER_ENTRY, Command::Cancel { id });
     let answer = session.await_answer(cancelled);
@@ -346,8 +349,8 @@
         (answer.ran, answer.reason),
         (Ran::NotRun, Reason::Cancelled)
     );
-    let late = session.submit(ENTRY, id, &booking);
-    assert_eq!(session.await_answer(late).ran, Ran::NotRun);
+    let caller = session.submit(ENTRY, id, &submission);
+    assert_eq!(session.await_answer(caller).ran, Ran::NotRun);
     assert_eq!(session.starts_of(id), 0);
 }
 
@@ -357,39 +360,39 @@
     let mut refused = None;
     for _ in 0..5 {
         let id = session.take_id(ENTRY);
-        let work = job(&[1_000; 100]);
-        let caller = session.submit(ENTRY, id, &work);
+        let submission = job(&[1_000; 100]);
+        let caller = session.submit(ENTRY, id, &submission);
         session.run_for(10);
         if session.answer(caller).is_some() {
-            refused = Some((id, work, caller));
+            refused = Some((id, submission, caller));
             break;
         }
     }
-    let (id, work, caller) = refused.expect("a queue is full");
+    let (id, submission, caller) = refused.expect("a queue is full");
     let answer = session.await_answer(caller);
     assert_eq!(answer.ran, Ran::NotRun);
     session.run_for(60_000);
-    let again = session.submit(ENTRY, id, &work);
-    assert_eq!(session.await_answer(again).reason, answer.reason);
+    let resubmission = session.submit(ENTRY, id, &submission);
+    assert_eq!(session.await_answer(resubmission).reason, answer.reason);
     assert_eq!(session.starts_of(id), 0);
 }
 
 #[test]
-fn late_copy_of_a_start_starts_nothing() {
+fn delayed_duplicate_of_a_start_starts_nothing() {
     let mut session = Session::new(1, 3);
     // A second copy of every start arrives long after the slot was used again.
-    session.set_fate(|envelope: &Envelope, _| match envelope.message {
-        Message::Start(_) => Fate::Twice,
-        _ => Fate::Deliver,
+    session.set_transmission(|envelope: &Envelope, _| match envelope.message {
+        Message::Start(_) => Transmission::Duplicate,
+        _ => Transmission::Deliver,
     });
-    let work = job(&[10; 40]);
+    let submission = job(&[10; 40]);
     let id = session.take_id(ENTRY);
-    let caller = session.submit(ENTRY, id, &work);
+    let caller = session.submit(ENTRY, id, &submission);
     let answer = session.await_answer(caller);
     assert_eq!(answer.outcome, Outcome::Complete);
     session.run_for(1_000);
-    session.check(id, &work, &answer);
-    assert!(session.counted("RepeatedStart") > 0);
+    session.check_answer(id, &submission, &answer);
+    assert!(session.counter("RepeatedStart") > 0);
 }
 
 #[parameterized(
@@ -398,49 +401,49 @@
     start = { "start" },
     finished = { "finished" },
 )]
-fn first_message_of_a_kind_is_lost(kind: &'static str) {
+fn job_completes_when_the_first_message_of_a_kind_is_lost(kind: &'static str) {
     let mut session = Session::new(1, 4);
-    let mut lost = false;
-    session.set_fate(move |envelope: &Envelope, _| {
-        if envelope.message.name() == kind && !lost {
-            lost = true;
-            return Fate::Lose;
+    let mut was_dropped = false;
+    session.set_transmission(move |envelope: &Envelope, _| {
+        if envelope.message.name() == kind && !was_dropped {
+            was_dropped = true;
+            return Transmission::Drop;
         }
-        Fate::Deliver
+        Transmission::Deliver
     });
-    let work = job(&[50; 16]);
+    let submission = job(&[50; 16]);
     let id = session.take_id(ENTRY);
-    let caller = session.submit_within(ENTRY, id, &work, 30_000);
+    let caller = session.submit_within(ENTRY, id, &submission, 30_000);
     let answer = session.await_answer(caller);
     assert_eq!(answer.outcome, Outcome::Complete);
-    session.check(id, &work, &answer);
+    session.check_answer(id, &submission, &answer);
 }
 
 /// What a random session does to one of its processes.
 #[derive(Clone, Copy, Debug)]
-enum Harm {
+enum Fault {
     Kill,
-    Freeze,
+    Suspend,
     Leave,
     Cut,
     Restart,
 }
 
-const HARMS: [Harm; 5] = [
-    Harm::Kill,
-    Harm::Freeze,
-    Harm::Leave,
-    Harm::Cut,
-    Harm::Restart,
+const FAULTS: [Fault; 5] = [
+    Fault::Kill,
+    Fault::Suspend,
+    Fault::Leave,
+    Fault::Cut,
+    Fault::Restart,
 ];
 
-fn harm(session: &mut Session, harm: Harm, victim: NodeId, other: NodeId) {
-    match harm {
-        Harm::Kill => session.kill(victim),
-        Harm::Freeze => session.freeze(victim),
-        Harm::Leave => session.leave(victim),
-        Harm::Cut => session.cut(victim, other),
-        Harm::Restart => {
+fn inject_fault(session: &mut Session, fault: Fault, victim: NodeId, other: NodeId) {
+    match fault {
+        Fault::Kill => session.kill(victim),
+        Fault::Suspend => session.suspend(victim),
+        Fault::Leave => session.leave(victim),
+        Fault::Cut => session.cut(victim, other),
+        Fault::Restart => {
             session.kill(victim);
             session.restart_agent(victim);
         }
@@ -448,12 +451,12 @@
 }
 
 /// Messages are lost, doubled and delayed by the digits of a seed.
-fn unruly(seed: u64) -> impl FnMut(&Envelope, u64) -> Fate {
+fn random_transmission(seed: u64) -> impl FnMut(&Envelope, u64) -> Transmission {
     move |_, number| match (seed ^ number.wrapping_mul(0x9E37_79B9_7F4A_7C15)) >> 57 {
-        0..=3 => Fate::Lose,
-        4..=9 => Fate::Twice,
-        10..=19 => Fate::Late(3 + number % 700),
-        _ => Fate::Deliver,
+        0..=3 => Transmission::Drop,
+        4..=9 => Transmission::Duplicate,
+        10..=19 => Transmission::Delay(3 + number % 700),
+        _ => Transmission::Deliver,
     }
 }
 
@@ -468,7 +471,7 @@
 
     /// Several failures together, with resubmissions through both entries.
     #[test]
-    fn promises_hold_under_several_failures(
+    fn guarantees_hold_under_several_faults(
         seed in any::<u64>(),
         first in 0usize..5,
         second in 0usize..5,
@@ -476,7 +479,7 @@
     ) {
         let mut session = Session::new(2, 6);
         let agents = session.agents();
-        session.set_fate(unruly(seed));
+        session.set_transmission(random_transmission(seed));
         let submissions = [
             request(200, false),
             request(50, true),
@@ -492,13 +495,13 @@
                 session.run_for(7);
             }
             if round == 0 {
-                harm(&mut session, HARMS[first], agents[victims.0], agents[victims.1]);
+                inject_fault(&mut session, FAULTS[first], agents[victims.0], agents[victims.1]);
             } else if round == 1 {
-                harm(&mut session, HARMS[second], agents[victims.1], agents[victims.0]);
+                inject_fault(&mut session, FAULTS[second], agents[victims.1], agents[victims.0]);
             }
             session.run_for(300);
         }
-        let again: Vec<_> = calls
+        let resubmissions: Vec<_> = calls
             .iter()
             .map(|(id, submission, _)| {
                 (*id, submission.clone(), session.submit(OTHER_ENTRY, *id, submission))
@@ -507,12 +510,12 @@
         session.run_for(5_000);
         session.heal();
         for victim in [agents[victims.0], agents[victims.1]] {
-            session.resume_if_frozen(victim);
+            session.resume_if_suspended(victim);
         }
         session.run_for(60_000);
-        for (id, submission, caller) in calls.into_iter().chain(again) {
+        for (id, submission, caller) in calls.into_iter().chain(resubmissions) {
             let answer = session.answer(caller).expect("every caller gets an answer");
-            session.check(id, &submission, &answer);
+            session.check_answer(id, &submission, &answer);
         }
     }
 }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -25,21 +25,21 @@
 use proptest::proptest;
 use proptest::test_runner::RngAlgorithm;
 use proptest::test_runner::RngSeed;
-use session::Fate;
 use session::LogFault;
 use session::Session;
+use session::Transmission;
 use session::request;
 use yare::parameterized;
 
 const ENTRY: NodeId = NodeId(1);
 const OTHER_ENTRY: NodeId = NodeId(2);
 
-fn reply(session: &Session, caller: gannetvane_core::CallerId) -> Reply {
+fn reply_to(session: &Session, caller: gannetvane_core::CallerId) -> Reply {
     session.calls[&caller].reply.clone().expect("a reply")
 }
 
-fn reason(session: &Session, caller: gannetvane_core::CallerId) -> Option<(Ran, Reason)> {
-    match reply(session, caller) {
+fn ran_and_reason(session: &Session, caller: gannetvane_core::CallerId) -> Option<(Ran, Reason)> {
+    match reply_to(session, caller) {
         Reply::Answer(answer) => Some((answer.ran, answer.reason)),
         _ => None,
     }
@@ -52,37 +52,37 @@
     let is_everywhere = session.run_until(5_000, |s| s.versions().iter().all(|v| *v == 2));
     assert!(is_everywhere, "{:?}", session.versions());
     assert_eq!(
-        reply(&session, caller),
+        reply_to(&session, caller),
         Reply::ChangeAccepted { version: 2 }
     );
 }
 
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_is_told() {
+fn of_two_concurrent_changes_one_is_accepted_and_the_other_is_refused() {
     let mut session = Session::new(2, 6);
     let first = session.confirm(ENTRY, "ours", 1, 7);
     let second = session.confirm(OTHER_ENTRY, "theirs", 1, 9);
     session.run_for(5_000);
-    let replies = [reply(&session, first), reply(&session, second)];
+    let replies = [reply_to(&session, first), reply_to(&session, second)];
     let accepted = replies
         .iter()
         .filter(|r| **r == Reply::ChangeAccepted { version: 2 })
         .count();
     assert_eq!(accepted, 1, "{replies:?}");
-    let loser = if replies[0] == (Reply::ChangeAccepted { version: 2 }) {
+    let refused = if replies[0] == (Reply::ChangeAccepted { version: 2 }) {
         second
     } else {
         first
     };
     assert_eq!(
-        reason(&session, loser),
+        ran_and_reason(&session, refused),
         Some((Ran::NotRun, Reason::VersionConflict))
     );
     assert!(session.versions().iter().all(|v| *v == 2));
 }
 
 #[test]
-fn first_change_on_a_version_wins_in_the_log() {
+fn first_change_on_a_version_in_the_log_is_accepted() {
     let change = |id: &str, base_version, weight| Change {
         change_id: id.into(),
         base_version,
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn submission_right_after_a_change_is_decided_with_it() {
+fn submission_right_after_a_change_is_admitted_under_the_new_configuration() {
     let mut session = Session::empty();
     for number in 101..107 {
         session.add_agent(number);
@@ -113,13 +113,13 @@
     session.run_for(3_000);
     // No process hears of the change but by asking for it.
     let mut was_asked = false;
-    session.set_fate(move |envelope, _| match envelope.message {
+    session.set_transmission(move |envelope, _| match envelope.message {
         Message::ConfigurationPull => {
             was_asked = true;
-            Fate::Deliver
+            Transmission::Deliver
         }
-        Message::ConfigurationState(_) if !was_asked => Fate::Lose,
-        _ => Fate::Deliver,
+        Message::ConfigurationState(_) if !was_asked => Transmission::Drop,
+        _ => Transmission::Deliver,
     });
     session.configure();
     let id = session.take_id(ENTRY);
@@ -128,16 +128,19 @@
 }
 
 #[test]
-fn lost_answer_of_the_log_is_settled_by_reading() {
+fn lost_answer_to_an_append_is_resolved_by_reading_the_log() {
     let mut session = Session::new(1, 6);
     session.log.fault = LogFault::LoseAnswers;
     let first = session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(6_000);
     session.log.fault = LogFault::None;
-    let again = session.confirm(ENTRY, "weights", 1, 7);
+    let repeated = session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(6_000);
-    assert_eq!(reply(&session, again), Reply::ChangeAccepted { version: 2 });
-    let first = reason(&session, first);
+    assert_eq!(
+        reply_to(&session, repeated),
+        Reply::ChangeAccepted { version: 2 }
+    );
+    let first = ran_and_reason(&session, first);
     assert!(matches!(first, None | Some((Ran::Unknown, _))), "{first:?}");
     let appended = session
         .log
@@ -156,11 +159,20 @@
     session.run_for(3_000);
     let other = session.confirm(OTHER_ENTRY, "others", 2, 8);
     session.run_for(3_000);
-    let again = session.confirm(OTHER_ENTRY, "weights", 1, 7);
+    let repeated = session.confirm(OTHER_ENTRY, "weights", 1, 7);
     session.run_for(3_000);
-    assert_eq!(reply(&session, first), Reply::ChangeAccepted { version: 2 });
-    assert_eq!(reply(&session, other), Reply::ChangeAccepted { version: 3 });
-    assert_eq!(reply(&session, again), Reply::ChangeAccepted { version: 3 });
+    assert_eq!(
+        reply_to(&session, first),
+        Reply::ChangeAccepted { version: 2 }
+    );
+    assert_eq!(
+        reply_to(&session, other),
+        Reply::ChangeAccepted { version: 3 }
+    );
+    assert_eq!(
+        reply_to(&session, repeated),
+        Reply::ChangeAccepted { version: 3 }
+    );
     assert!(session.versions().iter().all(|v| *v == 3));
 }
 
@@ -171,7 +183,7 @@
     let caller = session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(100);
     assert_eq!(
-        reason(&session, caller),
+        ran_and_reason(&session, caller),
         Some((Ran::Unknown, Reason::LogDown))
     );
     session.run_for(3_600_000);
@@ -180,13 +192,16 @@
         "reverted during the outage"
     );
     session.log.fault = LogFault::None;
-    let again = session.confirm(ENTRY, "weights", 1, 7);
+    let repeated = session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(5_000);
-    assert_eq!(reply(&session, again), Reply::ChangeAccepted { version: 2 });
+    assert_eq!(
+        reply_to(&session, repeated),
+        Reply::ChangeAccepted { version: 2 }
+    );
 }
 
 #[test]
-fn slow_log_delays_but_does_not_mislead() {
+fn slow_log_accepts_at_most_one_of_two_concurrent_changes() {
     let mut session = Session::new(2, 6);
     session.log.fault = LogFault::Slow(1_500);
     let first = session.confirm(ENTRY, "ours", 1, 7);
@@ -194,7 +209,7 @@
     session.run_for(20_000);
     let accepted = [first, second]
         .iter()
-        .filter(|caller| matches!(reply(&session, **caller), Reply::ChangeAccepted { .. }))
+        .filter(|caller| matches!(reply_to(&session, **caller), Reply::ChangeAccepted { .. }))
         .count();
     assert!(accepted <= 1);
     assert!(
@@ -205,7 +220,7 @@
 }
 
 #[test]
-fn snapshot_is_written_before_the_log_forgets() {
+fn snapshot_is_written_before_the_log_drops_the_previous_one() {
     let mut session = Session::new(1, 6);
     session.run_for(3_600_000);
     let snapshots = session
@@ -215,7 +230,7 @@
         .filter(|r| matches!(r, LogRecord::Snapshot(_)));
     assert!(snapshots.count() >= 3, "the retention is an hour");
     // Only the newest snapshot is left, and all processes are new.
-    session.log.forget(1);
+    session.log.retain_newest(1);
     for node in session.agents() {
         session.kill(node);
     }
@@ -229,7 +244,7 @@
 }
 
 #[test]
-fn process_started_during_an_outage_takes_the_configuration_from_others() {
+fn process_started_during_a_log_outage_gets_the_configuration_from_others() {
     let mut session = Session::new(1, 6);
     session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(3_000);
@@ -240,16 +255,16 @@
 }
 
 #[test]
-fn frozen_process_that_missed_a_forgotten_change_catches_up() {
+fn suspended_process_that_missed_a_dropped_change_catches_up() {
     let mut session = Session::new(2, 6);
-    let frozen = NodeId(103);
-    session.freeze(frozen);
+    let suspended = NodeId(103);
+    session.suspend(suspended);
     session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(3_000);
-    session.log.forget(0);
+    session.log.retain_newest(0);
     session.confirm(ENTRY, "others", 2, 8);
     session.run_for(3_000);
-    session.resume(frozen);
+    session.resume(suspended);
     let is_current = session.run_until(60_000, |s| s.versions().iter().all(|v| *v == 3));
     assert!(is_current, "{:?}", session.versions());
 }
@@ -299,7 +314,10 @@
         "team \"desk\": does not exist, so it cannot be removed"
     },
 )]
-fn intent_that_cannot_be_planned_is_explained(operations: Vec<Operation>, expected: &str) {
+fn operations_that_cannot_be_planned_are_refused_with_a_reason(
+    operations: Vec<Operation>,
+    expected: &str,
+) {
     let store = ConfigurationStore::default();
     let error: PlanError = store.plan("change-1".into(), operations).unwrap_err();
     assert_eq!(error.to_string(), expected);
@@ -320,7 +338,7 @@
 }
 
 /// The log as a reader with no gap understands it.
-fn reference(changes: &[Change]) -> u64 {
+fn reference_version(changes: &[Change]) -> u64 {
     let mut store = ConfigurationStore::default();
     store.read(0, page(changes, 0, changes.len()));
     store.current().version
@@ -361,13 +379,13 @@
                 operations: vec![put_team("desk", index + 1)],
             })
             .collect();
-        let newest = reference(&changes);
+        let newest = reference_version(&changes);
         let mut readers = [ConfigurationStore::default(), ConfigurationStore::default()];
-        let mut seen: std::collections::BTreeMap<u64, gannetvane_wire::Configuration> =
+        let mut configurations: std::collections::BTreeMap<u64, gannetvane_wire::Configuration> =
             std::collections::BTreeMap::new();
         for step in steps {
             let reader = usize::from(step & 1);
-            let amount = usize::from(step >> 3 & 7);
+            let record_count = usize::from(step >> 3 & 7);
             let before = readers[reader].current().version;
             match step >> 6 {
                 0 => {
@@ -376,19 +394,19 @@
                 }
                 1 => {
                     // The log forgot a part that this reader had not read.
-                    let from = (readers[reader].next_offset() as usize + amount).min(changes.len());
-                    readers[reader].read(0, page(&changes, from, changes.len().min(from + amount)));
+                    let from = (readers[reader].next_offset() as usize + record_count).min(changes.len());
+                    readers[reader].read(0, page(&changes, from, changes.len().min(from + record_count)));
                 }
                 _ => {
                     let from = (readers[reader].next_offset() as usize).min(changes.len());
-                    readers[reader].read(0, page(&changes, from, changes.len().min(from + amount)));
+                    readers[reader].read(0, page(&changes, from, changes.len().min(from + record_count)));
                 }
             }
             let current = readers[reader].current();
             assert!(current.version >= before, "went back");
             assert!(current.version <= newest, "took a change that lost");
-            let known = seen.entry(current.version).or_insert_with(|| current.clone());
-            assert_eq!(known, current, "two contents of one version");
+            let first_seen = configurations.entry(current.version).or_insert_with(|| current.clone());
+            assert_eq!(first_seen, current, "two contents of one version");
         }
         let last = changes.last().map(|change| change.change_id.clone()).unwrap();
         let outcome = readers[0].outcome(&last);
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -14,15 +14,15 @@
 fn job_and_booking() {
     let mut session = Session::new(2, 3);
     let home = session.homes(ENTRY)[0];
-    let id = session.take_id_of(ENTRY, home);
+    let id = session.take_id_with_home(ENTRY, home);
     let caller = session.submit(ENTRY, id, &job(&[120, 80, 300]));
     session.await_answer(caller);
-    let id = session.take_id_of(ENTRY, home);
+    let id = session.take_id_with_home(ENTRY, home);
     let caller = session.submit(ENTRY, id, &request(60, false));
     session.run_for(20);
-    let again = session.submit(NodeId(2), id, &request(60, false));
+    let resubmission = session.submit(NodeId(2), id, &request(60, false));
     session.await_answer(caller);
-    session.await_answer(again);
+    session.await_answer(resubmission);
     insta::assert_snapshot!(session.transcript());
 }
 
@@ -30,7 +30,7 @@
 fn agent_is_killed_under_a_job() {
     let mut session = Session::new(1, 4);
     let home = session.homes(ENTRY)[0];
-    let id = session.take_id_of(ENTRY, home);
+    let id = session.take_id_with_home(ENTRY, home);
     let caller = session.submit(ENTRY, id, &job(&[2_000; 6]));
     session.run_for(100);
     let victim = session
@@ -46,14 +46,14 @@
 fn home_leaves_under_a_booking() {
     let mut session = Session::new(1, 4);
     let home = session.homes(ENTRY)[0];
-    let id = session.take_id_of(ENTRY, home);
+    let id = session.take_id_with_home(ENTRY, home);
     let caller = session.submit(ENTRY, id, &request(700, false));
     session.run_for(100);
     session.leave(home);
     session.await_answer(caller);
     session.run_until(10_000, |s| !s.agents().contains(&home));
-    let again = session.submit(ENTRY, id, &request(700, false));
-    session.await_answer(again);
+    let resubmission = session.submit(ENTRY, id, &request(700, false));
+    session.await_answer(resubmission);
     insta::assert_snapshot!(session.transcript());
 }
 
@@ -80,7 +80,7 @@
 fn cancellation() {
     let mut session = Session::new(1, 3);
     let home = session.homes(ENTRY)[0];
-    let id = session.take_id_of(ENTRY, home);
+    let id = session.take_id_with_home(ENTRY, home);
     session.submit(ENTRY, id, &job(&[1_000; 14]));
     session.run_for(50);
     session.command(ENTRY, Command::Cancel { id });
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -24,14 +24,14 @@
 
 const ENTRY: NodeId = NodeId(1);
 
-fn with_service(name: &str) -> Submission {
+fn request_to_service(name: &str) -> Submission {
     Submission {
         service: name.into(),
         ..request(50, false)
     }
 }
 
-fn with_team(name: &str) -> Submission {
+fn request_of_team(name: &str) -> Submission {
     Submission {
         team: name.into(),
         ..request(50, false)
@@ -39,7 +39,7 @@
 }
 
 /// Confirms a change and waits until it is in force everywhere.
-fn confirm(session: &mut Session, operations: Vec<Operation>) {
+fn confirm_and_wait(session: &mut Session, operations: Vec<Operation>) {
     let change = Change {
         change_id: "second".into(),
         base_version: 1,
@@ -49,25 +49,29 @@
     session.run_for(3_000);
 }
 
-fn with_needs(needs: Needs) -> Submission {
+fn request_with_needs(needs: Needs) -> Submission {
     let mut submission = request(50, false);
     submission.tasks[0].needs = needs;
     submission
 }
 
 #[parameterized(
-    unknown_service = { with_service("no-such"), Reason::UnknownService, false },
-    unknown_team = { with_team("no-such"), Reason::UnknownTeam, false },
+    unknown_service = { request_to_service("no-such"), Reason::UnknownService, false },
+    unknown_team = { request_of_team("no-such"), Reason::UnknownTeam, false },
     too_many_tasks = { job(&[10; 261]), Reason::TooManyTasks, false },
     too_much_memory = {
-        with_needs(Needs { memory_mb: 1_000_000, accelerators: 0 }), Reason::FitsNoWorker, false
+        request_with_needs(Needs { memory_mb: 1_000_000, accelerators: 0 }), Reason::FitsNoWorker, false
     },
     no_such_accelerator = {
-        with_needs(Needs { memory_mb: 0, accelerators: 1 }), Reason::FitsNoWorker, false
+        request_with_needs(Needs { memory_mb: 0, accelerators: 1 }), Reason::FitsNoWorker, false
     },
     longer_than_its_deadline = { request(20_000, false), Reason::DeadlineUnreachable, true },
 )]
-fn what_can_never_run_is_refused_at_once(submission: Submission, reason: Reason, may_wait: bool) {
+fn submission_that_cannot_run_is_refused_at_once(
+    submission: Submission,
+    reason: Reason,
+    is_retryable: bool,
+) {
     let mut session = Session::new(1, 3);
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &submission);
@@ -76,23 +80,23 @@
         .answer(caller)
         .expect("the refusal is not held back");
     assert_eq!((answer.ran, answer.reason), (Ran::NotRun, reason));
-    assert_eq!(answer.retry_after_ms.is_some(), may_wait);
+    assert_eq!(answer.retry_after_ms.is_some(), is_retryable);
     session.run_for(5_000);
     assert_eq!(session.starts_of(id), 0);
 }
 
 #[test]
-fn full_queue_refuses_with_when_to_come_back() {
+fn full_queue_refuses_submissions_with_a_retry_after_time() {
     let mut session = Session::new(1, 3);
-    let mut refused = Vec::new();
+    let mut submitted = Vec::new();
     for _ in 0..1_500 {
         let id = session.take_id(ENTRY);
         let caller = session.submit_within(ENTRY, id, &request(500, false), 100_000);
-        refused.push((id, caller));
+        submitted.push((id, caller));
         session.run_for(1);
     }
     session.run_for(10);
-    let refusals: Vec<_> = refused
+    let refusals: Vec<_> = submitted
         .iter()
         .filter_map(|(id, caller)| Some((*id, session.answer(*caller)?)))
         .filter(|(_, answer)| answer.ran == Ran::NotRun)
@@ -109,15 +113,15 @@
 }
 
 #[test]
-fn refuses_early_what_would_miss_its_deadline() {
+fn submission_that_would_miss_its_deadline_is_refused_early() {
     let mut session = Session::new(1, 3);
     let home = session.homes(ENTRY)[0];
     for _ in 0..4 {
-        let id = session.take_id_of(ENTRY, home);
+        let id = session.take_id_with_home(ENTRY, home);
         session.submit_within(ENTRY, id, &job(&[1_000; 60]), 100_000);
         session.run_for(20);
     }
-    let id = session.take_id_of(ENTRY, home);
+    let id = session.take_id_with_home(ENTRY, home);
     let caller = session.submit_within(ENTRY, id, &request(100, false), 1_500);
     session.run_for(10);
     let answer = session.answer(caller).expect("refused before the deadline");
@@ -129,7 +133,7 @@
 }
 
 #[test]
-fn passed_deadline_is_answered_at_once_and_truly() {
+fn submission_with_a_started_task_is_answered_unknown_at_its_deadline() {
     let mut session = Session::new(1, 3);
     let mut slow = request(4_000, false);
     slow.tasks[0].declared_ms = Some(100);
@@ -146,16 +150,17 @@
 }
 
 #[test]
-fn waiting_task_past_its_deadline_has_not_run() {
+fn submission_that_waits_past_its_deadline_does_not_run() {
     let mut session = Session::new(1, 3);
     // Declared far too short, so that the wait is not foreseen.
     for _ in 0..3 {
-        let mut hog = job(&[5_000; 12]);
-        hog.tasks
+        let mut submission = job(&[5_000; 12]);
+        submission
+            .tasks
             .iter_mut()
             .for_each(|task| task.declared_ms = Some(10));
         let id = session.take_id(ENTRY);
-        session.submit_within(ENTRY, id, &hog, 60_000);
+        session.submit_within(ENTRY, id, &submission, 60_000);
         session.run_for(20);
     }
     let id = session.take_id(ENTRY);
@@ -172,24 +177,25 @@
 #[test]
 fn task_that_cannot_end_in_time_gives_its_slot_to_the_next() {
     let mut session = Session::new(1, 1);
-    let mut hog = job(&[950; 4]);
-    hog.tasks
+    let mut submission = job(&[950; 4]);
+    submission
+        .tasks
         .iter_mut()
         .for_each(|task| task.declared_ms = Some(10));
     let id = session.take_id(ENTRY);
-    session.submit(ENTRY, id, &hog);
+    session.submit(ENTRY, id, &submission);
     session.run_for(10);
-    let late = session.take_id(ENTRY);
-    let caller = session.submit_within(ENTRY, late, &request(200, false), 1_000);
-    let patient = session.take_id(ENTRY);
-    let other = session.submit_within(ENTRY, patient, &request(200, false), 10_000);
+    let short_deadline_id = session.take_id(ENTRY);
+    let caller = session.submit_within(ENTRY, short_deadline_id, &request(200, false), 1_000);
+    let long_deadline_id = session.take_id(ENTRY);
+    let other = session.submit_within(ENTRY, long_deadline_id, &request(200, false), 10_000);
     let answer = session.await_answer(caller);
     assert_eq!(
         (answer.ran, answer.reason),
         (Ran::NotRun, Reason::DeadlineUnreachable)
     );
     assert_eq!(session.await_answer(other).outcome, Outcome::Complete);
-    assert_eq!(session.starts_of(late), 0);
+    assert_eq!(session.starts_of(short_deadline_id), 0);
 }
 
 #[test]
@@ -213,13 +219,13 @@
             },
         },
     ];
-    confirm(&mut session, operations);
+    confirm_and_wait(&mut session, operations);
     let greedy = Submission {
         team: "greedy".into(),
         ..job(&[1_000; 60])
     };
     for home in session.homes(ENTRY) {
-        let id = session.take_id_of(ENTRY, home);
+        let id = session.take_id_with_home(ENTRY, home);
         session.submit_within(ENTRY, id, &greedy, 100_000);
     }
     session.run_for(300);
@@ -235,9 +241,12 @@
     };
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &modest);
-    let began_ms = session.now_ms;
+    let started_at_ms = session.now_ms;
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
-    assert!(session.now_ms - began_ms < 300, "the other team waited");
+    assert!(
+        session.now_ms - started_at_ms < 300,
+        "the other team waited"
+    );
 }
 
 #[test]
@@ -258,7 +267,7 @@
             team: TeamConfig { weight: 1, ..quota },
         },
     ];
-    confirm(&mut session, operations);
+    confirm_and_wait(&mut session, operations);
     let mut ids = Vec::new();
     for team in ["a-light", "z-heavy"] {
         for _ in 0..60 {
@@ -283,11 +292,11 @@
 }
 
 #[test]
-fn minion_that_fails_all_is_ejected_and_comes_back() {
+fn failing_minion_is_ejected_and_used_again_after_it_recovers() {
     let mut session = Session::new(1, 4);
     let victim = NodeId(102);
     session.minion_mut(victim).fails_all = true;
-    let run = |session: &mut Session| {
+    let count_failed_requests = |session: &mut Session| {
         let mut calls = Vec::new();
         for _ in 0..200 {
             let id = session.take_id(ENTRY);
@@ -302,21 +311,21 @@
         };
         calls.iter().filter(failed).count()
     };
-    let failed_at_first = run(&mut session);
-    assert!(session.counted("MinionEjected") > 0);
+    let failed_at_first = count_failed_requests(&mut session);
+    assert!(session.counter("MinionEjected") > 0);
     assert!(
         failed_at_first < 40,
         "{failed_at_first} of 200 failed: it looked idle"
     );
     session.minion_mut(victim).fails_all = false;
     session.run_for(31_000);
-    assert_eq!(run(&mut session), 0);
-    let began = session.starts.len();
-    let work = job(&[300; 16]);
+    assert_eq!(count_failed_requests(&mut session), 0);
+    let started_tasks = session.starts.len();
+    let submission = job(&[300; 16]);
     let id = session.take_id(ENTRY);
-    session.submit(ENTRY, id, &work);
+    session.submit(ENTRY, id, &submission);
     session.run_for(100);
-    assert!(session.starts.len() > began);
+    assert!(session.starts.len() > started_tasks);
     assert!(
         session.agent(victim).busy_slots() > 0,
         "the minion did not come back"
@@ -324,7 +333,7 @@
 }
 
 #[test]
-fn minion_that_fails_fast_does_not_look_idle() {
+fn minion_that_fails_fast_gets_few_tasks() {
     // Two agents: none may be ejected.
     let mut session = Session::new(1, 2);
     session.minion_mut(NodeId(101)).fails_all = true;
@@ -359,13 +368,13 @@
     session.run_for(2_500);
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &request(40, false));
-    let began_ms = session.now_ms;
+    let started_at_ms = session.now_ms;
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
-    assert!(session.now_ms - began_ms < 300);
+    assert!(session.now_ms - started_at_ms < 300);
 }
 
 #[test]
-fn unreachable_minion_leaves_tasks_to_others() {
+fn tasks_of_an_unreachable_minion_are_retried_at_others() {
     let mut session = Session::new(1, 4);
     session.minion_mut(NodeId(103)).is_unreachable = true;
     for _ in 0..50 {
@@ -373,7 +382,7 @@
         let caller = session.submit(ENTRY, id, &job(&[30; 6]));
         assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
     }
-    assert!(session.counted("Retried(MinionUnreachable)") > 0);
+    assert!(session.counter("Retried(MinionUnreachable)") > 0);
 }
 
 #[test]
@@ -388,19 +397,19 @@
         session.run_for(50);
     }
     session.run_for(5_000);
-    let retries = session.counted("Retried(TaskFailed)");
+    let retries = session.counter("Retried(TaskFailed)");
     // Each home begins with 20.
     assert!(retries <= 60, "{retries} retries without a success");
-    assert!(session.counted("Failed(RetryBudget)") > 0);
+    assert!(session.counter("Failed(RetryBudget)") > 0);
 }
 
 #[test]
 fn failed_task_of_a_job_is_not_run_again() {
     let mut session = Session::new(1, 3);
-    let mut work = job(&[50, 50, 50]);
-    work.tasks[1].payload = "run_ms=50 fail".into();
+    let mut submission = job(&[50, 50, 50]);
+    submission.tasks[1].payload = "run_ms=50 fail".into();
     let id = session.take_id(ENTRY);
-    let caller = session.submit(ENTRY, id, &work);
+    let caller = session.submit(ENTRY, id, &submission);
     let answer = session.await_answer(caller);
     assert_eq!(
         (answer.outcome, answer.reason),
@@ -415,16 +424,16 @@
         "a partial answer"
     );
     session.run_for(1_000);
-    session.check(id, &work, &answer);
+    session.check_answer(id, &submission, &answer);
 }
 
 #[test]
-fn wave_of_cancellations_costs_one_message_an_agent_each() {
+fn cancellations_send_few_revokes_and_free_the_slots() {
     let mut session = Session::new(1, 3);
     let home = session.homes(ENTRY)[0];
     let mut ids = Vec::new();
     for _ in 0..10 {
-        let id = session.take_id_of(ENTRY, home);
+        let id = session.take_id_with_home(ENTRY, home);
         session.submit_within(ENTRY, id, &job(&[2_000; 20]), 100_000);
         session.run_for(10);
         ids.push(id);
@@ -457,9 +466,9 @@
     assert_eq!(busy, 0, "cancelled tasks hold their slots");
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &request(50, false));
-    let began_ms = session.now_ms;
+    let started_at_ms = session.now_ms;
     session.await_answer(caller);
-    assert!(session.now_ms - began_ms < 200);
+    assert!(session.now_ms - started_at_ms < 200);
 }
 
 #[test]
@@ -492,17 +501,17 @@
         .count();
     assert!(complete > 600, "only {complete} were served meanwhile");
     for (id, caller) in &calls {
-        session.check(*id, &request(50, false), &session.answer(*caller).unwrap());
+        session.check_answer(*id, &request(50, false), &session.answer(*caller).unwrap());
     }
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &request(50, false));
-    let began_ms = session.now_ms;
+    let started_at_ms = session.now_ms;
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
-    assert!(session.now_ms - began_ms < 100, "no recovery");
+    assert!(session.now_ms - started_at_ms < 100, "no recovery");
 }
 
 #[test]
-fn overloaded_entry_does_not_claim_that_nothing_ran() {
+fn overloaded_entry_answers_unknown() {
     let mut session = Session::new(1, 3);
     let id = session.take_id(ENTRY);
     for _ in 0..1_000 {
@@ -522,7 +531,7 @@
     let configuration = session.entry(ENTRY).configuration().current();
     let service = configuration.services[SERVICE].clone();
     let name = "ledger-svc".into();
-    confirm(&mut session, vec![Operation::PutService { name, service }]);
+    confirm_and_wait(&mut session, vec![Operation::PutService { name, service }]);
     let caller = session.command(
         ENTRY,
         Command::TakeIds {
@@ -537,7 +546,7 @@
     );
     // With an id of another service's home.
     let id = session.take_id(ENTRY);
-    let caller = session.submit(ENTRY, id, &with_service("ledger-svc"));
+    let caller = session.submit(ENTRY, id, &request_to_service("ledger-svc"));
     assert_eq!(session.await_answer(caller).reason, Reason::NoCapacity);
 }
 
@@ -551,16 +560,16 @@
         };
     });
     session.run_for(3_000);
-    let mut learning = job(&[100; 8]);
-    learning.team = TEAM.into();
-    for task in &mut learning.tasks {
+    let mut submission = job(&[100; 8]);
+    submission.team = TEAM.into();
+    for task in &mut submission.tasks {
         task.needs = Needs {
             memory_mb: 0,
             accelerators: 1,
         };
     }
-    learning.tasks.push(task(10));
+    submission.tasks.push(task(10));
     let id = session.take_id(ENTRY);
-    let caller = session.submit(ENTRY, id, &learning);
+    let caller = session.submit(ENTRY, id, &submission);
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -6,9 +6,9 @@
 use gannetvane_wire::MemberState;
 use gannetvane_wire::NodeId;
 use gannetvane_wire::Outcome;
-use session::Fate;
 use session::LogFault;
 use session::Session;
+use session::Transmission;
 use session::address;
 use session::job;
 use session::request;
@@ -16,14 +16,19 @@
 
 const ENTRY: NodeId = NodeId(1);
 
-fn all_see(session: &Session, node: NodeId, state: MemberState) -> bool {
+fn is_seen_by_all(session: &Session, node: NodeId, state: MemberState) -> bool {
     let others = session.agents().into_iter().filter(|other| *other != node);
     let mut observers = others.chain([ENTRY]);
     observers.all(|observer| session.state_of(observer, node) == Some(state))
 }
 
-fn all_see_within(session: &mut Session, limit_ms: u64, node: NodeId, state: MemberState) {
-    let is_seen = session.run_until(limit_ms, |s| all_see(s, node, state));
+fn assert_seen_by_all_within(
+    session: &mut Session,
+    limit_ms: u64,
+    node: NodeId,
+    state: MemberState,
+) {
+    let is_seen = session.run_until(limit_ms, |s| is_seen_by_all(s, node, state));
     assert!(
         is_seen,
         "{node} is not {state:?} to all after {limit_ms} ms"
@@ -31,46 +36,46 @@
 }
 
 #[test]
-fn new_agent_is_known_to_all_within_seconds() {
+fn new_agent_is_seen_by_all_within_seconds() {
     let mut session = Session::new(1, 9);
     let node = session.add_agent(150);
-    all_see_within(&mut session, 5_000, node, MemberState::Alive);
+    assert_seen_by_all_within(&mut session, 5_000, node, MemberState::Alive);
 }
 
 #[test]
-fn killed_agent_is_dead_to_all_within_seconds() {
+fn killed_agent_is_seen_as_dead_by_all_within_seconds() {
     let mut session = Session::new(1, 9);
     let node = NodeId(104);
     session.kill(node);
-    all_see_within(&mut session, 4_000, node, MemberState::Dead);
+    assert_seen_by_all_within(&mut session, 4_000, node, MemberState::Dead);
 }
 
 #[test]
-fn frozen_agent_is_dead_to_all_and_alive_again_after_it_resumes() {
+fn suspended_agent_is_seen_as_dead_and_after_its_resumption_as_alive() {
     let mut session = Session::new(1, 9);
     let node = NodeId(104);
-    session.freeze(node);
-    all_see_within(&mut session, 10_000, node, MemberState::Dead);
+    session.suspend(node);
+    assert_seen_by_all_within(&mut session, 10_000, node, MemberState::Dead);
     session.resume(node);
-    all_see_within(&mut session, 20_000, node, MemberState::Alive);
+    assert_seen_by_all_within(&mut session, 20_000, node, MemberState::Alive);
 }
 
 #[test]
-fn short_freeze_is_no_death() {
+fn agent_is_seen_as_alive_after_a_short_suspension() {
     let mut session = Session::new(1, 9);
     let node = NodeId(104);
-    session.freeze(node);
+    session.suspend(node);
     session.run_for(700);
     session.resume(node);
     session.run_for(5_000);
-    assert!(all_see(&session, node, MemberState::Alive));
+    assert!(is_seen_by_all(&session, node, MemberState::Alive));
 }
 
 #[test]
-fn resumed_agent_does_not_take_the_others_for_dead() {
+fn resumed_agent_does_not_declare_others_dead() {
     let mut session = Session::new(1, 9);
     let node = NodeId(104);
-    session.freeze(node);
+    session.suspend(node);
     session.run_for(20_000);
     session.resume(node);
     session.run_for(300);
@@ -84,15 +89,15 @@
 }
 
 #[test]
-fn suspicion_does_not_ripen_while_its_observer_is_paused() {
+fn suspicion_does_not_expire_while_its_observer_is_suspended() {
     let mut session = Session::new(1, 2);
     let (observer, other) = (NodeId(101), NodeId(102));
-    session.freeze(other);
+    session.suspend(other);
     let is_suspect = session.run_until(3_000, |s| {
         s.state_of(observer, other) == Some(MemberState::Suspect)
     });
     assert!(is_suspect);
-    session.freeze(observer);
+    session.suspend(observer);
     session.resume(other);
     session.run_for(20_000);
     session.clear_transcript();
@@ -103,19 +108,19 @@
 }
 
 #[test]
-fn cut_between_two_agents_is_no_death() {
+fn agents_with_a_cut_between_them_are_seen_as_alive() {
     let mut session = Session::new(1, 9);
     session.cut_both(NodeId(103), NodeId(104));
     session.run_for(20_000);
-    assert!(all_see(&session, NodeId(103), MemberState::Alive));
-    assert!(all_see(&session, NodeId(104), MemberState::Alive));
+    assert!(is_seen_by_all(&session, NodeId(103), MemberState::Alive));
+    assert!(is_seen_by_all(&session, NodeId(104), MemberState::Alive));
 }
 
 #[parameterized(
     both_ways = { true },
     one_way = { false },
 )]
-fn cut_between_zones_heals(both_ways: bool) {
+fn members_see_each_other_again_after_a_cut_between_zones(both_ways: bool) {
     let mut session = Session::new(1, 9);
     let (inside, outside): (Vec<NodeId>, Vec<NodeId>) = session
         .agents()
@@ -133,18 +138,19 @@
     session.run_for(60_000);
     session.heal();
     let all = session.agents();
-    let is_whole = session.run_until(60_000, |s| {
-        all.iter().all(|node| all_see(s, *node, MemberState::Alive))
+    let is_rejoined = session.run_until(60_000, |s| {
+        all.iter()
+            .all(|node| is_seen_by_all(s, *node, MemberState::Alive))
     });
-    assert!(is_whole, "the two sides do not find each other again");
+    assert!(is_rejoined, "the two sides do not find each other again");
     let id = session.take_id(ENTRY);
-    let work = job(&[100; 30]);
-    let caller = session.submit(ENTRY, id, &work);
+    let submission = job(&[100; 30]);
+    let caller = session.submit(ENTRY, id, &submission);
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
 }
 
 #[test]
-fn leaving_agent_gets_no_new_work_whatever_the_views() {
+fn leaving_agent_gets_no_new_tasks_while_others_see_it_as_alive() {
     let mut session = Session::new(1, 6);
     let node = session
         .agents()
@@ -168,11 +174,11 @@
 }
 
 #[test]
-fn agent_that_leaves_finishes_what_runs() {
+fn leaving_agent_finishes_its_running_tasks() {
     let mut session = Session::new(1, 6);
-    let work = job(&[2_000; 24]);
+    let submission = job(&[2_000; 24]);
     let id = session.take_id(ENTRY);
-    let caller = session.submit(ENTRY, id, &work);
+    let caller = session.submit(ENTRY, id, &submission);
     session.run_for(200);
     let node = session
         .agents()
@@ -187,11 +193,11 @@
 }
 
 #[test]
-fn results_of_an_agent_that_left_may_arrive_after_the_news() {
+fn results_of_an_agent_are_accepted_after_it_is_seen_to_have_left() {
     let mut session = Session::new(1, 6);
-    let work = job(&[400; 24]);
+    let submission = job(&[400; 24]);
     let id = session.take_id(ENTRY);
-    let caller = session.submit(ENTRY, id, &work);
+    let caller = session.submit(ENTRY, id, &submission);
     session.run_for(100);
     let node = session
         .agents()
@@ -199,23 +205,23 @@
         .find(|n| !session.homes(ENTRY).contains(n))
         .unwrap();
     assert!(session.agent(node).busy_slots() > 0);
-    session.set_fate(move |envelope, _| match envelope.message {
-        gannetvane_wire::Message::Finished(_) if envelope.from == node => Fate::Late(900),
-        _ => Fate::Deliver,
+    session.set_transmission(move |envelope, _| match envelope.message {
+        gannetvane_wire::Message::Finished(_) if envelope.from == node => Transmission::Delay(900),
+        _ => Transmission::Deliver,
     });
     session.leave(node);
     let answer = session.await_answer(caller);
     assert_eq!(answer.outcome, Outcome::Complete, "{answer:?}");
-    session.check(id, &work, &answer);
+    session.check_answer(id, &submission, &answer);
 }
 
 #[test]
-fn rolling_restart_cuts_no_request() {
+fn rolling_restart_fails_no_submission() {
     let mut session = Session::new(2, 6);
     let mut calls = Vec::new();
     let agents = session.agents();
-    let mut leaving = agents.into_iter();
-    let mut gone: Option<NodeId> = None;
+    let mut remaining_agents = agents.into_iter();
+    let mut leaving_agent: Option<NodeId> = None;
     for round in 0..1_500u32 {
         let id = session.take_id(NodeId(1 + u64::from(round % 2)));
         let submission = if round % 3 == 0 {
@@ -230,31 +236,31 @@
             session.submit(entry, id, &submission),
         ));
         session.run_for(40);
-        let is_stopped = gone.is_none_or(|node| !session.agents().contains(&node));
-        if round % 100 == 50 && is_stopped {
-            if let Some(node) = gone {
+        let has_stopped = leaving_agent.is_none_or(|node| !session.agents().contains(&node));
+        if round % 100 == 50 && has_stopped {
+            if let Some(node) = leaving_agent {
                 session.restart_agent(node);
                 session.run_for(1_500);
             }
-            gone = leaving.next();
-            if let Some(node) = gone {
+            leaving_agent = remaining_agents.next();
+            if let Some(node) = leaving_agent {
                 session.leave(node);
             }
         }
     }
-    assert!(gone.is_none(), "not all agents were restarted");
+    assert!(leaving_agent.is_none(), "not all agents were restarted");
     session.run_for(15_000);
     for (id, submission, caller) in calls {
         let answer = session.answer(caller).expect("every caller is answered");
         assert_eq!(answer.outcome, Outcome::Complete, "{answer:?}");
-        session.check(id, &submission, &answer);
+        session.check_answer(id, &submission, &answer);
     }
 }
 
 #[test]
-fn entries_are_replaced_all_the_time() {
+fn each_new_entry_becomes_ready_and_serves_a_job() {
     let mut session = Session::new(1, 6);
-    let work = job(&[100; 3]);
+    let submission = job(&[100; 3]);
     for number in 10..40 {
         let entry = session.add_entry(number);
         let is_ready = session.run_until(3_000, |s| s.entry(entry).is_ready());
@@ -269,7 +275,7 @@
         assert!(is_ready, "a new entry does not find the agents");
         session.run_for(50);
         let id = session.take_id(entry);
-        let caller = session.submit(entry, id, &work);
+        let caller = session.submit(entry, id, &submission);
         let answer = session.await_answer(caller);
         assert_eq!(answer.outcome, Outcome::Complete);
         session.kill(entry);
@@ -282,7 +288,7 @@
     session.log.fault = LogFault::Down;
     let node = session.add_agent(150);
     session.run_for(5_000);
-    assert!(all_see(&session, node, MemberState::Alive));
+    assert!(is_seen_by_all(&session, node, MemberState::Alive));
     assert_eq!(session.agent(node).configuration().current().version, 1);
     let id = session.take_id(ENTRY);
     session.submit(ENTRY, id, &job(&[500; 28]));
@@ -291,18 +297,18 @@
 }
 
 #[test]
-fn restarted_agent_replaces_its_earlier_run() {
+fn restarted_agent_replaces_its_earlier_incarnation() {
     let mut session = Session::new(1, 6);
     let old = NodeId(104);
     session.kill(old);
     let new = session.restart_agent(old);
     session.run_for(4_000);
-    assert!(all_see(&session, new, MemberState::Alive));
-    assert!(all_see(&session, old, MemberState::Dead));
+    assert!(is_seen_by_all(&session, new, MemberState::Alive));
+    assert!(is_seen_by_all(&session, old, MemberState::Dead));
 }
 
 #[test]
-fn homes_lie_in_different_zones_and_agree() {
+fn entries_choose_the_same_homes_in_different_zones() {
     let session = Session::new(2, 9);
     let homes = session.homes(ENTRY);
     assert_eq!(homes, session.homes(NodeId(2)));
@@ -311,7 +317,7 @@
 }
 
 #[test]
-fn older_news_does_not_replace_newer() {
+fn older_update_does_not_replace_a_newer_one() {
     let session = Session::new(1, 3);
     let member = session
         .entry(ENTRY)
@@ -323,13 +329,13 @@
         state: MemberState::Dead,
         ..member.clone()
     };
-    let again = gannetvane_wire::Member {
+    let newer = gannetvane_wire::Member {
         version: member.version + 1,
         ..member.clone()
     };
     assert!(view.merge(0, &dead));
     assert!(!view.merge(0, &member));
-    assert!(view.merge(0, &again));
+    assert!(view.merge(0, &newer));
     assert!(!view.merge(0, &dead));
     assert_eq!(view.state(NodeId(101)), Some(MemberState::Alive));
     assert_eq!(view.at(address(101)), Some(NodeId(101)));
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -20,27 +20,30 @@
 
 /// Sends single tasks that keep about `percent` of 24 slots busy; returns the
 /// messages beyond start and finish, for each task.
-fn further_messages_per_task(preference: Preference, percent: u64) -> f64 {
+fn credit_messages_per_task(preference: Preference, percent: u64) -> f64 {
     let mut session = Session::with_preference(1, 6, preference);
     let mut calls = Vec::new();
-    let gap_ms = 100 * 100 / (24 * percent);
+    let interval_ms = 100 * 100 / (24 * percent);
     for index in 0..1_000u32 {
         let id = session.take_id(ENTRY);
         let run_ms = 50 + (index * 37) % 101;
         calls.push(session.submit(ENTRY, id, &request(run_ms, false)));
-        session.run_for(gap_ms);
+        session.run_for(interval_ms);
     }
     for caller in &calls {
         assert_eq!(session.await_answer(*caller).outcome, Outcome::Complete);
     }
-    let further = session.sent("credit-request") + session.sent("credit-grant");
-    further as f64 / calls.len() as f64
+    let credit_messages = session.sent("credit-request") + session.sent("credit-grant");
+    credit_messages as f64 / calls.len() as f64
 }
 
 #[test]
-fn preference_for_messages_sends_next_to_none_beyond_the_needful() {
-    let spared = further_messages_per_task(Preference::Messages, 80);
-    assert!(spared <= 0.02, "{spared} further messages a task");
+fn preference_for_messages_sends_almost_no_credit_messages() {
+    let messages_per_task = credit_messages_per_task(Preference::Messages, 80);
+    assert!(
+        messages_per_task <= 0.02,
+        "{messages_per_task} further messages a task"
+    );
 }
 
 #[test]
@@ -56,7 +59,7 @@
     let agents_used = |preference| {
         let mut session = Session::with_preference(1, 6, preference);
         let home = session.homes(ENTRY)[0];
-        let id = session.take_id_of(ENTRY, home);
+        let id = session.take_id_with_home(ENTRY, home);
         session.submit(ENTRY, id, &job(&[500; 4]));
         session.run_for(50);
         session
@@ -70,17 +73,20 @@
 }
 
 #[test]
-fn home_short_of_credits_gets_those_of_others() {
+fn home_with_too_few_credits_borrows_from_other_homes() {
     let mut session = Session::new(1, 6);
     let home = session.homes(ENTRY)[0];
-    let work = job(&[500; 24]);
-    let id = session.take_id_of(ENTRY, home);
-    let caller = session.submit(ENTRY, id, &work);
-    let began_ms = session.now_ms;
+    let submission = job(&[500; 24]);
+    let id = session.take_id_with_home(ENTRY, home);
+    let caller = session.submit(ENTRY, id, &submission);
+    let started_at_ms = session.now_ms;
     let answer = session.await_answer(caller);
-    session.check(id, &work, &answer);
-    let took_ms = session.now_ms - began_ms;
-    assert!(took_ms < 700, "took {took_ms} ms with all 24 slots idle");
+    session.check_answer(id, &submission, &answer);
+    let duration_ms = session.now_ms - started_at_ms;
+    assert!(
+        duration_ms < 700,
+        "took {duration_ms} ms with all 24 slots idle"
+    );
 }
 
 #[test]
@@ -88,14 +94,17 @@
     let mut session = Session::new(1, 1);
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &job(&[100, 100, 100, 100, 100, 100, 100, 700]));
-    let began_ms = session.now_ms;
+    let started_at_ms = session.now_ms;
     session.await_answer(caller);
-    let took_ms = session.now_ms - began_ms;
-    assert!(took_ms < 760, "the longest task waited: {took_ms} ms");
+    let duration_ms = session.now_ms - started_at_ms;
+    assert!(
+        duration_ms < 760,
+        "the longest task waited: {duration_ms} ms"
+    );
 }
 
 #[test]
-fn long_submission_is_not_passed_over_for_ever() {
+fn long_submission_does_not_starve() {
     let mut session = Session::new(1, 1);
     let blocker = session.take_id(ENTRY);
     session.submit_within(ENTRY, blocker, &job(&[300; 4]), 60_000);
@@ -112,23 +121,23 @@
 }
 
 #[test]
-fn credits_of_a_killed_home_come_back() {
+fn credits_of_a_killed_home_are_granted_to_other_homes() {
     let mut session = Session::new(1, 6);
     let home = session.homes(ENTRY)[0];
     session.kill(home);
     session.run_for(4_000);
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &job(&[500; 20]));
-    let began_ms = session.now_ms;
+    let started_at_ms = session.now_ms;
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
     assert!(
-        session.now_ms - began_ms < 700,
+        session.now_ms - started_at_ms < 700,
         "20 slots of 5 agents were not free"
     );
 }
 
 #[test]
-fn credits_survive_a_long_idle_time() {
+fn credits_are_usable_after_a_long_idle_time() {
     let mut session = Session::new(1, 6);
     for idle_ms in [
         5_000, 6_000, 7_000, 8_000, 9_000, 10_000, 11_000, 12_000, 60_000,
@@ -136,28 +145,31 @@
         session.run_for(idle_ms);
         let id = session.take_id(ENTRY);
         let caller = session.submit(ENTRY, id, &job(&[20; 24]));
-        let began_ms = session.now_ms;
+        let started_at_ms = session.now_ms;
         assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
-        let took_ms = session.now_ms - began_ms;
-        assert!(took_ms < 100, "{took_ms} ms after {idle_ms} ms of idling");
+        let duration_ms = session.now_ms - started_at_ms;
+        assert!(
+            duration_ms < 100,
+            "{duration_ms} ms after {idle_ms} ms of idling"
+        );
     }
 }
 
 #[test]
-fn lost_grant_is_made_up_for() {
+fn credits_are_usable_after_lost_grants() {
     let mut session = Session::new(1, 3);
-    session.set_fate(|envelope, _| match envelope.message {
-        gannetvane_wire::Message::CreditGrant { .. } => session::Fate::Lose,
-        _ => session::Fate::Deliver,
+    session.set_transmission(|envelope, _| match envelope.message {
+        gannetvane_wire::Message::CreditGrant { .. } => session::Transmission::Drop,
+        _ => session::Transmission::Deliver,
     });
     session.run_for(7_000);
-    session.set_fate(|_, _| session::Fate::Deliver);
+    session.set_transmission(|_, _| session::Transmission::Deliver);
     session.run_for(11_000);
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &job(&[200; 12]));
-    let began_ms = session.now_ms;
+    let started_at_ms = session.now_ms;
     session.await_answer(caller);
-    assert!(session.now_ms - began_ms < 300);
+    assert!(session.now_ms - started_at_ms < 300);
 }
 
 #[parameterized(
@@ -165,7 +177,7 @@
     declared_tenfold = { 2_000, 200 },
     declared_right = { 200, 200 },
 )]
-fn estimates_learn_from_wrong_declarations(declared_ms: u32, run_ms: u32) {
+fn estimates_converge_despite_wrong_declarations(declared_ms: u32, run_ms: u32) {
     let mut estimates = Estimates::default();
     let kind = "chain".into();
     for _ in 0..64 {
@@ -210,7 +222,7 @@
 }
 
 #[test]
-fn pool_gives_out_no_credit_whose_lease_ran_out() {
+fn pool_returns_no_credit_with_an_expired_lease() {
     let mut pool = CreditPool::default();
     let credit = |slot| Credit {
         agent: NodeId(7),
@@ -285,13 +297,13 @@
 }
 
 #[test]
-fn credit_passed_on_and_then_renewed_loses_no_task() {
+fn renewal_of_a_lent_credit_loses_no_task() {
     let mut session = Session::new(1, 6);
     let homes = session.homes(ENTRY);
     let mut calls = Vec::new();
-    let mut submit = |session: &mut Session, home, work: &[u32]| {
-        let id = session.take_id_of(ENTRY, home);
-        calls.push(session.submit(ENTRY, id, &job(work)));
+    let mut submit = |session: &mut Session, home, run_ms: &[u32]| {
+        let id = session.take_id_with_home(ENTRY, home);
+        calls.push(session.submit(ENTRY, id, &job(run_ms)));
     };
     // A home asks for one credit more than it has and gets one of each other;
     // one stays unused, and its agent renews it with the home that lent it.
--- a/crates/core/tests/session/fakes.rs
+++ b/crates/core/tests/session/fakes.rs
@@ -27,7 +27,7 @@
 pub struct FakeLog {
     pub fault: LogFault,
     pub records: Vec<LogRecord>,
-    pub oldest: usize,
+    pub oldest_offset: usize,
     pub appends: u64,
 }
 
@@ -52,13 +52,13 @@
     }
 
     pub fn page(&self, from_offset: u64) -> LogPage {
-        let from = (from_offset as usize).clamp(self.oldest, self.records.len());
+        let from = (from_offset as usize).clamp(self.oldest_offset, self.records.len());
         let records = (from..self.records.len()).map(|offset| LoggedRecord {
             offset: offset as u64,
             record: Some(self.records[offset].clone()),
         });
         LogPage {
-            oldest_offset: self.oldest as u64,
+            oldest_offset: self.oldest_offset as u64,
             next_offset: self.records.len() as u64,
             at_end: true,
             records: records.collect(),
@@ -66,8 +66,8 @@
     }
 
     /// Forgets all but the newest `keep` records.
-    pub fn forget(&mut self, keep: usize) {
-        self.oldest = self.records.len().saturating_sub(keep);
+    pub fn retain_newest(&mut self, count: usize) {
+        self.oldest_offset = self.records.len().saturating_sub(count);
     }
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    pub fn ended(&mut self, credit: Credit) {
+    pub fn remove_run(&mut self, credit: Credit) {
         self.running.retain(|_, running| *running != credit);
     }
 
--- a/crates/core/tests/session/mod.rs
+++ b/crates/core/tests/session/mod.rs
@@ -62,22 +62,22 @@
 
 /// What happens to a message on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Transmission {
     Deliver,
-    Lose,
-    Twice,
-    Late(u64),
+    Drop,
+    Duplicate,
+    Delay(u64),
 }
 
 /// Whether a process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Running {
+pub enum ProcessState {
     Up,
-    Frozen,
+    Suspended,
     Down,
 }
 
-type FateOf = Box<dyn FnMut(&Envelope, u64) -> Fate>;
+type TransmissionRule = Box<dyn FnMut(&Envelope, u64) -> Transmission>;
 
 enum Core {
     Agent(Box<Agent>, FakeMinion),
@@ -88,9 +88,9 @@
     name: String,
     addr: SocketAddr,
     core: Core,
-    running: Running,
+    state: ProcessState,
     /// Events that reached it while it was frozen.
-    missed: Vec<Event>,
+    missed_events: Vec<Event>,
 }
 
 #[derive(Clone, Debug)]
@@ -135,9 +135,9 @@
     pub starts: BTreeMap<TaskId, u32>,
     transcript: Vec<String>,
     processes: BTreeMap<NodeId, Process>,
-    queue: BTreeMap<Due, Delivery>,
+    events: BTreeMap<Due, Delivery>,
     sequence: u64,
-    fate_of: FateOf,
+    transmission_rule: TransmissionRule,
     cuts: Vec<(NodeId, NodeId)>,
     next_node: u64,
     preference: Preference,
@@ -181,9 +181,9 @@
             starts: BTreeMap::new(),
             transcript: Vec::new(),
             processes: BTreeMap::new(),
-            queue: BTreeMap::new(),
+            events: BTreeMap::new(),
             sequence: 0,
-            fate_of: Box::new(|_, _| Fate::Deliver),
+            transmission_rule: Box::new(|_, _| Transmission::Deliver),
             cuts: Vec::new(),
             next_node: 1_000,
             preference: Preference::ResponseTime,
@@ -197,8 +197,11 @@
 
     /// Decides the fate of each message from now on; the second argument
     /// counts the messages.
-    pub fn set_fate(&mut self, fate_of: impl FnMut(&Envelope, u64) -> Fate + 'static) {
-        self.fate_of = Box::new(fate_of);
+    pub fn set_transmission(
+        &mut self,
+        transmission_rule: impl FnMut(&Envelope, u64) -> Transmission + 'static,
+    ) {
+        self.transmission_rule = Box::new(transmission_rule);
     }
 
     pub fn add_agent(&mut self, number: u64) -> NodeId {
@@ -253,8 +256,8 @@
             name,
             addr,
             core,
-            running: Running::Up,
-            missed: Vec::new(),
+            state: ProcessState::Up,
+            missed_events: Vec::new(),
         };
         self.processes.insert(node, process);
         self.push(node, 0, Event::Tick);
@@ -270,13 +273,13 @@
     }
 
     /// Runs until the time has moved on by `by_ms`.
-    pub fn run_for(&mut self, by_ms: u64) {
-        let end_ms = self.now_ms + by_ms;
-        while let Some((due, _)) = self.queue.first_key_value() {
+    pub fn run_for(&mut self, duration_ms: u64) {
+        let end_ms = self.now_ms + duration_ms;
+        while let Some((due, _)) = self.events.first_key_value() {
             if due.at_ms > end_ms {
                 break;
             }
-            let (due, delivery) = self.queue.pop_first().expect("just seen");
+            let (due, delivery) = self.events.pop_first().expect("just seen");
             self.now_ms = due.at_ms;
             self.deliver(delivery);
         }
@@ -300,15 +303,15 @@
         let Some(process) = self.processes.get_mut(&delivery.to) else {
             return;
         };
-        match process.running {
-            Running::Down => return,
-            Running::Frozen => {
+        match process.state {
+            ProcessState::Down => return,
+            ProcessState::Suspended => {
                 if !matches!(delivery.event, Event::Tick) {
-                    process.missed.push(delivery.event);
+                    process.missed_events.push(delivery.event);
                 }
                 return;
             }
-            Running::Up => {}
+            ProcessState::Up => {}
         }
         if matches!(delivery.event, Event::Tick) {
             self.push(delivery.to, TICK_MS, Event::Tick);
@@ -319,7 +322,7 @@
             (Core::Agent(agent, _), Event::PeerDown(addr)) => agent.peer_down(now_ms, addr),
             (Core::Agent(agent, _), Event::Undelivered(m)) => agent.undelivered(now_ms, m),
             (Core::Agent(agent, minion), Event::TaskEnded(credit, result)) => {
-                minion.ended(credit);
+                minion.remove_run(credit);
                 agent.task_ended(now_ms, credit, result)
             }
             (Core::Agent(agent, _), Event::LogPage(page)) => agent.log_page(now_ms, page),
@@ -331,16 +334,16 @@
             (Core::Entry(entry), Event::Tick) => entry.tick(now_ms),
             _ => Vec::new(),
         };
-        self.carry_out(delivery.to, actions);
+        self.perform(delivery.to, actions);
     }
 
-    fn carry_out(&mut self, node: NodeId, actions: Vec<Action>) {
+    fn perform(&mut self, node: NodeId, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(node, to, message),
                 Action::Run(start) => {
                     *self.starts.entry(start.task_id).or_default() += 1;
-                    self.note(node, format!("runs {}", self.short(start.task_id)));
+                    self.record_line(node, format!("runs {}", self.describe_task(start.task_id)));
                     if let Some(Core::Agent(_, minion)) = self.core_mut(node) {
                         let run = minion.run(&start);
                         self.push(node, run.run_ms, Event::TaskEnded(start.credit, run.result));
@@ -348,7 +351,7 @@
                 }
                 Action::StopTask(task_id) => self.stop_task(node, task_id),
                 Action::Reply { caller, reply } => {
-                    self.note(node, format!("replies {}", describe(&reply)));
+                    self.record_line(node, format!("replies {}", describe_reply(&reply)));
                     let call = self
                         .calls
                         .get_mut(&caller)
@@ -358,8 +361,8 @@
                     call.replied_at_ms = self.now_ms;
                 }
                 Action::Append(record) => {
-                    let answer_ms = self.log.append(record);
-                    if answer_ms.is_none() {
+                    let appended = self.log.append(record);
+                    if appended.is_none() {
                         self.push(node, DELAY_MS, Event::LogFailed);
                     }
                 }
@@ -373,10 +376,10 @@
                 },
                 Action::Count(counter) => self.count(counter),
                 Action::Log(notice) => {
-                    self.note(node, format!("{} {}", notice.event, notice.subject));
+                    self.record_line(node, format!("{} {}", notice.event, notice.subject));
                 }
                 Action::Stop => {
-                    self.note(node, "stops");
+                    self.record_line(node, "stops");
                     self.kill(node);
                 }
             }
@@ -392,19 +395,19 @@
             .processes
             .iter()
             .filter(|(_, process)| process.addr == to.addr)
-            .max_by_key(|(node, process)| (process.running != Running::Down, node.0));
-        let Some((receiver, process)) = receiver.map(|(node, p)| (*node, p.running)) else {
+            .max_by_key(|(node, process)| (process.state != ProcessState::Down, node.0));
+        let Some((receiver, state)) = receiver.map(|(node, p)| (*node, p.state)) else {
             return;
         };
         let is_control = message.is_control();
         if !is_control {
             let text = format!("{kind} to {}", self.processes[&receiver].name);
-            self.note(from, text);
+            self.record_line(from, text);
         }
         if self.cuts.contains(&(from, receiver)) {
             return;
         }
-        if process == Running::Down {
+        if state == ProcessState::Down {
             if !is_control {
                 self.push(from, DELAY_MS, Event::Undelivered(message));
                 self.push(from, DELAY_MS, Event::PeerDown(to.addr));
@@ -417,15 +420,15 @@
             to: to.node,
             message,
         };
-        let fate = (self.fate_of)(&envelope, self.sequence);
-        match fate {
-            Fate::Deliver => self.push(receiver, DELAY_MS, Event::Message(envelope)),
-            Fate::Lose => {}
-            Fate::Twice => {
+        let transmission = (self.transmission_rule)(&envelope, self.sequence);
+        match transmission {
+            Transmission::Deliver => self.push(receiver, DELAY_MS, Event::Message(envelope)),
+            Transmission::Drop => {}
+            Transmission::Duplicate => {
                 self.push(receiver, DELAY_MS, Event::Message(envelope.clone()));
                 self.push(receiver, 40 * DELAY_MS, Event::Message(envelope));
             }
-            Fate::Late(by_ms) => self.push(receiver, by_ms, Event::Message(envelope)),
+            Transmission::Delay(by_ms) => self.push(receiver, by_ms, Event::Message(envelope)),
         }
     }
 
@@ -435,7 +438,7 @@
             at_ms: self.now_ms + after_ms,
             sequence: self.sequence,
         };
-        self.queue.insert(due, Delivery { to, event });
+        self.events.insert(due, Delivery { to, event });
     }
 
     fn count(&mut self, counter: Counter) {
@@ -443,7 +446,7 @@
     }
 
     fn stop_task(&mut self, node: NodeId, task_id: TaskId) {
-        self.note(node, format!("stops {}", self.short(task_id)));
+        self.record_line(node, format!("stops {}", self.describe_task(task_id)));
         let Some(Core::Agent(_, minion)) = self.core_mut(node) else {
             return;
         };
@@ -458,7 +461,7 @@
     /// Ends a process at once; its connections break.
     pub fn kill(&mut self, node: NodeId) {
         let addr = self.processes[&node].addr;
-        self.set_running(node, Running::Down);
+        self.set_state(node, ProcessState::Down);
         let others: Vec<NodeId> = self
             .processes
             .keys()
@@ -470,22 +473,22 @@
         }
     }
 
-    pub fn freeze(&mut self, node: NodeId) {
-        self.set_running(node, Running::Frozen);
+    pub fn suspend(&mut self, node: NodeId) {
+        self.set_state(node, ProcessState::Suspended);
     }
 
     /// A frozen process goes on and finds all that reached it meanwhile.
     pub fn resume(&mut self, node: NodeId) {
-        self.set_running(node, Running::Up);
-        let missed = std::mem::take(&mut self.process_mut(node).missed);
+        self.set_state(node, ProcessState::Up);
+        let missed_events = std::mem::take(&mut self.process_mut(node).missed_events);
         self.push(node, 0, Event::Tick);
-        for event in missed {
+        for event in missed_events {
             self.push(node, 0, event);
         }
     }
 
-    pub fn resume_if_frozen(&mut self, node: NodeId) {
-        if self.processes[&node].running == Running::Frozen {
+    pub fn resume_if_suspended(&mut self, node: NodeId) {
+        if self.processes[&node].state == ProcessState::Suspended {
             self.resume(node);
         }
     }
@@ -508,7 +511,7 @@
         let now_ms = self.now_ms;
         if let Some(Core::Agent(agent, _)) = self.core_mut(node) {
             let actions = agent.leave(now_ms);
-            self.carry_out(node, actions);
+            self.perform(node, actions);
         }
     }
 
@@ -528,7 +531,7 @@
             panic!("{entry} is no entry");
         };
         let actions = core.command(now_ms, caller, command);
-        self.carry_out(entry, actions);
+        self.perform(entry, actions);
         caller
     }
 
@@ -549,7 +552,7 @@
     }
 
     /// An id of a certain home.
-    pub fn take_id_of(&mut self, entry: NodeId, home: NodeId) -> SubmissionId {
+    pub fn take_id_with_home(&mut self, entry: NodeId, home: NodeId) -> SubmissionId {
         let ids = self.take_ids(entry, 100);
         ids.into_iter()
             .find(|id| id.home == home)
@@ -679,7 +682,7 @@
         let running = self
             .processes
             .values()
-            .filter(|process| process.running == Running::Up);
+            .filter(|process| process.state == ProcessState::Up);
         let version = |process: &Process| match &process.core {
             Core::Agent(agent, _) => agent.configuration().current().version,
             Core::Entry(entry) => entry.configuration().current().version,
@@ -692,7 +695,7 @@
         let up = self
             .processes
             .iter()
-            .filter(|(_, p)| p.running == Running::Up && is_agent(p));
+            .filter(|(_, p)| p.state == ProcessState::Up && is_agent(p));
         up.map(|(node, _)| *node).collect()
     }
 
@@ -716,8 +719,8 @@
         self.sent.get(kind).copied().unwrap_or(0)
     }
 
-    pub fn counted(&self, counter: &str) -> u64 {
-        self.counters.get(counter).copied().unwrap_or(0)
+    pub fn counter(&self, name: &str) -> u64 {
+        self.counters.get(name).copied().unwrap_or(0)
     }
 
     /// Starts of a submission's tasks, over all attempts.
@@ -739,7 +742,7 @@
     }
 
     /// Checks what must hold of an answer that was given.
-    pub fn check(&self, id: SubmissionId, submission: &Submission, answer: &Answer) {
+    pub fn check_answer(&self, id: SubmissionId, submission: &Submission, answer: &Answer) {
         self.check_starts(id, submission);
         match (answer.outcome, answer.ran) {
             (Outcome::Complete, _) => {
@@ -785,8 +788,8 @@
         }
     }
 
-    fn set_running(&mut self, node: NodeId, running: Running) {
-        self.process_mut(node).running = running;
+    fn set_state(&mut self, node: NodeId, state: ProcessState) {
+        self.process_mut(node).state = state;
     }
 
     fn process_mut(&mut self, node: NodeId) -> &mut Process {
@@ -799,13 +802,13 @@
             .map(|process| &mut process.core)
     }
 
-    fn note(&mut self, node: NodeId, text: impl std::fmt::Display) {
+    fn record_line(&mut self, node: NodeId, text: impl std::fmt::Display) {
         let name = self.processes[&node].name.clone();
         let since_ms = self.now_ms - 1_000_000;
         self.transcript.push(format!("{since_ms:>6} {name} {text}"));
     }
 
-    fn short(&self, task_id: TaskId) -> String {
+    fn describe_task(&self, task_id: TaskId) -> String {
         format!(
             "task {} of a submission of agent-{}",
             task_id.index, task_id.submission.home.0
@@ -883,7 +886,7 @@
     }
 }
 
-fn describe(reply: &Reply) -> String {
+fn describe_reply(reply: &Reply) -> String {
     match reply {
         Reply::Answer(answer) => {
             let tasks: Vec<String> = answer
