--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -1,4 +1,5 @@
-//! Measures how the cost of one core grows with what it holds, for
+//! Measures how the memory, message sizes and processing time of one core grow
+//! with the numbers of submissions, members, teams and tasks, for
 //! docs/CAPACITY.md. Prints `what,size,value,unit` lines.
 
 use std::hint::black_box;
@@ -41,11 +42,12 @@
 use gannetvane_wire::TeamConfig;
 use gannetvane_wire::encode;
 
+/// Size in bytes of a page of memory, the unit of `/proc/self/statm`.
 const PAGE_BYTES: usize = 4_096;
 const SERVICE: &str = "bretti-desk";
 const HOME_NODE: NodeId = NodeId(1);
 const ENTRY: NodeId = NodeId(2);
-/// Submissions whose cost is averaged.
+/// Number of tasks over which the processing time is averaged.
 const MEASURED_TASKS: u64 = 4_000;
 
 fn main() {
@@ -103,7 +105,7 @@
     println!("{what},{size},{value:.2},{unit}");
 }
 
-/// Memory that this process holds, in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm
@@ -113,6 +115,8 @@
     pages.unwrap_or(0.0) * PAGE_BYTES as f64
 }
 
+/// Returns the bytes by which resident memory grows for a table of `count`
+/// answered submissions of `tasks` tasks each.
 fn retained_bytes(count: usize, tasks: usize) -> f64 {
     let settings = TableSettings {
         kept_generations: 11,
@@ -141,7 +145,8 @@
         table.answer(id, 7, Arc::new(answer));
     }
     let held_bytes = resident_bytes() - before_bytes;
-    // Kept, or the next measurement would reuse its memory.
+    // The table is leaked, because the next measurement would otherwise reuse
+    // its memory.
     std::mem::forget(table);
     held_bytes
 }
@@ -169,6 +174,7 @@
     view
 }
 
+/// Returns the resident bytes per member of a view of `count` members.
 fn bytes_per_member(count: usize) -> f64 {
     let view_count = 20;
     let before_bytes = resident_bytes();
@@ -178,6 +184,8 @@
     held_bytes / (view_count * count) as f64
 }
 
+/// Returns the time in microseconds to choose the homes of a service from
+/// `count` members.
 fn homes_lookup_us(count: usize) -> f64 {
     let view = view_with(count);
     let lookups = 200;
@@ -188,6 +196,8 @@
     started_at.elapsed().as_secs_f64() * 1e6 / f64::from(lookups)
 }
 
+/// Returns the encoded size in bytes of a message with a view of `count`
+/// members.
 fn whole_view_bytes(count: usize) -> f64 {
     let message = Message::ViewDelta {
         upto: 0,
@@ -198,6 +208,7 @@
     encoded_bytes(message)
 }
 
+/// Returns the encoded size in bytes of a configuration with `teams` teams.
 fn snapshot_bytes(teams: usize) -> f64 {
     let store = configured_store(teams);
     encoded_bytes(Message::ConfigurationState(store.snapshot()))
@@ -248,6 +259,8 @@
     })
 }
 
+/// Returns the first page of a log whose only record configures the service and
+/// `teams` teams.
 fn configuration_page(teams: usize) -> LogPage {
     let records = vec![LoggedRecord {
         offset: 0,
@@ -267,8 +280,8 @@
     store
 }
 
-/// Processor time of a home for one submission of `tasks` tasks, with `queued`
-/// tasks of `teams` teams waiting, in microseconds.
+/// Returns the time in microseconds that a home takes for one submission of
+/// `tasks` tasks while `queued` tasks of `teams` teams wait.
 fn time_per_submission_us(queued: usize, teams: usize, tasks: usize) -> f64 {
     let mut home = Home::new(teams);
     for index in 0..queued {
@@ -277,7 +290,8 @@
     let started_at = Instant::now();
     for index in 0..MEASURED_TASKS / tasks as u64 {
         home.submit(index as usize % teams, tasks, 600_000);
-        // As many end as arrive, so that the queue keeps its length.
+        // As many tasks end as arrive, so that the length of the queue stays the
+        // same.
         for _ in 0..tasks {
             home.end_oldest_run();
         }
@@ -285,7 +299,7 @@
     started_at.elapsed().as_secs_f64() * 1e6 / (MEASURED_TASKS / tasks as u64) as f64
 }
 
-/// An agent that is home of all and runs all on its own slots.
+/// An agent that is the only home and runs all tasks on its own slots.
 struct Home {
     agent: Agent,
     running: std::collections::VecDeque<gannetvane_wire::Credit>,
--- a/crates/core/tests/at_most_once.rs
+++ b/crates/core/tests/at_most_once.rs
@@ -1,5 +1,6 @@
-//! Every task of a submission starts at most once, and every answer is whole
-//! and true, whatever fails.
+//! Tests that each task of a submission that is not repeatable starts at most
+//! once, and that each answer is complete and reports correctly what ran, under
+//! crashes, suspensions, planned stops and lost, duplicate or delayed messages.
 
 mod session;
 
@@ -237,7 +238,8 @@
         .find(|n| !session.homes(ENTRY).contains(n));
     let victim = victim.expect("more agents than homes");
     session.kill(victim);
-    // Nobody has noticed yet; a job for all slots of the home's credits.
+    // The other processes still see the agent as alive. The job has enough tasks
+    // to use all credits of its home, also those for slots of that agent.
     let submission = job(&[100; 12]);
     let id = session.take_id_with_home(ENTRY, home);
     let caller = session.submit(ENTRY, id, &submission);
@@ -380,7 +382,7 @@
 #[test]
 fn delayed_duplicate_of_a_start_starts_nothing() {
     let mut session = Session::new(1, 3);
-    // A second copy of every start arrives long after the slot was used again.
+    // The duplicate of each start arrives after the slot has been used again.
     session.set_transmission(|envelope: &Envelope, _| match envelope.message {
         Message::Start(_) => Transmission::Duplicate,
         _ => Transmission::Deliver,
@@ -419,7 +421,7 @@
     session.check_answer(id, &submission, &answer);
 }
 
-/// What a random session does to one of its processes.
+/// A fault that a random session injects into one process.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill,
@@ -437,6 +439,7 @@
     Fault::Restart,
 ];
 
+/// Injects a fault into `victim`. A cut drops its messages to `other`.
 fn inject_fault(session: &mut Session, fault: Fault, victim: NodeId, other: NodeId) {
     match fault {
         Fault::Kill => session.kill(victim),
@@ -450,7 +453,8 @@
     }
 }
 
-/// Messages are lost, doubled and delayed by the digits of a seed.
+/// Returns a rule that drops, duplicates or delays some messages, chosen by a
+/// hash of the seed and the number of events queued so far.
 fn random_transmission(seed: u64) -> impl FnMut(&Envelope, u64) -> Transmission {
     move |_, number| match (seed ^ number.wrapping_mul(0x9E37_79B9_7F4A_7C15)) >> 57 {
         0..=3 => Transmission::Drop,
@@ -469,7 +473,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Several failures together, with resubmissions through both entries.
+    /// Injects two faults while messages are dropped, duplicated and delayed,
+    /// and submits each id through both entries.
     #[test]
     fn guarantees_hold_under_several_faults(
         seed in any::<u64>(),
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,5 +1,6 @@
-//! An accepted change is in force everywhere and never reverts; of several
-//! changes on one version exactly one wins.
+//! Tests that an accepted change takes effect at all processes and is never
+//! reverted, and that exactly one of several changes on the same version is
+//! accepted.
 
 mod session;
 
@@ -34,10 +35,12 @@
 const ENTRY: NodeId = NodeId(1);
 const OTHER_ENTRY: NodeId = NodeId(2);
 
+/// Returns the reply to a caller, which must have arrived.
 fn reply_to(session: &Session, caller: gannetvane_core::CallerId) -> Reply {
     session.calls[&caller].reply.clone().expect("a reply")
 }
 
+/// Returns what ran and the reason, if the reply is an answer.
 fn ran_and_reason(session: &Session, caller: gannetvane_core::CallerId) -> Option<(Ran, Reason)> {
     match reply_to(session, caller) {
         Reply::Answer(answer) => Some((answer.ran, answer.reason)),
@@ -111,7 +114,7 @@
     }
     session.add_entry(1);
     session.run_for(3_000);
-    // No process hears of the change but by asking for it.
+    // Announcements of the configuration are dropped until a process pulls it.
     let mut was_asked = false;
     session.set_transmission(move |envelope, _| match envelope.message {
         Message::ConfigurationPull => {
@@ -229,7 +232,8 @@
         .iter()
         .filter(|r| matches!(r, LogRecord::Snapshot(_)));
     assert!(snapshots.count() >= 3, "the retention is an hour");
-    // Only the newest snapshot is left, and all processes are new.
+    // The log retains only its newest record, a snapshot, and all processes
+    // are replaced, so the configuration can only come from that snapshot.
     session.log.retain_newest(1);
     for node in session.agents() {
         session.kill(node);
@@ -337,13 +341,16 @@
     insta::assert_snapshot!(plan.effects.join("\n"));
 }
 
-/// The log as a reader with no gap understands it.
+/// Returns the configuration version of a reader that has read all changes in
+/// order.
 fn reference_version(changes: &[Change]) -> u64 {
     let mut store = ConfigurationStore::default();
     store.read(0, page(changes, 0, changes.len()));
     store.current().version
 }
 
+/// Returns the page of the log with the changes from `from` up to, but not
+/// including, `to`.
 fn page(changes: &[Change], from: usize, to: usize) -> LogPage {
     let records = (from..to).map(|offset| LoggedRecord {
         offset: offset as u64,
@@ -366,9 +373,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Readers that read different parts in different steps, skip what the log
-    /// forgot and take snapshots from each other never disagree at a version,
-    /// and never go back.
+    /// Two readers read the log in different steps, skip records that the log
+    /// dropped and adopt snapshots from each other. They never have different
+    /// configurations with the same version, and their version never decreases.
     #[test]
     fn readers_never_disagree(bases in proptest::collection::vec(0u64..12, 1..40), steps in any::<[u8; 24]>()) {
         let changes: Vec<Change> = (0..)
@@ -393,7 +400,7 @@
                     readers[reader].adopt(&other);
                 }
                 1 => {
-                    // The log forgot a part that this reader had not read.
+                    // The log dropped records that this reader had not read.
                     let from = (readers[reader].next_offset() as usize + record_count).min(changes.len());
                     readers[reader].read(0, page(&changes, from, changes.len().min(from + record_count)));
                 }
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions.
+//! Compares the transcripts of whole sessions with the files in `snapshots`.
 
 mod session;
 
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Queues are bounded, what cannot be served is refused early and for a true
-//! reason, and what fails is retried within bounds.
+//! Tests that queues are bounded, that a submission that cannot be served is
+//! refused early with the correct reason, and that retries are limited.
 
 mod session;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Confirms a change and waits until it is in force everywhere.
+/// Confirms a change and waits 3 s, in which it takes effect at all processes.
 fn confirm_and_wait(session: &mut Session, operations: Vec<Operation>) {
     let change = Change {
         change_id: "second".into(),
@@ -152,7 +152,8 @@
 #[test]
 fn submission_that_waits_past_its_deadline_does_not_run() {
     let mut session = Session::new(1, 3);
-    // Declared far too short, so that the wait is not foreseen.
+    // The declared run times are far too short, so that the home underestimates
+    // the wait of later submissions.
     for _ in 0..3 {
         let mut submission = job(&[5_000; 12]);
         submission
@@ -334,7 +335,7 @@
 
 #[test]
 fn minion_that_fails_fast_gets_few_tasks() {
-    // Two agents: none may be ejected.
+    // At most a third of the minions may be ejected, so neither of two is.
     let mut session = Session::new(1, 2);
     session.minion_mut(NodeId(101)).fails_all = true;
     let mut calls = Vec::new();
@@ -398,7 +399,7 @@
     }
     session.run_for(5_000);
     let retries = session.counter("Retried(TaskFailed)");
-    // Each home begins with 20.
+    // Each of the 3 homes starts with a budget of 20 retries.
     assert!(retries <= 60, "{retries} retries without a success");
     assert!(session.counter("Failed(RetryBudget)") > 0);
 }
@@ -451,7 +452,8 @@
             Reason::Cancelled
         );
     }
-    // At most 3 agents for each submission, and none for those that wait.
+    // A revoke goes to each agent that runs tasks of the submission, at most 3.
+    // Submissions whose tasks all wait need none.
     assert!(
         session.sent("revoke") <= 9,
         "{} revokes",
@@ -475,7 +477,8 @@
 fn recovers_from_a_burst_of_ten_times_the_load() {
     let mut session = Session::new(1, 3);
     let mut calls = Vec::new();
-    // 12 slots serve 240 tasks of 50 ms a second; 2,400 arrive for 3 seconds.
+    // 12 slots run 240 tasks of 50 ms per second. 2,000 tasks per second, more
+    // than eight times as many, arrive for 3 seconds.
     for _ in 0..3_000 {
         for _ in 0..2 {
             let id = session.take_id(ENTRY);
@@ -544,7 +547,7 @@
         (answer.ran, answer.reason),
         (Ran::NotRun, Reason::NoCapacity)
     );
-    // With an id of another service's home.
+    // A submission whose id names the home of another service is refused, too.
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &request_to_service("ledger-svc"));
     assert_eq!(session.await_answer(caller).reason, Reason::NoCapacity);
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Who is there, who is not, and how soon all know.
+//! Tests how soon all processes see that an agent has started, stopped, left or
+//! resumed, and that planned stops lose no tasks.
 
 mod session;
 
@@ -16,12 +17,15 @@
 
 const ENTRY: NodeId = NodeId(1);
 
+/// Returns whether the entry and all other agents see `node` in this state.
 fn is_seen_by_all(session: &Session, node: NodeId, state: MemberState) -> bool {
     let others = session.agents().into_iter().filter(|other| *other != node);
     let mut observers = others.chain([ENTRY]);
     observers.all(|observer| session.state_of(observer, node) == Some(state))
 }
 
+/// Asserts that the entry and all other agents see `node` in this state within
+/// `limit_ms` milliseconds.
 fn assert_seen_by_all_within(
     session: &mut Session,
     limit_ms: u64,
@@ -157,7 +161,8 @@
         .into_iter()
         .find(|n| !session.homes(ENTRY).contains(n))
         .unwrap();
-    // None of its news gets out, so all go on believing that it is alive.
+    // The agent's messages to other agents are dropped, so they still see it as
+    // alive.
     for other in session.agents() {
         session.cut(node, other);
     }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Which task starts where and when, and what it costs in messages.
+//! Tests on which agent and in which order tasks start, how homes share credits,
+//! and how many messages this takes.
 
 mod session;
 
@@ -18,8 +19,8 @@
 
 const ENTRY: NodeId = NodeId(1);
 
-/// Sends single tasks that keep about `percent` of 24 slots busy; returns the
-/// messages beyond start and finish, for each task.
+/// Submits single tasks that occupy about `percent` of 24 slots; returns the
+/// number of credit requests and grants per task.
 fn credit_messages_per_task(preference: Preference, percent: u64) -> f64 {
     let mut session = Session::with_preference(1, 6, preference);
     let mut calls = Vec::new();
@@ -111,7 +112,7 @@
     let long = job(&[30_000]);
     let id = session.take_id(ENTRY);
     session.submit_within(ENTRY, id, &long, 100_000);
-    // More short tasks than the slots can run, all the time.
+    // More short tasks arrive than the slots can run.
     for _ in 0..1_200 {
         let short = session.take_id(ENTRY);
         session.submit_within(ENTRY, short, &request(50, false), 100_000);
@@ -305,11 +306,12 @@
         let id = session.take_id_with_home(ENTRY, home);
         calls.push(session.submit(ENTRY, id, &job(run_ms)));
     };
-    // A home asks for one credit more than it has and gets one of each other;
-    // one stays unused, and its agent renews it with the home that lent it.
+    // A home needs one credit more than it has, and each of the other two homes
+    // lends one. One of these stays unused, and its agent renews it by granting
+    // a new credit for the slot to the home that lent it.
     session.run_for(2_000);
     submit(&mut session, homes[1], &[10; 9]);
-    // The slots are used many times meanwhile.
+    // The other homes then use the slots many times.
     session.run_for(1_500);
     for _ in 0..100 {
         for home in [homes[0], homes[2]] {
--- a/crates/core/tests/session/fakes.rs
+++ b/crates/core/tests/session/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes at the interfaces: the platform's log and a minion.
+//! Fakes of the processes outside the cores: the platform's log and a minion.
 
 use std::collections::BTreeMap;
 
@@ -11,28 +11,34 @@
 use gannetvane_wire::TaskResult;
 use gannetvane_wire::TaskStart;
 
-/// A failure of the log.
+/// How the fake log currently fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFault {
+    /// The log works.
     #[default]
     None,
+    /// Appends and reads fail.
     Down,
-    /// Appends take effect, but their answers are lost.
+    /// Appends take effect, but the writer gets no answer.
     LoseAnswers,
+    /// Each read takes this many milliseconds.
     Slow(u64),
 }
 
-/// The configuration stream.
+/// The configuration stream of the platform's log.
 #[derive(Debug, Default)]
 pub struct FakeLog {
     pub fault: LogFault,
+    /// All records, including those that the log no longer retains.
     pub records: Vec<LogRecord>,
+    /// Offset of the oldest record that the log retains.
     pub oldest_offset: usize,
+    /// Number of appends that took effect.
     pub appends: u64,
 }
 
 impl FakeLog {
-    /// Appends; `None` when the writer gets no answer.
+    /// Appends a record. Returns `None` if the writer gets no answer.
     pub fn append(&mut self, record: LogRecord) -> Option<()> {
         if self.fault == LogFault::Down {
             return None;
@@ -42,7 +48,7 @@
         (self.fault != LogFault::LoseAnswers).then_some(())
     }
 
-    /// Time that a read takes; `None` when it fails.
+    /// Returns the duration of a read in milliseconds, or `None` if reads fail.
     pub fn read_delay_ms(&self) -> Option<u64> {
         match self.fault {
             LogFault::Down => None,
@@ -51,6 +57,7 @@
         }
     }
 
+    /// Returns the retained records from `from_offset` to the end of the log.
     pub fn page(&self, from_offset: u64) -> LogPage {
         let from = (from_offset as usize).clamp(self.oldest_offset, self.records.len());
         let records = (from..self.records.len()).map(|offset| LoggedRecord {
@@ -65,29 +72,31 @@
         }
     }
 
-    /// Forgets all but the newest `keep` records.
+    /// Drops all records except the newest `count`.
     pub fn retain_newest(&mut self, count: usize) {
         self.oldest_offset = self.records.len().saturating_sub(count);
     }
 }
 
-/// How the fake minion runs one task.
+/// The duration and the result of one run on the fake minion.
 pub struct FakeRun {
     pub run_ms: u64,
     pub result: TaskResult,
 }
 
-/// A minion that does as the payload says.
+/// A minion whose runs follow the payload of their task: `run_ms=` gives the
+/// duration in milliseconds, 1 by default, and `fail` makes the run fail.
 #[derive(Debug, Default)]
 pub struct FakeMinion {
-    /// Fails every task at once.
+    /// Whether every run fails after 1 ms.
     pub fails_all: bool,
-    /// Cannot be reached.
+    /// Whether starts fail because the agent cannot reach the minion.
     pub is_unreachable: bool,
     running: BTreeMap<TaskId, Credit>,
 }
 
 impl FakeMinion {
+    /// Starts a run; returns its duration and result.
     pub fn run(&mut self, start: &TaskStart) -> FakeRun {
         self.running.insert(start.task_id, start.credit);
         if self.is_unreachable {
@@ -118,10 +127,12 @@
         }
     }
 
+    /// Removes the run that was started with this credit.
     pub fn remove_run(&mut self, credit: Credit) {
         self.running.retain(|_, running| *running != credit);
     }
 
+    /// Returns the credit with which a running task was started.
     pub fn credit_of(&self, task_id: TaskId) -> Option<Credit> {
         self.running.get(&task_id).copied()
     }
--- a/crates/core/tests/session/mod.rs
+++ b/crates/core/tests/session/mod.rs
@@ -1,5 +1,5 @@
-//! Whole sessions of several cores on a clock that the test advances: a queue
-//! of messages, a fake log and fake minions, and nothing else.
+//! Runs several agents and entries in one thread on a simulated clock, with a
+//! simulated network, a fake log and fake minions.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -51,32 +51,46 @@
 #[allow(unused_imports, reason = "some test files leave the log alone")]
 pub use fakes::LogFault;
 
-/// One-way delay of messages in milliseconds.
+/// One-way network delay in milliseconds.
 const DELAY_MS: u64 = 1;
+/// Interval in milliseconds between the ticks of a core.
 const TICK_MS: u64 = 10;
+/// Availability zones. The id of an agent modulo 3 selects its zone.
 const ZONES: [&str; 3] = ["selfoss", "hella", "thorlak"];
+/// The service that all agents serve.
 pub const SERVICE: &str = "bretti-desk";
+/// The team that submits the tasks.
 pub const TEAM: &str = "desk";
-/// Generations that the agents keep.
+/// Number of generations of submission ids that the agents retain.
 pub const KEPT_GENERATIONS: u32 = 4;
 
-/// What happens to a message on its way.
+/// How the simulated network treats one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transmission {
+    /// Delivers the message after the normal delay.
     Deliver,
+    /// Drops the message without notifying the sender.
     Drop,
+    /// Delivers the message after the normal delay and again after 40 times
+    /// that delay.
     Duplicate,
+    /// Delivers the message after this many milliseconds.
     Delay(u64),
 }
 
-/// Whether a process runs.
+/// The state of a simulated process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
+    /// The process handles events.
     Up,
+    /// The process handles no events until it resumes.
     Suspended,
+    /// The process has stopped or was killed.
     Down,
 }
 
+/// Chooses the transmission of a message from its envelope and the number of
+/// events queued so far in the session.
 type TransmissionRule = Box<dyn FnMut(&Envelope, u64) -> Transmission>;
 
 enum Core {
@@ -89,7 +103,7 @@
     addr: SocketAddr,
     core: Core,
     state: ProcessState,
-    /// Events that reached it while it was frozen.
+    /// Events other than ticks that arrived while the process was suspended.
     missed_events: Vec<Event>,
 }
 
@@ -104,54 +118,67 @@
     Tick,
 }
 
+/// Time of a delivery. Deliveries at the same time keep the order in which they
+/// were queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at_ms: u64,
     sequence: u64,
 }
 
+/// An event for one process.
 #[derive(Debug)]
 struct Delivery {
     to: NodeId,
     event: Event,
 }
 
-/// A caller's request and its reply, if any.
+/// The reply to one caller and the time at which it arrived.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub reply: Option<Reply>,
     pub replied_at_ms: u64,
 }
 
-/// Several processes and what goes on between them.
+/// The simulated processes, their network, the log and the callers.
 pub struct Session {
+    /// Current simulated time in milliseconds.
     pub now_ms: u64,
     pub log: FakeLog,
     pub calls: BTreeMap<CallerId, Call>,
+    /// Counts of the events that the cores count, by the debug text of the
+    /// counter.
     pub counters: BTreeMap<String, u64>,
-    /// Messages sent, by kind.
+    /// Number of messages sent, by kind.
     pub sent: BTreeMap<&'static str, u64>,
-    /// Starts of each task on any minion.
+    /// Number of starts of each task, summed over all minions.
     pub starts: BTreeMap<TaskId, u32>,
+    /// One line for each message other than control messages, and for each start
+    /// and stop of a task, reply, log notice and stop of a process.
     transcript: Vec<String>,
     processes: BTreeMap<NodeId, Process>,
     events: BTreeMap<Due, Delivery>,
     sequence: u64,
     transmission_rule: TransmissionRule,
+    /// Directed pairs of sender and receiver whose messages are dropped.
     cuts: Vec<(NodeId, NodeId)>,
+    /// Number of the next restarted agent.
     next_node: u64,
     preference: Preference,
-    /// Bounds of the service and team that are configured.
+    /// Queue limit of the configured service in tasks. The limit of the team is
+    /// three quarters of it.
     pub max_queued_tasks: u32,
 }
 
 impl Session {
-    /// Processes that are in touch, with one service configured: `entries`
-    /// are nodes 1 and up, agents are nodes 101 and up.
+    /// Creates a session with one configured service and lets the processes
+    /// connect to each other. Entries are nodes 1 and up, agents are nodes 101
+    /// and up.
     pub fn new(entries: u64, agents: u64) -> Self {
         Self::with_preference(entries, agents, Preference::ResponseTime)
     }
 
+    /// Creates a session like [`Self::new`] whose service has this preference.
     pub fn with_preference(entries: u64, agents: u64, preference: Preference) -> Self {
         let mut session = Self::empty();
         session.preference = preference;
@@ -170,7 +197,7 @@
         session
     }
 
-    /// No process yet.
+    /// Creates a session without processes.
     pub fn empty() -> Self {
         Self {
             now_ms: 1_000_000,
@@ -195,8 +222,8 @@
         self.preference = preference;
     }
 
-    /// Decides the fate of each message from now on; the second argument
-    /// counts the messages.
+    /// Sets the rule for the transmission of each message from now on. Its
+    /// second argument is the number of events queued so far in the session.
     pub fn set_transmission(
         &mut self,
         transmission_rule: impl FnMut(&Envelope, u64) -> Transmission + 'static,
@@ -239,7 +266,8 @@
         node
     }
 
-    /// A new run of an agent at the address of an old one.
+    /// Starts a new incarnation of an agent at the address and in the
+    /// availability zone of `old`; returns its node id.
     pub fn restart_agent(&mut self, old: NodeId) -> NodeId {
         let addr = self.processes[&old].addr;
         let zone = Name::from(ZONES[old.0 as usize % 3]);
@@ -263,6 +291,8 @@
         self.push(node, 0, Event::Tick);
     }
 
+    /// Returns the addresses of up to three running agents as contacts for a
+    /// new process.
     fn addresses(&self) -> Vec<SocketAddr> {
         let agents = self.agents();
         agents
@@ -272,7 +302,7 @@
             .collect()
     }
 
-    /// Runs until the time has moved on by `by_ms`.
+    /// Handles all events of the next `duration_ms` milliseconds.
     pub fn run_for(&mut self, duration_ms: u64) {
         let end_ms = self.now_ms + duration_ms;
         while let Some((due, _)) = self.events.first_key_value() {
@@ -286,7 +316,8 @@
         self.now_ms = end_ms;
     }
 
-    /// Runs until `is_reached`, at most `limit_ms`; true when it was reached.
+    /// Runs until `is_reached` returns true, for at most `limit_ms`
+    /// milliseconds. Returns whether it did.
     pub fn run_until(&mut self, limit_ms: u64, is_reached: impl Fn(&Self) -> bool) -> bool {
         let end_ms = self.now_ms + limit_ms;
         while !is_reached(self) {
@@ -368,7 +399,8 @@
                 }
                 Action::ReadLog { from_offset } => match self.log.read_delay_ms() {
                     Some(delay_ms) => {
-                        // As the log was when it was asked.
+                        // The page has the contents of the log at the time of
+                        // the request.
                         let page = self.log.page(from_offset);
                         self.push(node, delay_ms, Event::LogPage(page));
                     }
@@ -390,7 +422,9 @@
         let kind = message.name();
         *self.sent.entry(kind).or_default() += 1;
         let from_addr = self.processes[&from].addr;
-        // The newest process at the address receives.
+        // A restarted process has the address of the earlier one. A process
+        // that is not down receives the message, the one with the highest id if
+        // there are several.
         let receiver = self
             .processes
             .iter()
@@ -456,9 +490,10 @@
         }
     }
 
-    // Failures.
+    // Faults.
 
-    /// Ends a process at once; its connections break.
+    /// Stops a process without notice. All other processes are notified of the
+    /// broken connection after the network delay.
     pub fn kill(&mut self, node: NodeId) {
         let addr = self.processes[&node].addr;
         self.set_state(node, ProcessState::Down);
@@ -473,11 +508,13 @@
         }
     }
 
+    /// Suspends a process, which handles no events until it resumes.
     pub fn suspend(&mut self, node: NodeId) {
         self.set_state(node, ProcessState::Suspended);
     }
 
-    /// A frozen process goes on and finds all that reached it meanwhile.
+    /// Resumes a suspended process, which handles the events that arrived
+    /// during its suspension.
     pub fn resume(&mut self, node: NodeId) {
         self.set_state(node, ProcessState::Up);
         let missed_events = std::mem::take(&mut self.process_mut(node).missed_events);
@@ -493,20 +530,23 @@
         }
     }
 
-    /// Loses all that `from` sends to `to`, without any sign.
+    /// Drops all messages from `from` to `to` without notifying either process.
     pub fn cut(&mut self, from: NodeId, to: NodeId) {
         self.cuts.push((from, to));
     }
 
+    /// Drops all messages between two processes in both directions.
     pub fn cut_both(&mut self, a: NodeId, b: NodeId) {
         self.cut(a, b);
         self.cut(b, a);
     }
 
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
+    /// Starts the planned stop of an agent.
     pub fn leave(&mut self, node: NodeId) {
         let now_ms = self.now_ms;
         if let Some(Core::Agent(agent, _)) = self.core_mut(node) {
@@ -517,6 +557,7 @@
 
     // Callers.
 
+    /// Sends a command to an entry for a new caller.
     pub fn command(&mut self, entry: NodeId, command: Command) -> CallerId {
         let caller = CallerId(self.calls.len() as u64);
         self.calls.insert(
@@ -551,7 +592,7 @@
         }
     }
 
-    /// An id of a certain home.
+    /// Returns an id that names `home`.
     pub fn take_id_with_home(&mut self, entry: NodeId, home: NodeId) -> SubmissionId {
         let ids = self.take_ids(entry, 100);
         ids.into_iter()
@@ -559,10 +600,12 @@
             .expect("the home is among the homes")
     }
 
+    /// Submits with a deadline of 10 s.
     pub fn submit(&mut self, entry: NodeId, id: SubmissionId, submission: &Submission) -> CallerId {
         self.submit_within(entry, id, submission, 10_000)
     }
 
+    /// Submits with a deadline `deadline_ms` milliseconds from now.
     pub fn submit_within(
         &mut self,
         entry: NodeId,
@@ -581,6 +624,7 @@
         )
     }
 
+    /// Returns the answer that the caller got, if any.
     pub fn answer(&self, caller: CallerId) -> Option<Arc<Answer>> {
         match &self.calls[&caller].reply {
             Some(Reply::Answer(answer)) => Some(Arc::clone(answer)),
@@ -588,7 +632,8 @@
         }
     }
 
-    /// Runs until the caller has its answer.
+    /// Runs until the caller has its answer, for at most 60 s, and returns the
+    /// answer.
     pub fn await_answer(&mut self, caller: CallerId) -> Arc<Answer> {
         let is_answered = self.run_until(60_000, |session| session.answer(caller).is_some());
         assert!(is_answered, "no answer within a minute");
@@ -597,6 +642,8 @@
 
     // Operators.
 
+    /// Confirms the first change, which creates the service and the team, and
+    /// waits for the reply.
     pub fn configure(&mut self) {
         let service = ServiceConfig {
             preference: self.preference,
@@ -629,7 +676,7 @@
         assert!(is_replied, "the first change was not confirmed");
     }
 
-    /// Confirms a change of a team's weight.
+    /// Confirms a change of the team's weight without waiting for the reply.
     pub fn confirm(
         &mut self,
         entry: NodeId,
@@ -654,7 +701,7 @@
         self.command(entry, Command::Confirm { change })
     }
 
-    // What can be seen.
+    // Observations and checks.
 
     pub fn agent(&self, node: NodeId) -> &Agent {
         match &self.processes[&node].core {
@@ -677,7 +724,7 @@
         }
     }
 
-    /// Version of the configuration at each process that runs.
+    /// Returns the configuration version of each process that is up.
     pub fn versions(&self) -> Vec<u64> {
         let running = self
             .processes
@@ -690,6 +737,7 @@
         running.map(version).collect()
     }
 
+    /// Returns the agents that are up.
     pub fn agents(&self) -> Vec<NodeId> {
         let is_agent = |process: &Process| matches!(process.core, Core::Agent(..));
         let up = self
@@ -699,7 +747,7 @@
         up.map(|(node, _)| *node).collect()
     }
 
-    /// The homes of the service as an entry sees them.
+    /// Returns the homes of the service in the view of an entry.
     pub fn homes(&self, entry: NodeId) -> Vec<NodeId> {
         let homes = match self.preference {
             Preference::ResponseTime => 3,
@@ -708,6 +756,7 @@
         self.entry(entry).view().homes(SERVICE, homes)
     }
 
+    /// Returns the state of `node` in the view of the process `seen_by`.
     pub fn state_of(&self, seen_by: NodeId, node: NodeId) -> Option<MemberState> {
         match &self.processes[&seen_by].core {
             Core::Agent(agent, _) => agent.view().state(node),
@@ -715,15 +764,17 @@
         }
     }
 
+    /// Returns the number of messages of a kind that were sent.
     pub fn sent(&self, kind: &str) -> u64 {
         self.sent.get(kind).copied().unwrap_or(0)
     }
 
+    /// Returns the count of the counter with this debug text.
     pub fn counter(&self, name: &str) -> u64 {
         self.counters.get(name).copied().unwrap_or(0)
     }
 
-    /// Starts of a submission's tasks, over all attempts.
+    /// Returns the number of starts of a submission's tasks, over all attempts.
     pub fn starts_of(&self, id: SubmissionId) -> u32 {
         self.starts
             .iter()
@@ -732,7 +783,8 @@
             .sum()
     }
 
-    /// The session so far, without membership messages.
+    /// Returns the transcript, which leaves out control messages such as those
+    /// of the failure detector.
     pub fn transcript(&self) -> String {
         self.transcript.join("\n")
     }
@@ -741,7 +793,10 @@
         self.transcript.clear();
     }
 
-    /// Checks what must hold of an answer that was given.
+    /// Checks that an answer is consistent with the submission and with the
+    /// starts of its tasks: a complete answer has the output of each task, an
+    /// answer that says that nothing ran has no starts, and no task of a
+    /// submission that is not repeatable was started more than once.
     pub fn check_answer(&self, id: SubmissionId, submission: &Submission, answer: &Answer) {
         self.check_starts(id, submission);
         match (answer.outcome, answer.ran) {
@@ -770,7 +825,8 @@
         }
     }
 
-    /// Checks that no task that may run once was started more often.
+    /// Checks that each task of a submission that is not repeatable was started
+    /// at most once.
     pub fn check_starts(&self, id: SubmissionId, submission: &Submission) {
         if submission.repeatable {
             return;
@@ -802,6 +858,7 @@
             .map(|process| &mut process.core)
     }
 
+    /// Adds a line with the time and the name of the process to the transcript.
     fn record_line(&mut self, node: NodeId, text: impl std::fmt::Display) {
         let name = self.processes[&node].name.clone();
         let since_ms = self.now_ms - 1_000_000;
@@ -816,7 +873,8 @@
     }
 }
 
-/// A job of tasks with these run times in milliseconds.
+/// Returns a job of one task for each run time in milliseconds. The job is not
+/// repeatable.
 pub fn job(run_ms: &[u32]) -> Submission {
     Submission {
         service: Name::from(SERVICE),
@@ -826,7 +884,7 @@
     }
 }
 
-/// A single request.
+/// Returns a submission of one task with this run time in milliseconds.
 pub fn request(run_ms: u32, repeatable: bool) -> Submission {
     Submission {
         repeatable,
@@ -834,6 +892,7 @@
     }
 }
 
+/// Returns a task that declares its run time in milliseconds.
 pub fn task(run_ms: u32) -> Task {
     Task {
         kind: Name::from("label"),
@@ -852,6 +911,7 @@
     }
 }
 
+/// Returns the address of the process with this number, which is its port.
 pub fn address(number: u64) -> SocketAddr {
     SocketAddr::new(
         Ipv4Addr::new(10, 0, 0, 1).into(),
@@ -886,6 +946,7 @@
     }
 }
 
+/// Returns the line of the transcript for a reply.
 fn describe_reply(reply: &Reply) -> String {
     match reply {
         Reply::Answer(answer) => {
