--- a/crates/core/tests/at_most_once.rs
+++ b/crates/core/tests/at_most_once.rs
@@ -85,7 +85,7 @@
         (Ran::Unknown, Reason::HomeLost)
     );
     let waited_ms = session.now_ms - killed_at_ms;
-    assert!(waited_ms < 4_000, "told after {waited_ms} ms");
+    assert!(waited_ms < 4_000, "the answer arrived after {waited_ms} ms");
     assert!(!session.homes(ENTRY).contains(&home));
     let resubmission = session.submit(ENTRY, id, &submission);
     assert_eq!(session.await_answer(resubmission).ran, Ran::Unknown);
@@ -123,7 +123,7 @@
     let is_seen_as_alive = session.run_until(15_000, |s| {
         s.state_of(ENTRY, home) == Some(MemberState::Alive)
     });
-    assert!(is_seen_as_alive, "a resumed home is not seen again");
+    assert!(is_seen_as_alive, "the resumed home is not seen as alive");
     let resubmission = session.submit(OTHER_ENTRY, id, &submission);
     let answer = session.await_answer(resubmission);
     session.check_answer(id, &submission, &answer);
@@ -171,7 +171,7 @@
             Some(MemberState::Left {
                 successor: Some(node),
             }) => node,
-            other => panic!("{table_owner} did not hand over: {other:?}"),
+            other => panic!("{table_owner} did not hand its table over: {other:?}"),
         };
     }
     let resubmission = session.submit(ENTRY, id, &submission);
@@ -191,7 +191,7 @@
     let victim = agents
         .iter()
         .find(|n| **n != home && session.agent(**n).busy_slots() > 0);
-    session.kill(*victim.expect("a task runs away from home"));
+    session.kill(*victim.expect("a task runs on an agent other than the home"));
     let answer = session.await_answer(caller);
     assert_eq!(
         (answer.outcome, answer.reason),
@@ -221,7 +221,7 @@
         .agents()
         .into_iter()
         .find(|n| *n != home && session.agent(*n).busy_slots() > 0);
-    session.kill(victim.expect("a task runs away from home"));
+    session.kill(victim.expect("a task runs on an agent other than the home"));
     for caller in calls {
         assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
     }
@@ -260,7 +260,7 @@
         .agents()
         .into_iter()
         .find(|n| *n != home && session.agent(*n).busy_slots() > 0);
-    let victim = victim.expect("a task runs away from home");
+    let victim = victim.expect("a task runs on an agent other than the home");
     session.kill(victim);
     session.restart_agent(victim);
     let answer = session.await_answer(caller);
@@ -370,7 +370,8 @@
             break;
         }
     }
-    let (id, submission, caller) = refused.expect("a queue is full");
+    let (id, submission, caller) =
+        refused.expect("one submission is refused because a queue is full");
     let answer = session.await_answer(caller);
     assert_eq!(answer.ran, Ran::NotRun);
     session.run_for(60_000);
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -151,7 +151,7 @@
         .iter()
         .filter(|record| is_change(record, "weights"))
         .count();
-    assert_eq!(appended, 1, "the change was written twice");
+    assert_eq!(appended, 1, "the change was not appended exactly once");
     assert!(session.versions().iter().all(|v| *v == 2));
 }
 
@@ -192,7 +192,7 @@
     session.run_for(3_600_000);
     assert!(
         session.versions().iter().all(|v| *v == 1),
-        "reverted during the outage"
+        "the configuration was reverted during the outage"
     );
     session.log.fault = LogFault::None;
     let repeated = session.confirm(ENTRY, "weights", 1, 7);
@@ -410,10 +410,10 @@
                 }
             }
             let current = readers[reader].current();
-            assert!(current.version >= before, "went back");
-            assert!(current.version <= newest, "took a change that lost");
+            assert!(current.version >= before, "the version decreased");
+            assert!(current.version <= newest, "a refused change was applied");
             let first_seen = configurations.entry(current.version).or_insert_with(|| current.clone());
-            assert_eq!(first_seen, current, "two contents of one version");
+            assert_eq!(first_seen, current, "two configurations have the same version");
         }
         let last = changes.last().map(|change| change.change_id.clone()).unwrap();
         let outcome = readers[0].outcome(&last);
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -76,9 +76,7 @@
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &submission);
     session.run_for(10);
-    let answer = session
-        .answer(caller)
-        .expect("the refusal is not held back");
+    let answer = session.answer(caller).expect("the refusal is immediate");
     assert_eq!((answer.ran, answer.reason), (Ran::NotRun, reason));
     assert_eq!(answer.retry_after_ms.is_some(), is_retryable);
     session.run_for(5_000);
@@ -129,7 +127,12 @@
         (answer.ran, answer.reason),
         (Ran::NotRun, Reason::DeadlineUnreachable)
     );
-    assert!(answer.retry_after_ms.expect("the queue gets shorter") > 1_000);
+    assert!(
+        answer
+            .retry_after_ms
+            .expect("the refusal has a retry-after time, because the queue shrinks")
+            > 1_000
+    );
 }
 
 #[test]
@@ -140,7 +143,9 @@
     let id = session.take_id(ENTRY);
     let caller = session.submit_within(ENTRY, id, &slow, 1_000);
     session.run_for(1_020);
-    let answer = session.answer(caller).expect("not later than the deadline");
+    let answer = session
+        .answer(caller)
+        .expect("the answer arrives at the deadline");
     assert_eq!(
         (answer.ran, answer.reason),
         (Ran::Unknown, Reason::DeadlinePassed)
@@ -246,7 +251,7 @@
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
     assert!(
         session.now_ms - started_at_ms < 300,
-        "the other team waited"
+        "the job of the other team waited"
     );
 }
 
@@ -316,7 +321,7 @@
     assert!(session.counter("MinionEjected") > 0);
     assert!(
         failed_before_recovery < 40,
-        "{failed_before_recovery} of 200 failed: it looked idle"
+        "{failed_before_recovery} of 200 requests failed: the failing minion counted as idle"
     );
     session.minion_mut(victim).fails_all = false;
     session.run_for(31_000);
@@ -329,7 +334,7 @@
     assert!(session.starts.len() > started_tasks);
     assert!(
         session.agent(victim).busy_slots() > 0,
-        "the minion did not come back"
+        "no task runs on the recovered minion"
     );
 }
 
@@ -351,7 +356,10 @@
         .iter()
         .filter(|caller| session.answer(**caller).unwrap().outcome == Outcome::Failed)
         .count();
-    assert!(failed < 60, "{failed} of 300 went to the minion that fails");
+    assert!(
+        failed < 60,
+        "{failed} of 300 requests ran on the failing minion"
+    );
 }
 
 #[test]
@@ -424,7 +432,7 @@
             .tasks
             .iter()
             .all(|task| !task.output.starts_with("done")),
-        "a partial answer"
+        "the answer of a failed job contains outputs"
     );
     session.run_for(1_000);
     session.check_answer(id, &submission, &answer);
@@ -450,7 +458,10 @@
     session.run_for(50);
     for caller in calls {
         assert_eq!(
-            session.answer(caller).expect("at once").reason,
+            session
+                .answer(caller)
+                .expect("the cancellation is answered at once")
+                .reason,
             Reason::Cancelled
         );
     }
@@ -467,7 +478,7 @@
         .iter()
         .map(|n| session.agent(*n).busy_slots())
         .sum();
-    assert_eq!(busy, 0, "cancelled tasks hold their slots");
+    assert_eq!(busy, 0, "cancelled tasks still occupy slots");
     let id = session.take_id(ENTRY);
     let caller = session.submit(ENTRY, id, &request(50, false));
     let started_at_ms = session.now_ms;
@@ -504,7 +515,7 @@
         .iter()
         .filter(|(_, caller)| session.answer(*caller).unwrap().outcome == Outcome::Complete)
         .count();
-    assert!(complete > 600, "only {complete} were served meanwhile");
+    assert!(complete > 600, "only {complete} submissions completed");
     for (id, caller) in &calls {
         session.check_answer(*id, &request(50, false), &session.answer(*caller).unwrap());
     }
@@ -512,7 +523,10 @@
     let caller = session.submit(ENTRY, id, &request(50, false));
     let started_at_ms = session.now_ms;
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
-    assert!(session.now_ms - started_at_ms < 100, "no recovery");
+    assert!(
+        session.now_ms - started_at_ms < 100,
+        "the request after the burst was delayed"
+    );
 }
 
 #[test]
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -35,7 +35,7 @@
     let is_seen = session.run_until(limit_ms, |s| is_seen_by_all(s, node, state));
     assert!(
         is_seen,
-        "{node} is not {state:?} to all after {limit_ms} ms"
+        "not all processes see {node} as {state:?} after {limit_ms} ms"
     );
 }
 
@@ -146,7 +146,10 @@
         all.iter()
             .all(|node| is_seen_by_all(s, *node, MemberState::Alive))
     });
-    assert!(is_rejoined, "the two sides do not find each other again");
+    assert!(
+        is_rejoined,
+        "the two sides of the cut do not see each other again"
+    );
     let id = session.take_id(ENTRY);
     let submission = job(&[100; 30]);
     let caller = session.submit(ENTRY, id, &submission);
@@ -174,7 +177,7 @@
     session.run_for(200);
     assert!(
         session.agent(node).busy_slots() <= before,
-        "work reached a leaving agent"
+        "tasks were started on a leaving agent"
     );
 }
 
@@ -277,7 +280,7 @@
                 session.transcript()
             );
         }
-        assert!(is_ready, "a new entry does not find the agents");
+        assert!(is_ready, "the new entry did not become ready");
         session.run_for(50);
         let id = session.take_id(entry);
         let caller = session.submit(entry, id, &submission);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -43,7 +43,7 @@
     let messages_per_task = credit_messages_per_task(Preference::Messages, 80);
     assert!(
         messages_per_task <= 0.02,
-        "{messages_per_task} further messages a task"
+        "{messages_per_task} credit messages per task"
     );
 }
 
@@ -118,7 +118,11 @@
         session.submit_within(ENTRY, short, &request(50, false), 100_000);
         session.run_for(10);
     }
-    assert_eq!(session.starts_of(id), 1, "passed over for 12 s");
+    assert_eq!(
+        session.starts_of(id),
+        1,
+        "the long submission did not start within 12 s"
+    );
 }
 
 #[test]
@@ -133,7 +137,7 @@
     assert_eq!(session.await_answer(caller).outcome, Outcome::Complete);
     assert!(
         session.now_ms - started_at_ms < 700,
-        "20 slots of 5 agents were not free"
+        "the 20 slots of 5 agents were not all available"
     );
 }
 
@@ -151,7 +155,7 @@
         let duration_ms = session.now_ms - started_at_ms;
         assert!(
             duration_ms < 100,
-            "{duration_ms} ms after {idle_ms} ms of idling"
+            "the job took {duration_ms} ms after {idle_ms} ms without tasks"
         );
     }
 }
@@ -288,9 +292,12 @@
     assert!(!health.allows(1_000, agent));
     assert!(
         health.failed(1_000, agent, 9),
-        "a failed trial ejects again"
+        "a failed trial ejects the minion again"
+    );
+    assert!(
+        !health.allows(2_500, agent),
+        "the second ejection lasts longer than the first"
     );
-    assert!(!health.allows(2_500, agent), "for longer than before");
     assert!(health.allows(3_000, agent));
     health.started(agent);
     health.succeeded(agent);
--- a/crates/core/tests/session/fakes.rs
+++ b/crates/core/tests/session/fakes.rs
@@ -106,7 +106,7 @@
         if self.fails_all {
             return FakeRun {
                 run_ms: 1,
-                result: TaskResult::Failed(Name::from("out of order")),
+                result: TaskResult::Failed(Name::from("the minion fails all tasks")),
             };
         }
         let payload = &start.task.payload;
@@ -117,7 +117,7 @@
         if payload.contains("fail") {
             return FakeRun {
                 run_ms,
-                result: TaskResult::Failed(Name::from("failed as asked")),
+                result: TaskResult::Failed(Name::from("the payload asks for a failure")),
             };
         }
         let output = format!("done {}", start.task_id);
--- a/crates/core/tests/session/mod.rs
+++ b/crates/core/tests/session/mod.rs
@@ -309,7 +309,7 @@
             if due.at_ms > end_ms {
                 break;
             }
-            let (due, delivery) = self.events.pop_first().expect("just seen");
+            let (due, delivery) = self.events.pop_first().expect("the first event exists");
             self.now_ms = due.at_ms;
             self.deliver(delivery);
         }
@@ -347,7 +347,10 @@
         if matches!(delivery.event, Event::Tick) {
             self.push(delivery.to, TICK_MS, Event::Tick);
         }
-        let process = self.processes.get_mut(&delivery.to).expect("just seen");
+        let process = self
+            .processes
+            .get_mut(&delivery.to)
+            .expect("the process exists");
         let actions = match (&mut process.core, delivery.event) {
             (Core::Agent(agent, _), Event::Message(envelope)) => agent.message(now_ms, envelope),
             (Core::Agent(agent, _), Event::PeerDown(addr)) => agent.peer_down(now_ms, addr),
@@ -386,7 +389,7 @@
                     let call = self
                         .calls
                         .get_mut(&caller)
-                        .expect("only callers get replies");
+                        .expect("the reply is for a known caller");
                     assert!(call.reply.is_none(), "a caller got two replies");
                     call.reply = Some(reply);
                     call.replied_at_ms = self.now_ms;
@@ -569,7 +572,7 @@
         );
         let now_ms = self.now_ms;
         let Some(Core::Entry(core)) = self.core_mut(entry) else {
-            panic!("{entry} is no entry");
+            panic!("{entry} is not an entry");
         };
         let actions = core.command(now_ms, caller, command);
         self.perform(entry, actions);
@@ -588,7 +591,7 @@
         let caller = self.command(entry, command);
         match self.calls[&caller].reply.clone() {
             Some(Reply::Ids(ids)) => ids,
-            other => panic!("no ids: {other:?}"),
+            other => panic!("expected ids, got {other:?}"),
         }
     }
 
@@ -597,7 +600,7 @@
         let ids = self.take_ids(entry, 100);
         ids.into_iter()
             .find(|id| id.home == home)
-            .expect("the home is among the homes")
+            .expect("one of 100 ids names the home")
     }
 
     /// Submits with a deadline of 10 s.
@@ -637,7 +640,7 @@
     pub fn await_answer(&mut self, caller: CallerId) -> Arc<Answer> {
         let is_answered = self.run_until(60_000, |session| session.answer(caller).is_some());
         assert!(is_answered, "no answer within a minute");
-        self.answer(caller).expect("just seen")
+        self.answer(caller).expect("the answer has arrived")
     }
 
     // Operators.
@@ -706,21 +709,21 @@
     pub fn agent(&self, node: NodeId) -> &Agent {
         match &self.processes[&node].core {
             Core::Agent(agent, _) => agent,
-            Core::Entry(_) => panic!("{node} is no agent"),
+            Core::Entry(_) => panic!("{node} is not an agent"),
         }
     }
 
     pub fn entry(&self, node: NodeId) -> &Entry {
         match &self.processes[&node].core {
             Core::Entry(entry) => entry,
-            Core::Agent(..) => panic!("{node} is no entry"),
+            Core::Agent(..) => panic!("{node} is not an entry"),
         }
     }
 
     pub fn minion_mut(&mut self, node: NodeId) -> &mut FakeMinion {
         match self.core_mut(node) {
             Some(Core::Agent(_, minion)) => minion,
-            _ => panic!("{node} is no agent"),
+            _ => panic!("{node} is not an agent"),
         }
     }
 
@@ -804,13 +807,13 @@
                 assert_eq!(
                     answer.tasks.len(),
                     submission.tasks.len(),
-                    "a partial answer"
+                    "a complete answer has one result for each task"
                 );
                 for (index, task) in (0..).zip(&answer.tasks) {
                     assert_eq!(
                         *task.output,
                         *format!("done {id}/{index}"),
-                        "a crossed answer"
+                        "the output belongs to another task"
                     );
                 }
             }
@@ -818,7 +821,7 @@
                 assert_eq!(
                     self.starts_of(id),
                     0,
-                    "said not to have run, but did: {answer:?}"
+                    "the answer says that nothing ran, but tasks were started: {answer:?}"
                 );
             }
             (Outcome::Failed, _) => {}
@@ -915,7 +918,7 @@
 pub fn address(number: u64) -> SocketAddr {
     SocketAddr::new(
         Ipv4Addr::new(10, 0, 0, 1).into(),
-        u16::try_from(number).expect("small"),
+        u16::try_from(number).expect("the number fits a port"),
     )
 }
 
