--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,5 +1,6 @@
-//! An accepted change is in force everywhere and never reverts; of several
-//! changes on one version exactly one wins.
+//! Tests that an accepted change takes effect at all processes and is never
+//! reverted, and that exactly one of several changes on the same version is
+//! accepted.
 
 mod session;
 
@@ -25,21 +26,23 @@
 use proptest::proptest;
 use proptest::test_runner::RngAlgorithm;
 use proptest::test_runner::RngSeed;
-use session::Fate;
 use session::LogFault;
 use session::Session;
+use session::Transmission;
 use session::request;
 use yare::parameterized;
 
 const ENTRY: NodeId = NodeId(1);
 const OTHER_ENTRY: NodeId = NodeId(2);
 
-fn reply(session: &Session, caller: gannetvane_core::CallerId) -> Reply {
+/// Returns the reply to a caller, which must have arrived.
+fn reply_to(session: &Session, caller: gannetvane_core::CallerId) -> Reply {
     session.calls[&caller].reply.clone().expect("a reply")
 }
 
-fn reason(session: &Session, caller: gannetvane_core::CallerId) -> Option<(Ran, Reason)> {
-    match reply(session, caller) {
+/// Returns what ran and the reason, if the reply is an answer.
+fn ran_and_reason(session: &Session, caller: gannetvane_core::CallerId) -> Option<(Ran, Reason)> {
+    match reply_to(session, caller) {
         Reply::Answer(answer) => Some((answer.ran, answer.reason)),
         _ => None,
     }
@@ -52,37 +55,37 @@
     let is_everywhere = session.run_until(5_000, |s| s.versions().iter().all(|v| *v == 2));
     assert!(is_everywhere, "{:?}", session.versions());
     assert_eq!(
-        reply(&session, caller),
+        reply_to(&session, caller),
         Reply::ChangeAccepted { version: 2 }
     );
 }
 
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_is_told() {
+fn of_two_concurrent_changes_one_is_accepted_and_the_other_is_refused() {
     let mut session = Session::new(2, 6);
     let first = session.confirm(ENTRY, "ours", 1, 7);
     let second = session.confirm(OTHER_ENTRY, "theirs", 1, 9);
     session.run_for(5_000);
-    let replies = [reply(&session, first), reply(&session, second)];
+    let replies = [reply_to(&session, first), reply_to(&session, second)];
     let accepted = replies
         .iter()
         .filter(|r| **r == Reply::ChangeAccepted { version: 2 })
         .count();
     assert_eq!(accepted, 1, "{replies:?}");
-    let loser = if replies[0] == (Reply::ChangeAccepted { version: 2 }) {
+    let refused = if replies[0] == (Reply::ChangeAccepted { version: 2 }) {
         second
     } else {
         first
     };
     assert_eq!(
-        reason(&session, loser),
+        ran_and_reason(&session, refused),
         Some((Ran::NotRun, Reason::VersionConflict))
     );
     assert!(session.versions().iter().all(|v| *v == 2));
 }
 
 #[test]
-fn first_change_on_a_version_wins_in_the_log() {
+fn first_change_on_a_version_in_the_log_is_accepted() {
     let change = |id: &str, base_version, weight| Change {
         change_id: id.into(),
         base_version,
@@ -104,22 +107,22 @@
 }
 
 #[test]
-fn submission_right_after_a_change_is_decided_with_it() {
+fn submission_right_after_a_change_is_admitted_under_the_new_configuration() {
     let mut session = Session::empty();
     for number in 101..107 {
         session.add_agent(number);
     }
     session.add_entry(1);
     session.run_for(3_000);
-    // No process hears of the change but by asking for it.
+    // Announcements of the configuration are dropped until a process pulls it.
     let mut was_asked = false;
-    session.set_fate(move |envelope, _| match envelope.message {
+    session.set_transmission(move |envelope, _| match envelope.message {
         Message::ConfigurationPull => {
             was_asked = true;
-            Fate::Deliver
+            Transmission::Deliver
         }
-        Message::ConfigurationState(_) if !was_asked => Fate::Lose,
-        _ => Fate::Deliver,
+        Message::ConfigurationState(_) if !was_asked => Transmission::Drop,
+        _ => Transmission::Deliver,
     });
     session.configure();
     let id = session.take_id(ENTRY);
@@ -128,16 +131,19 @@
 }
 
 #[test]
-fn lost_answer_of_the_log_is_settled_by_reading() {
+fn lost_answer_to_an_append_is_resolved_by_reading_the_log() {
     let mut session = Session::new(1, 6);
     session.log.fault = LogFault::LoseAnswers;
     let first = session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(6_000);
     session.log.fault = LogFault::None;
-    let again = session.confirm(ENTRY, "weights", 1, 7);
+    let repeated = session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(6_000);
-    assert_eq!(reply(&session, again), Reply::ChangeAccepted { version: 2 });
-    let first = reason(&session, first);
+    assert_eq!(
+        reply_to(&session, repeated),
+        Reply::ChangeAccepted { version: 2 }
+    );
+    let first = ran_and_reason(&session, first);
     assert!(matches!(first, None | Some((Ran::Unknown, _))), "{first:?}");
     let appended = session
         .log
@@ -145,7 +151,7 @@
         .iter()
         .filter(|record| is_change(record, "weights"))
         .count();
-    assert_eq!(appended, 1, "the change was written twice");
+    assert_eq!(appended, 1, "the change was not appended exactly once");
     assert!(session.versions().iter().all(|v| *v == 2));
 }
 
@@ -156,11 +162,20 @@
     session.run_for(3_000);
     let other = session.confirm(OTHER_ENTRY, "others", 2, 8);
     session.run_for(3_000);
-    let again = session.confirm(OTHER_ENTRY, "weights", 1, 7);
+    let repeated = session.confirm(OTHER_ENTRY, "weights", 1, 7);
     session.run_for(3_000);
-    assert_eq!(reply(&session, first), Reply::ChangeAccepted { version: 2 });
-    assert_eq!(reply(&session, other), Reply::ChangeAccepted { version: 3 });
-    assert_eq!(reply(&session, again), Reply::ChangeAccepted { version: 3 });
+    assert_eq!(
+        reply_to(&session, first),
+        Reply::ChangeAccepted { version: 2 }
+    );
+    assert_eq!(
+        reply_to(&session, other),
+        Reply::ChangeAccepted { version: 3 }
+    );
+    assert_eq!(
+        reply_to(&session, repeated),
+        Reply::ChangeAccepted { version: 3 }
+    );
     assert!(session.versions().iter().all(|v| *v == 3));
 }
 
@@ -171,22 +186,25 @@
     let caller = session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(100);
     assert_eq!(
-        reason(&session, caller),
+        ran_and_reason(&session, caller),
         Some((Ran::Unknown, Reason::LogDown))
     );
     session.run_for(3_600_000);
     assert!(
         session.versions().iter().all(|v| *v == 1),
-        "reverted during the outage"
+        "the configuration was reverted during the outage"
     );
     session.log.fault = LogFault::None;
-    let again = session.confirm(ENTRY, "weights", 1, 7);
+    let repeated = session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(5_000);
-    assert_eq!(reply(&session, again), Reply::ChangeAccepted { version: 2 });
+    assert_eq!(
+        reply_to(&session, repeated),
+        Reply::ChangeAccepted { version: 2 }
+    );
 }
 
 #[test]
-fn slow_log_delays_but_does_not_mislead() {
+fn slow_log_accepts_at_most_one_of_two_concurrent_changes() {
     let mut session = Session::new(2, 6);
     session.log.fault = LogFault::Slow(1_500);
     let first = session.confirm(ENTRY, "ours", 1, 7);
@@ -194,7 +212,7 @@
     session.run_for(20_000);
     let accepted = [first, second]
         .iter()
-        .filter(|caller| matches!(reply(&session, **caller), Reply::ChangeAccepted { .. }))
+        .filter(|caller| matches!(reply_to(&session, **caller), Reply::ChangeAccepted { .. }))
         .count();
     assert!(accepted <= 1);
     assert!(
@@ -205,7 +223,7 @@
 }
 
 #[test]
-fn snapshot_is_written_before_the_log_forgets() {
+fn snapshot_is_written_before_the_log_drops_the_previous_one() {
     let mut session = Session::new(1, 6);
     session.run_for(3_600_000);
     let snapshots = session
@@ -214,8 +232,9 @@
         .iter()
         .filter(|r| matches!(r, LogRecord::Snapshot(_)));
     assert!(snapshots.count() >= 3, "the retention is an hour");
-    // Only the newest snapshot is left, and all processes are new.
-    session.log.forget(1);
+    // The log retains only its newest record, a snapshot, and all processes
+    // are replaced, so the configuration can only come from that snapshot.
+    session.log.retain_newest(1);
     for node in session.agents() {
         session.kill(node);
     }
@@ -229,7 +248,7 @@
 }
 
 #[test]
-fn process_started_during_an_outage_takes_the_configuration_from_others() {
+fn process_started_during_a_log_outage_gets_the_configuration_from_others() {
     let mut session = Session::new(1, 6);
     session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(3_000);
@@ -240,16 +259,16 @@
 }
 
 #[test]
-fn frozen_process_that_missed_a_forgotten_change_catches_up() {
+fn suspended_process_that_missed_a_dropped_change_catches_up() {
     let mut session = Session::new(2, 6);
-    let frozen = NodeId(103);
-    session.freeze(frozen);
+    let suspended = NodeId(103);
+    session.suspend(suspended);
     session.confirm(ENTRY, "weights", 1, 7);
     session.run_for(3_000);
-    session.log.forget(0);
+    session.log.retain_newest(0);
     session.confirm(ENTRY, "others", 2, 8);
     session.run_for(3_000);
-    session.resume(frozen);
+    session.resume(suspended);
     let is_current = session.run_until(60_000, |s| s.versions().iter().all(|v| *v == 3));
     assert!(is_current, "{:?}", session.versions());
 }
@@ -299,7 +318,10 @@
         "team \"desk\": does not exist, so it cannot be removed"
     },
 )]
-fn intent_that_cannot_be_planned_is_explained(operations: Vec<Operation>, expected: &str) {
+fn operations_that_cannot_be_planned_are_refused_with_a_reason(
+    operations: Vec<Operation>,
+    expected: &str,
+) {
     let store = ConfigurationStore::default();
     let error: PlanError = store.plan("change-1".into(), operations).unwrap_err();
     assert_eq!(error.to_string(), expected);
@@ -319,13 +341,16 @@
     insta::assert_snapshot!(plan.effects.join("\n"));
 }
 
-/// The log as a reader with no gap understands it.
-fn reference(changes: &[Change]) -> u64 {
+/// Returns the configuration version of a reader that has read all changes in
+/// order.
+fn reference_version(changes: &[Change]) -> u64 {
     let mut store = ConfigurationStore::default();
     store.read(0, page(changes, 0, changes.len()));
     store.current().version
 }
 
+/// Returns the page of the log with the changes from `from` up to, but not
+/// including, `to`.
 fn page(changes: &[Change], from: usize, to: usize) -> LogPage {
     let records = (from..to).map(|offset| LoggedRecord {
         offset: offset as u64,
@@ -348,9 +373,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Readers that read different parts in different steps, skip what the log
-    /// forgot and take snapshots from each other never disagree at a version,
-    /// and never go back.
+    /// Two readers read the log in different steps, skip records that the log
+    /// dropped and adopt snapshots from each other. They never have different
+    /// configurations with the same version, and their version never decreases.
     #[test]
     fn readers_never_disagree(bases in proptest::collection::vec(0u64..12, 1..40), steps in any::<[u8; 24]>()) {
         let changes: Vec<Change> = (0..)
@@ -361,13 +386,13 @@
                 operations: vec![put_team("desk", index + 1)],
             })
             .collect();
-        let newest = reference(&changes);
+        let newest = reference_version(&changes);
         let mut readers = [ConfigurationStore::default(), ConfigurationStore::default()];
-        let mut seen: std::collections::BTreeMap<u64, gannetvane_wire::Configuration> =
+        let mut configurations: std::collections::BTreeMap<u64, gannetvane_wire::Configuration> =
             std::collections::BTreeMap::new();
         for step in steps {
             let reader = usize::from(step & 1);
-            let amount = usize::from(step >> 3 & 7);
+            let record_count = usize::from(step >> 3 & 7);
             let before = readers[reader].current().version;
             match step >> 6 {
                 0 => {
@@ -375,20 +400,20 @@
                     readers[reader].adopt(&other);
                 }
                 1 => {
-                    // The log forgot a part that this reader had not read.
-                    let from = (readers[reader].next_offset() as usize + amount).min(changes.len());
-                    readers[reader].read(0, page(&changes, from, changes.len().min(from + amount)));
+                    // The log dropped records that this reader had not read.
+                    let from = (readers[reader].next_offset() as usize + record_count).min(changes.len());
+                    readers[reader].read(0, page(&changes, from, changes.len().min(from + record_count)));
                 }
                 _ => {
                     let from = (readers[reader].next_offset() as usize).min(changes.len());
-                    readers[reader].read(0, page(&changes, from, changes.len().min(from + amount)));
+                    readers[reader].read(0, page(&changes, from, changes.len().min(from + record_count)));
                 }
             }
             let current = readers[reader].current();
-            assert!(current.version >= before, "went back");
-            assert!(current.version <= newest, "took a change that lost");
-            let known = seen.entry(current.version).or_insert_with(|| current.clone());
-            assert_eq!(known, current, "two contents of one version");
+            assert!(current.version >= before, "the version decreased");
+            assert!(current.version <= newest, "a refused change was applied");
+            let first_seen = configurations.entry(current.version).or_insert_with(|| current.clone());
+            assert_eq!(first_seen, current, "two configurations have the same version");
         }
         let last = changes.last().map(|change| change.change_id.clone()).unwrap();
         let outcome = readers[0].outcome(&last);
--- a/crates/core/tests/session/mod.rs
+++ b/crates/core/tests/session/mod.rs
@@ -1,5 +1,5 @@
-//! Whole sessions of several cores on a clock that the test advances: a queue
-//! of messages, a fake log and fake minions, and nothing else.
+//! Runs several agents and entries in one thread on a simulated clock, with a
+//! simulated network, a fake log and fake minions.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -51,33 +51,47 @@
 #[allow(unused_imports, reason = "some test files leave the log alone")]
 pub use fakes::LogFault;
 
-/// One-way delay of messages in milliseconds.
+/// One-way network delay in milliseconds.
 const DELAY_MS: u64 = 1;
+/// Interval in milliseconds between the ticks of a core.
 const TICK_MS: u64 = 10;
+/// Availability zones. The id of an agent modulo 3 selects its zone.
 const ZONES: [&str; 3] = ["selfoss", "hella", "thorlak"];
+/// The service that all agents serve.
 pub const SERVICE: &str = "bretti-desk";
+/// The team that submits the tasks.
 pub const TEAM: &str = "desk";
-/// Generations that the agents keep.
+/// Number of generations of submission ids that the agents retain.
 pub const KEPT_GENERATIONS: u32 = 4;
 
-/// What happens to a message on its way.
+/// How the simulated network treats one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Transmission {
+    /// Delivers the message after the normal delay.
     Deliver,
-    Lose,
-    Twice,
-    Late(u64),
+    /// Drops the message without notifying the sender.
+    Drop,
+    /// Delivers the message after the normal delay and again after 40 times
+    /// that delay.
+    Duplicate,
+    /// Delivers the message after this many milliseconds.
+    Delay(u64),
 }
 
-/// Whether a process runs.
+/// The state of a simulated process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Running {
+pub enum ProcessState {
+    /// The process handles events.
     Up,
-    Frozen,
+    /// The process handles no events until it resumes.
+    Suspended,
+    /// The process has stopped or was killed.
     Down,
 }
 
-type FateOf = Box<dyn FnMut(&Envelope, u64) -> Fate>;
+/// Chooses the transmission of a message from its envelope and the number of
+/// events queued so far in the session.
+type TransmissionRule = Box<dyn FnMut(&Envelope, u64) -> Transmission>;
 
 enum Core {
     Agent(Box<Agent>, FakeMinion),
@@ -88,9 +102,9 @@
     name: String,
     addr: SocketAddr,
     core: Core,
-    running: Running,
-    /// Events that reached it while it was frozen.
-    missed: Vec<Event>,
+    state: ProcessState,
+    /// Events other than ticks that arrived while the process was suspended.
+    missed_events: Vec<Event>,
 }
 
 #[derive(Clone, Debug)]
@@ -104,54 +118,67 @@
     Tick,
 }
 
+/// Time of a delivery. Deliveries at the same time keep the order in which they
+/// were queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at_ms: u64,
     sequence: u64,
 }
 
+/// An event for one process.
 #[derive(Debug)]
 struct Delivery {
     to: NodeId,
     event: Event,
 }
 
-/// A caller's request and its reply, if any.
+/// The reply to one caller and the time at which it arrived.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub reply: Option<Reply>,
     pub replied_at_ms: u64,
 }
 
-/// Several processes and what goes on between them.
+/// The simulated processes, their network, the log and the callers.
 pub struct Session {
+    /// Current simulated time in milliseconds.
     pub now_ms: u64,
     pub log: FakeLog,
     pub calls: BTreeMap<CallerId, Call>,
+    /// Counts of the events that the cores count, by the debug text of the
+    /// counter.
     pub counters: BTreeMap<String, u64>,
-    /// Messages sent, by kind.
+    /// Number of messages sent, by kind.
     pub sent: BTreeMap<&'static str, u64>,
-    /// Starts of each task on any minion.
+    /// Number of starts of each task, summed over all minions.
     pub starts: BTreeMap<TaskId, u32>,
+    /// One line for each message other than control messages, and for each start
+    /// and stop of a task, reply, log notice and stop of a process.
     transcript: Vec<String>,
     processes: BTreeMap<NodeId, Process>,
-    queue: BTreeMap<Due, Delivery>,
+    events: BTreeMap<Due, Delivery>,
     sequence: u64,
-    fate_of: FateOf,
+    transmission_rule: TransmissionRule,
+    /// Directed pairs of sender and receiver whose messages are dropped.
     cuts: Vec<(NodeId, NodeId)>,
+    /// Number of the next restarted agent.
     next_node: u64,
     preference: Preference,
-    /// Bounds of the service and team that are configured.
+    /// Queue limit of the configured service in tasks. The limit of the team is
+    /// three quarters of it.
     pub max_queued_tasks: u32,
 }
 
 impl Session {
-    /// Processes that are in touch, with one service configured: `entries`
-    /// are nodes 1 and up, agents are nodes 101 and up.
+    /// Creates a session with one configured service and lets the processes
+    /// connect to each other. Entries are nodes 1 and up, agents are nodes 101
+    /// and up.
     pub fn new(entries: u64, agents: u64) -> Self {
         Self::with_preference(entries, agents, Preference::ResponseTime)
     }
 
+    /// Creates a session like [`Self::new`] whose service has this preference.
     pub fn with_preference(entries: u64, agents: u64, preference: Preference) -> Self {
         let mut session = Self::empty();
         session.preference = preference;
@@ -170,7 +197,7 @@
         session
     }
 
-    /// No process yet.
+    /// Creates a session without processes.
     pub fn empty() -> Self {
         Self {
             now_ms: 1_000_000,
@@ -181,9 +208,9 @@
             starts: BTreeMap::new(),
             transcript: Vec::new(),
             processes: BTreeMap::new(),
-            queue: BTreeMap::new(),
+            events: BTreeMap::new(),
             sequence: 0,
-            fate_of: Box::new(|_, _| Fate::Deliver),
+            transmission_rule: Box::new(|_, _| Transmission::Deliver),
             cuts: Vec::new(),
             next_node: 1_000,
             preference: Preference::ResponseTime,
@@ -195,10 +222,13 @@
         self.preference = preference;
     }
 
-    /// Decides the fate of each message from now on; the second argument
-    /// counts the messages.
-    pub fn set_fate(&mut self, fate_of: impl FnMut(&Envelope, u64) -> Fate + 'static) {
-        self.fate_of = Box::new(fate_of);
+    /// Sets the rule for the transmission of each message from now on. Its
+    /// second argument is the number of events queued so far in the session.
+    pub fn set_transmission(
+        &mut self,
+        transmission_rule: impl FnMut(&Envelope, u64) -> Transmission + 'static,
+    ) {
+        self.transmission_rule = Box::new(transmission_rule);
     }
 
     pub fn add_agent(&mut self, number: u64) -> NodeId {
@@ -236,7 +266,8 @@
         node
     }
 
-    /// A new run of an agent at the address of an old one.
+    /// Starts a new incarnation of an agent at the address and in the
+    /// availability zone of `old`; returns its node id.
     pub fn restart_agent(&mut self, old: NodeId) -> NodeId {
         let addr = self.processes[&old].addr;
         let zone = Name::from(ZONES[old.0 as usize % 3]);
@@ -253,13 +284,15 @@
             name,
             addr,
             core,
-            running: Running::Up,
-            missed: Vec::new(),
+            state: ProcessState::Up,
+            missed_events: Vec::new(),
         };
         self.processes.insert(node, process);
         self.push(node, 0, Event::Tick);
     }
 
+    /// Returns the addresses of up to three running agents as contacts for a
+    /// new process.
     fn addresses(&self) -> Vec<SocketAddr> {
         let agents = self.agents();
         agents
@@ -269,21 +302,22 @@
             .collect()
     }
 
-    /// Runs until the time has moved on by `by_ms`.
-    pub fn run_for(&mut self, by_ms: u64) {
-        let end_ms = self.now_ms + by_ms;
-        while let Some((due, _)) = self.queue.first_key_value() {
+    /// Handles all events of the next `duration_ms` milliseconds.
+    pub fn run_for(&mut self, duration_ms: u64) {
+        let end_ms = self.now_ms + duration_ms;
+        while let Some((due, _)) = self.events.first_key_value() {
             if due.at_ms > end_ms {
                 break;
             }
-            let (due, delivery) = self.queue.pop_first().expect("just seen");
+            let (due, delivery) = self.events.pop_first().expect("the first event exists");
             self.now_ms = due.at_ms;
             self.deliver(delivery);
         }
         self.now_ms = end_ms;
     }
 
-    /// Runs until `is_reached`, at most `limit_ms`; true when it was reached.
+    /// Runs until `is_reached` returns true, for at most `limit_ms`
+    /// milliseconds. Returns whether it did.
     pub fn run_until(&mut self, limit_ms: u64, is_reached: impl Fn(&Self) -> bool) -> bool {
         let end_ms = self.now_ms + limit_ms;
         while !is_reached(self) {
@@ -300,26 +334,29 @@
         let Some(process) = self.processes.get_mut(&delivery.to) else {
             return;
         };
-        match process.running {
-            Running::Down => return,
-            Running::Frozen => {
+        match process.state {
+            ProcessState::Down => return,
+            ProcessState::Suspended => {
                 if !matches!(delivery.event, Event::Tick) {
-                    process.missed.push(delivery.event);
+                    process.missed_events.push(delivery.event);
                 }
                 return;
             }
-            Running::Up => {}
+            ProcessState::Up => {}
         }
         if matches!(delivery.event, Event::Tick) {
             self.push(delivery.to, TICK_MS, Event::Tick);
         }
-        let process = self.processes.get_mut(&delivery.to).expect("just seen");
+        let process = self
+            .processes
+            .get_mut(&delivery.to)
+            .expect("the process exists");
         let actions = match (&mut process.core, delivery.event) {
             (Core::Agent(agent, _), Event::Message(envelope)) => agent.message(now_ms, envelope),
             (Core::Agent(agent, _), Event::PeerDown(addr)) => agent.peer_down(now_ms, addr),
             (Core::Agent(agent, _), Event::Undelivered(m)) => agent.undelivered(now_ms, m),
             (Core::Agent(agent, minion), Event::TaskEnded(credit, result)) => {
-                minion.ended(credit);
+                minion.remove_run(credit);
                 agent.task_ended(now_ms, credit, result)
             }
             (Core::Agent(agent, _), Event::LogPage(page)) => agent.log_page(now_ms, page),
@@ -331,16 +368,16 @@
             (Core::Entry(entry), Event::Tick) => entry.tick(now_ms),
             _ => Vec::new(),
         };
-        self.carry_out(delivery.to, actions);
+        self.perform(delivery.to, actions);
     }
 
-    fn carry_out(&mut self, node: NodeId, actions: Vec<Action>) {
+    fn perform(&mut self, node: NodeId, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(node, to, message),
                 Action::Run(start) => {
                     *self.starts.entry(start.task_id).or_default() += 1;
-                    self.note(node, format!("runs {}", self.short(start.task_id)));
+                    self.record_line(node, format!("runs {}", self.describe_task(start.task_id)));
                     if let Some(Core::Agent(_, minion)) = self.core_mut(node) {
                         let run = minion.run(&start);
                         self.push(node, run.run_ms, Event::TaskEnded(start.credit, run.result));
@@ -348,24 +385,25 @@
                 }
                 Action::StopTask(task_id) => self.stop_task(node, task_id),
                 Action::Reply { caller, reply } => {
-                    self.note(node, format!("replies {}", describe(&reply)));
+                    self.record_line(node, format!("replies {}", describe_reply(&reply)));
                     let call = self
                         .calls
                         .get_mut(&caller)
-                        .expect("only callers get replies");
+                        .expect("the reply is for a known caller");
                     assert!(call.reply.is_none(), "a caller got two replies");
                     call.reply = Some(reply);
                     call.replied_at_ms = self.now_ms;
                 }
                 Action::Append(record) => {
-                    let answer_ms = self.log.append(record);
-                    if answer_ms.is_none() {
+                    let appended = self.log.append(record);
+                    if appended.is_none() {
                         self.push(node, DELAY_MS, Event::LogFailed);
                     }
                 }
                 Action::ReadLog { from_offset } => match self.log.read_delay_ms() {
                     Some(delay_ms) => {
-                        // As the log was when it was asked.
+                        // The page has the contents of the log at the time of
+                        // the request.
                         let page = self.log.page(from_offset);
                         self.push(node, delay_ms, Event::LogPage(page));
                     }
@@ -373,10 +411,10 @@
                 },
                 Action::Count(counter) => self.count(counter),
                 Action::Log(notice) => {
-                    self.note(node, format!("{} {}", notice.event, notice.subject));
+                    self.record_line(node, format!("{} {}", notice.event, notice.subject));
                 }
                 Action::Stop => {
-                    self.note(node, "stops");
+                    self.record_line(node, "stops");
                     self.kill(node);
                 }
             }
@@ -387,24 +425,26 @@
         let kind = message.name();
         *self.sent.entry(kind).or_default() += 1;
         let from_addr = self.processes[&from].addr;
-        // The newest process at the address receives.
+        // A restarted process has the address of the earlier one. A process
+        // that is not down receives the message, the one with the highest id if
+        // there are several.
         let receiver = self
             .processes
             .iter()
             .filter(|(_, process)| process.addr == to.addr)
-            .max_by_key(|(node, process)| (process.running != Running::Down, node.0));
-        let Some((receiver, process)) = receiver.map(|(node, p)| (*node, p.running)) else {
+            .max_by_key(|(node, process)| (process.state != ProcessState::Down, node.0));
+        let Some((receiver, state)) = receiver.map(|(node, p)| (*node, p.state)) else {
             return;
         };
         let is_control = message.is_control();
         if !is_control {
             let text = format!("{kind} to {}", self.processes[&receiver].name);
-            self.note(from, text);
+            self.record_line(from, text);
         }
         if self.cuts.contains(&(from, receiver)) {
             return;
         }
-        if process == Running::Down {
+        if state == ProcessState::Down {
             if !is_control {
                 self.push(from, DELAY_MS, Event::Undelivered(message));
                 self.push(from, DELAY_MS, Event::PeerDown(to.addr));
@@ -417,15 +457,15 @@
             to: to.node,
             message,
         };
-        let fate = (self.fate_of)(&envelope, self.sequence);
-        match fate {
-            Fate::Deliver => self.push(receiver, DELAY_MS, Event::Message(envelope)),
-            Fate::Lose => {}
-            Fate::Twice => {
+        let transmission = (self.transmission_rule)(&envelope, self.sequence);
+        match transmission {
+            Transmission::Deliver => self.push(receiver, DELAY_MS, Event::Message(envelope)),
+            Transmission::Drop => {}
+            Transmission::Duplicate => {
                 self.push(receiver, DELAY_MS, Event::Message(envelope.clone()));
                 self.push(receiver, 40 * DELAY_MS, Event::Message(envelope));
             }
-            Fate::Late(by_ms) => self.push(receiver, by_ms, Event::Message(envelope)),
+            Transmission::Delay(by_ms) => self.push(receiver, by_ms, Event::Message(envelope)),
         }
     }
 
@@ -435,7 +475,7 @@
             at_ms: self.now_ms + after_ms,
             sequence: self.sequence,
         };
-        self.queue.insert(due, Delivery { to, event });
+        self.events.insert(due, Delivery { to, event });
     }
 
     fn count(&mut self, counter: Counter) {
@@ -443,7 +483,7 @@
     }
 
     fn stop_task(&mut self, node: NodeId, task_id: TaskId) {
-        self.note(node, format!("stops {}", self.short(task_id)));
+        self.record_line(node, format!("stops {}", self.describe_task(task_id)));
         let Some(Core::Agent(_, minion)) = self.core_mut(node) else {
             return;
         };
@@ -453,12 +493,13 @@
         }
     }
 
-    // Failures.
+    // Faults.
 
-    /// Ends a process at once; its connections break.
+    /// Stops a process without notice. All other processes are notified of the
+    /// broken connection after the network delay.
     pub fn kill(&mut self, node: NodeId) {
         let addr = self.processes[&node].addr;
-        self.set_running(node, Running::Down);
+        self.set_state(node, ProcessState::Down);
         let others: Vec<NodeId> = self
             .processes
             .keys()
@@ -470,50 +511,56 @@
         }
     }
 
-    pub fn freeze(&mut self, node: NodeId) {
-        self.set_running(node, Running::Frozen);
+    /// Suspends a process, which handles no events until it resumes.
+    pub fn suspend(&mut self, node: NodeId) {
+        self.set_state(node, ProcessState::Suspended);
     }
 
-    /// A frozen process goes on and finds all that reached it meanwhile.
+    /// Resumes a suspended process, which handles the events that arrived
+    /// during its suspension.
     pub fn resume(&mut self, node: NodeId) {
-        self.set_running(node, Running::Up);
-        let missed = std::mem::take(&mut self.process_mut(node).missed);
+        self.set_state(node, ProcessState::Up);
+        let missed_events = std::mem::take(&mut self.process_mut(node).missed_events);
         self.push(node, 0, Event::Tick);
-        for event in missed {
+        for event in missed_events {
             self.push(node, 0, event);
         }
     }
 
-    pub fn resume_if_frozen(&mut self, node: NodeId) {
-        if self.processes[&node].running == Running::Frozen {
+    pub fn resume_if_suspended(&mut self, node: NodeId) {
+        if self.processes[&node].state == ProcessState::Suspended {
             self.resume(node);
         }
     }
 
-    /// Loses all that `from` sends to `to`, without any sign.
+    /// Drops all messages from `from` to `to` without notifying either process.
     pub fn cut(&mut self, from: NodeId, to: NodeId) {
         self.cuts.push((from, to));
     }
 
+    /// Drops all messages between two processes in both directions.
     pub fn cut_both(&mut self, a: NodeId, b: NodeId) {
         self.cut(a, b);
         self.cut(b, a);
     }
 
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
+    /// Starts the planned stop of an agent.
     pub fn leave(&mut self, node: NodeId) {
         let now_ms = self.now_ms;
         if let Some(Core::Agent(agent, _)) = self.core_mut(node) {
             let actions = agent.leave(now_ms);
-            self.carry_out(node, actions);
+            self.perform(node, actions);
         }
     }
 
     // Callers.
 
+    /// Sends a command to an entry for a new caller.
     pub fn command(&mut self, entry: NodeId, command: Command) -> CallerId {
         let caller = CallerId(self.calls.len() as u64);
         self.calls.insert(
@@ -525,10 +572,10 @@
         );
         let now_ms = self.now_ms;
         let Some(Core::Entry(core)) = self.core_mut(entry) else {
-            panic!("{entry} is no entry");
+            panic!("{entry} is not an entry");
         };
         let actions = core.command(now_ms, caller, command);
-        self.carry_out(entry, actions);
+        self.perform(entry, actions);
         caller
     }
 
@@ -544,22 +591,24 @@
         let caller = self.command(entry, command);
         match self.calls[&caller].reply.clone() {
             Some(Reply::Ids(ids)) => ids,
-            other => panic!("no ids: {other:?}"),
+            other => panic!("expected ids, got {other:?}"),
         }
     }
 
-    /// An id of a certain home.
-    pub fn take_id_of(&mut self, entry: NodeId, home: NodeId) -> SubmissionId {
+    /// Returns an id that names `home`.
+    pub fn take_id_with_home(&mut self, entry: NodeId, home: NodeId) -> SubmissionId {
         let ids = self.take_ids(entry, 100);
         ids.into_iter()
             .find(|id| id.home == home)
-            .expect("the home is among the homes")
+            .expect("one of 100 ids names the home")
     }
 
+    /// Submits with a deadline of 10 s.
     pub fn submit(&mut self, entry: NodeId, id: SubmissionId, submission: &Submission) -> CallerId {
         self.submit_within(entry, id, submission, 10_000)
     }
 
+    /// Submits with a deadline `deadline_ms` milliseconds from now.
     pub fn submit_within(
         &mut self,
         entry: NodeId,
@@ -578,6 +627,7 @@
         )
     }
 
+    /// Returns the answer that the caller got, if any.
     pub fn answer(&self, caller: CallerId) -> Option<Arc<Answer>> {
         match &self.calls[&caller].reply {
             Some(Reply::Answer(answer)) => Some(Arc::clone(answer)),
@@ -585,15 +635,18 @@
         }
     }
 
-    /// Runs until the caller has its answer.
+    /// Runs until the caller has its answer, for at most 60 s, and returns the
+    /// answer.
     pub fn await_answer(&mut self, caller: CallerId) -> Arc<Answer> {
         let is_answered = self.run_until(60_000, |session| session.answer(caller).is_some());
         assert!(is_answered, "no answer within a minute");
-        self.answer(caller).expect("just seen")
+        self.answer(caller).expect("the answer has arrived")
     }
 
     // Operators.
 
+    /// Confirms the first change, which creates the service and the team, and
+    /// waits for the reply.
     pub fn configure(&mut self) {
         let service = ServiceConfig {
             preference: self.preference,
@@ -626,7 +679,7 @@
         assert!(is_replied, "the first change was not confirmed");
     }
 
-    /// Confirms a change of a team's weight.
+    /// Confirms a change of the team's weight without waiting for the reply.
     pub fn confirm(
         &mut self,
         entry: NodeId,
@@ -651,35 +704,35 @@
         self.command(entry, Command::Confirm { change })
     }
 
-    // What can be seen.
+    // Observations and checks.
 
     pub fn agent(&self, node: NodeId) -> &Agent {
         match &self.processes[&node].core {
             Core::Agent(agent, _) => agent,
-            Core::Entry(_) => panic!("{node} is no agent"),
+            Core::Entry(_) => panic!("{node} is not an agent"),
         }
     }
 
     pub fn entry(&self, node: NodeId) -> &Entry {
         match &self.processes[&node].core {
             Core::Entry(entry) => entry,
-            Core::Agent(..) => panic!("{node} is no entry"),
+            Core::Agent(..) => panic!("{node} is not an entry"),
         }
     }
 
     pub fn minion_mut(&mut self, node: NodeId) -> &mut FakeMinion {
         match self.core_mut(node) {
             Some(Core::Agent(_, minion)) => minion,
-            _ => panic!("{node} is no agent"),
+            _ => panic!("{node} is not an agent"),
         }
     }
 
-    /// Version of the configuration at each process that runs.
+    /// Returns the configuration version of each process that is up.
     pub fn versions(&self) -> Vec<u64> {
         let running = self
             .processes
             .values()
-            .filter(|process| process.running == Running::Up);
+            .filter(|process| process.state == ProcessState::Up);
         let version = |process: &Process| match &process.core {
             Core::Agent(agent, _) => agent.configuration().current().version,
             Core::Entry(entry) => entry.configuration().current().version,
@@ -687,16 +740,17 @@
         running.map(version).collect()
     }
 
+    /// Returns the agents that are up.
     pub fn agents(&self) -> Vec<NodeId> {
         let is_agent = |process: &Process| matches!(process.core, Core::Agent(..));
         let up = self
             .processes
             .iter()
-            .filter(|(_, p)| p.running == Running::Up && is_agent(p));
+            .filter(|(_, p)| p.state == ProcessState::Up && is_agent(p));
         up.map(|(node, _)| *node).collect()
     }
 
-    /// The homes of the service as an entry sees them.
+    /// Returns the homes of the service in the view of an entry.
     pub fn homes(&self, entry: NodeId) -> Vec<NodeId> {
         let homes = match self.preference {
             Preference::ResponseTime => 3,
@@ -705,6 +759,7 @@
         self.entry(entry).view().homes(SERVICE, homes)
     }
 
+    /// Returns the state of `node` in the view of the process `seen_by`.
     pub fn state_of(&self, seen_by: NodeId, node: NodeId) -> Option<MemberState> {
         match &self.processes[&seen_by].core {
             Core::Agent(agent, _) => agent.view().state(node),
@@ -712,15 +767,17 @@
         }
     }
 
+    /// Returns the number of messages of a kind that were sent.
     pub fn sent(&self, kind: &str) -> u64 {
         self.sent.get(kind).copied().unwrap_or(0)
     }
 
-    pub fn counted(&self, counter: &str) -> u64 {
-        self.counters.get(counter).copied().unwrap_or(0)
+    /// Returns the count of the counter with this debug text.
+    pub fn counter(&self, name: &str) -> u64 {
+        self.counters.get(name).copied().unwrap_or(0)
     }
 
-    /// Starts of a submission's tasks, over all attempts.
+    /// Returns the number of starts of a submission's tasks, over all attempts.
     pub fn starts_of(&self, id: SubmissionId) -> u32 {
         self.starts
             .iter()
@@ -729,7 +786,8 @@
             .sum()
     }
 
-    /// The session so far, without membership messages.
+    /// Returns the transcript, which leaves out control messages such as those
+    /// of the failure detector.
     pub fn transcript(&self) -> String {
         self.transcript.join("\n")
     }
@@ -738,21 +796,24 @@
         self.transcript.clear();
     }
 
-    /// Checks what must hold of an answer that was given.
-    pub fn check(&self, id: SubmissionId, submission: &Submission, answer: &Answer) {
+    /// Checks that an answer is consistent with the submission and with the
+    /// starts of its tasks: a complete answer has the output of each task, an
+    /// answer that says that nothing ran has no starts, and no task of a
+    /// submission that is not repeatable was started more than once.
+    pub fn check_answer(&self, id: SubmissionId, submission: &Submission, answer: &Answer) {
         self.check_starts(id, submission);
         match (answer.outcome, answer.ran) {
             (Outcome::Complete, _) => {
                 assert_eq!(
                     answer.tasks.len(),
                     submission.tasks.len(),
-                    "a partial answer"
+                    "a complete answer has one result for each task"
                 );
                 for (index, task) in (0..).zip(&answer.tasks) {
                     assert_eq!(
                         *task.output,
                         *format!("done {id}/{index}"),
-                        "a crossed answer"
+                        "the output belongs to another task"
                     );
                 }
             }
@@ -760,14 +821,15 @@
                 assert_eq!(
                     self.starts_of(id),
                     0,
-                    "said not to have run, but did: {answer:?}"
+                    "the answer says that nothing ran, but tasks were started: {answer:?}"
                 );
             }
             (Outcome::Failed, _) => {}
         }
     }
 
-    /// Checks that no task that may run once was started more often.
+    /// Checks that each task of a submission that is not repeatable was started
+    /// at most once.
     pub fn check_starts(&self, id: SubmissionId, submission: &Submission) {
         if submission.repeatable {
             return;
@@ -785,8 +847,8 @@
         }
     }
 
-    fn set_running(&mut self, node: NodeId, running: Running) {
-        self.process_mut(node).running = running;
+    fn set_state(&mut self, node: NodeId, state: ProcessState) {
+        self.process_mut(node).state = state;
     }
 
     fn process_mut(&mut self, node: NodeId) -> &mut Process {
@@ -799,13 +861,14 @@
             .map(|process| &mut process.core)
     }
 
-    fn note(&mut self, node: NodeId, text: impl std::fmt::Display) {
+    /// Adds a line with the time and the name of the process to the transcript.
+    fn record_line(&mut self, node: NodeId, text: impl std::fmt::Display) {
         let name = self.processes[&node].name.clone();
         let since_ms = self.now_ms - 1_000_000;
         self.transcript.push(format!("{since_ms:>6} {name} {text}"));
     }
 
-    fn short(&self, task_id: TaskId) -> String {
+    fn describe_task(&self, task_id: TaskId) -> String {
         format!(
             "task {} of a submission of agent-{}",
             task_id.index, task_id.submission.home.0
@@ -813,7 +876,8 @@
     }
 }
 
-/// A job of tasks with these run times in milliseconds.
+/// Returns a job of one task for each run time in milliseconds. The job is not
+/// repeatable.
 pub fn job(run_ms: &[u32]) -> Submission {
     Submission {
         service: Name::from(SERVICE),
@@ -823,7 +887,7 @@
     }
 }
 
-/// A single request.
+/// Returns a submission of one task with this run time in milliseconds.
 pub fn request(run_ms: u32, repeatable: bool) -> Submission {
     Submission {
         repeatable,
@@ -831,6 +895,7 @@
     }
 }
 
+/// Returns a task that declares its run time in milliseconds.
 pub fn task(run_ms: u32) -> Task {
     Task {
         kind: Name::from("label"),
@@ -849,10 +914,11 @@
     }
 }
 
+/// Returns the address of the process with this number, which is its port.
 pub fn address(number: u64) -> SocketAddr {
     SocketAddr::new(
         Ipv4Addr::new(10, 0, 0, 1).into(),
-        u16::try_from(number).expect("small"),
+        u16::try_from(number).expect("the number fits a port"),
     )
 }
 
@@ -883,7 +949,8 @@
     }
 }
 
-fn describe(reply: &Reply) -> String {
+/// Returns the line of the transcript for a reply.
+fn describe_reply(reply: &Reply) -> String {
     match reply {
         Reply::Answer(answer) => {
             let tasks: Vec<String> = answer
