--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -281,7 +281,8 @@
 }
 
 /// Returns the time in microseconds that a home takes for one submission of
-/// `tasks` tasks while `queued` tasks of `teams` teams wait.
+/// `tasks` tasks while `queued` tasks of `teams` teams wait. It stands for
+/// processor time, because the home runs on this thread and never blocks.
 fn time_per_submission_us(queued: usize, teams: usize, tasks: usize) -> f64 {
     let mut home = Home::new(teams);
     for index in 0..queued {
--- a/crates/core/tests/at_most_once.rs
+++ b/crates/core/tests/at_most_once.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn submission_is_answered_unknown_soon_after_its_home_is_killed() {
+fn submission_is_answered_unknown_soon_after_its_home_is_killed_and_new_ids_avoid_it() {
     let mut session = Session::new(1, 6);
     let home = session.homes(ENTRY)[0];
     let submission = request(2_000, false);
@@ -383,7 +383,8 @@
 #[test]
 fn delayed_duplicate_of_a_start_starts_nothing() {
     let mut session = Session::new(1, 3);
-    // The duplicate of each start arrives after the slot has been used again.
+    // The duplicate of each start arrives after 40 ms. Tasks run for 10 ms, so
+    // most slots have been used again long before.
     session.set_transmission(|envelope: &Envelope, _| match envelope.message {
         Message::Start(_) => Transmission::Duplicate,
         _ => Transmission::Deliver,
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -297,6 +297,8 @@
     assert!((2.0..4.0).contains(&ratio), "heavy {heavy}, light {light}");
 }
 
+/// Guards also against a preference for the failing minion before its ejection:
+/// its runs end at once, so its slots look idle.
 #[test]
 fn failing_minion_is_ejected_and_used_again_after_it_recovers() {
     let mut session = Session::new(1, 4);
@@ -339,7 +341,7 @@
 }
 
 /// Guards against a preference for a failing minion: its runs end at once, so
-/// its slots are idle more often than those of other minions.
+/// its slots look idle more often than those of other minions.
 #[test]
 fn minion_that_fails_fast_gets_few_tasks() {
     // At most a third of the minions may be ejected, so neither of two is.
@@ -439,7 +441,7 @@
 }
 
 #[test]
-fn cancellations_send_few_revokes_and_free_the_slots() {
+fn cancellation_sends_at_most_one_revoke_per_agent_and_frees_the_slots() {
     let mut session = Session::new(1, 3);
     let home = session.homes(ENTRY)[0];
     let mut ids = Vec::new();
@@ -465,8 +467,9 @@
             Reason::Cancelled
         );
     }
-    // A revoke goes to each agent that runs tasks of the submission, at most 3.
-    // Submissions whose tasks all wait need none.
+    // A cancellation sends one revoke to each agent that runs tasks of the
+    // submission, which is at most 3 agents. Submissions whose tasks all wait
+    // need none.
     assert!(
         session.sent("revoke") <= 9,
         "{} revokes",
@@ -529,8 +532,10 @@
     );
 }
 
+/// Guards against an answer that nothing ran: an overloaded entry does not pass
+/// the submission on, but another entry may have submitted the same id.
 #[test]
-fn overloaded_entry_answers_unknown() {
+fn overloaded_entry_does_not_answer_that_nothing_ran() {
     let mut session = Session::new(1, 3);
     let id = session.take_id(ENTRY);
     for _ in 0..1_000 {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -265,6 +265,9 @@
     }
 }
 
+/// Entries are replaced one after the other: each new entry must find the agents
+/// and become ready although all entries that were added before it in the loop
+/// have been killed.
 #[test]
 fn each_new_entry_becomes_ready_and_serves_a_job() {
     let mut session = Session::new(1, 6);
@@ -316,7 +319,7 @@
 }
 
 #[test]
-fn entries_choose_the_same_homes_in_different_zones() {
+fn entries_agree_on_homes_that_lie_in_different_zones() {
     let session = Session::new(2, 9);
     let homes = session.homes(ENTRY);
     assert_eq!(homes, session.homes(NodeId(2)));
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -20,7 +20,8 @@
 const ENTRY: NodeId = NodeId(1);
 
 /// Submits single tasks that occupy about `percent` of 24 slots; returns the
-/// number of credit requests and grants per task.
+/// number of credit requests and grants per task, which are sent in addition to
+/// the start and finish of each task.
 fn credit_messages_per_task(preference: Preference, percent: u64) -> f64 {
     let mut session = Session::with_preference(1, 6, preference);
     let mut calls = Vec::new();
@@ -112,7 +113,7 @@
     let long = job(&[30_000]);
     let id = session.take_id(ENTRY);
     session.submit_within(ENTRY, id, &long, 100_000);
-    // More short tasks arrive than the slots can run.
+    // More short tasks arrive than the slots can run, during the whole 12 s.
     for _ in 0..1_200 {
         let short = session.take_id(ENTRY);
         session.submit_within(ENTRY, short, &request(50, false), 100_000);
@@ -318,7 +319,8 @@
     // a new credit for the slot to the home that lent it.
     session.run_for(2_000);
     submit(&mut session, homes[1], &[10; 9]);
-    // The other homes then use the slots many times.
+    // The other homes then use the slots many times before the first home
+    // submits again.
     session.run_for(1_500);
     for _ in 0..100 {
         for home in [homes[0], homes[2]] {
--- a/crates/core/tests/session/mod.rs
+++ b/crates/core/tests/session/mod.rs
@@ -55,7 +55,8 @@
 const DELAY_MS: u64 = 1;
 /// Interval in milliseconds between the ticks of a core.
 const TICK_MS: u64 = 10;
-/// Availability zones. The id of an agent modulo 3 selects its zone.
+/// Availability zones. The id of an agent modulo 3 selects its zone; a restarted
+/// agent gets the zone that the id of its earlier incarnation selects.
 const ZONES: [&str; 3] = ["selfoss", "hella", "thorlak"];
 /// The service that all agents serve.
 pub const SERVICE: &str = "bretti-desk";
@@ -133,7 +134,8 @@
     event: Event,
 }
 
-/// The reply to one caller and the time at which it arrived.
+/// The reply to the request of one caller, if it has arrived, and the time at
+/// which it did.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub reply: Option<Reply>,
@@ -426,8 +428,8 @@
         *self.sent.entry(kind).or_default() += 1;
         let from_addr = self.processes[&from].addr;
         // A restarted process has the address of the earlier one. A process
-        // that is not down receives the message, the one with the highest id if
-        // there are several.
+        // that is not down receives the message, the newest one, which has the
+        // highest id, if there are several.
         let receiver = self
             .processes
             .iter()
@@ -786,8 +788,8 @@
             .sum()
     }
 
-    /// Returns the transcript, which leaves out control messages such as those
-    /// of the failure detector.
+    /// Returns the transcript, which leaves out control messages: those of the
+    /// failure detector and those that spread membership.
     pub fn transcript(&self) -> String {
         self.transcript.join("\n")
     }
